--- a/crates/membership/src/watch/eyes.rs
+++ b/crates/membership/src/watch/eyes.rs
@@ -1,12 +1,11 @@
 //! Events of the file system about one file or directory.
 
+use super::file_system::{FileSystem, retry_interrupted};
 use super::judge::Notice;
 use super::{Kind, Watch};
 use notify::event::{AccessKind, AccessMode};
 use notify::{Event, EventKind, RecommendedWatcher, RecursiveMode, Watcher};
 use std::ffi::OsString;
-use std::fs;
-use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use tokio::sync::Notify;
@@ -21,6 +20,9 @@
     watched: Option<(u64, u64)>,
 }
 
+#[cfg(test)]
+mod tests;
+
 impl Eyes {
     /// Tells `changed` of each event that may be about what is watched.
     pub fn new(watch: &Watch, changed: Arc<Notify>) -> (Eyes, Option<Notice>) {
@@ -45,9 +47,11 @@
 
     /// Watches the directory that is there now. Danger: one that was removed, or moved and replaced, is watched
     /// on as what it was, and nothing is heard of what took its place.
-    pub fn follow(&mut self) {
+    pub fn follow(&mut self, system: &impl FileSystem) {
         let Some(watcher) = &mut self.watcher else { return };
-        let there = fs::metadata(&self.directory).ok().map(|about| (about.dev(), about.ino()));
+        // Danger: a call that was merely interrupted would end the watch until the next poll.
+        let status = retry_interrupted(|| system.status(&self.directory));
+        let there = status.ok().map(|status| (status.device, status.inode));
         if there == self.watched && there.is_some() {
             return;
         }
--- a/crates/membership/src/watch/look.rs
+++ b/crates/membership/src/watch/look.rs
@@ -1,13 +1,15 @@
 //! What a file or directory is at one moment. Blocks: for threads that may.
 
 use super::Kind;
-use std::fs::{self, File, Metadata};
+use super::file_system::{ClockReading, FileStatus, FileSystem, retry_interrupted};
 use std::io::{self, Read};
-use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
+#[cfg(test)]
+mod tests;
+
 /// Largest sum of bytes that is read: some 500,000 endpoints.
 pub(super) const LARGEST: u64 = 64 << 20;
 /// Most files of a directory.
@@ -18,13 +20,13 @@
 const TRIES: u32 = 3;
 
 /// What tells one state from another without reading: names and, of each, device, inode, size and times.
-#[derive(Clone, Debug, Default, PartialEq)]
+#[derive(Clone, Debug, PartialEq)]
 pub(super) struct Print {
-    files: Vec<(PathBuf, [i128; 5])>,
-    /// The last change, in nanoseconds of Unix time.
-    newest: i128,
-    /// When this was taken, the same way.
-    taken: i128,
+    files: Vec<(PathBuf, FileStatus)>,
+    /// The last change by the file system's clock, in nanoseconds of Unix time.
+    newest_ns: i128,
+    /// Both clocks, as they were before anything was looked at.
+    taken: ClockReading,
 }
 
 /// What was found.
@@ -51,23 +53,24 @@
 }
 
 impl Print {
-    fn of(path: &Path, kind: Kind) -> io::Result<Result<Print, String>> {
-        let about = fs::metadata(path)?;
-        let mut print = Print { taken: unix(SystemTime::now()), ..Print::default() };
-        match (kind, about.is_dir()) {
-            (Kind::File, false) => print.add(path.to_owned(), &about),
+    fn of(system: &impl FileSystem, path: &Path, kind: Kind) -> io::Result<Result<Print, String>> {
+        // Danger: read after the times of the files, the clock would count a pause between the two as rest.
+        let taken = system.clocks();
+        let status = retry_interrupted(|| system.status(path))?;
+        let mut print = Print { files: Vec::new(), newest_ns: 0, taken };
+        match (kind, status.is_directory) {
+            (Kind::File, false) => print.add(path.to_owned(), status),
             (Kind::File, true) => return Ok(Err("is a directory, and a file is expected".into())),
             (Kind::Directory, false) => return Ok(Err("is a file, and a directory is expected".into())),
             (Kind::Directory, true) => {
-                for entry in fs::read_dir(path)? {
-                    let path = entry?.path();
+                for path in retry_interrupted(|| system.entries(path))? {
                     if !is_fragment(&path) {
                         continue;
                     }
                     // One that went since the directory was read is looked at once more, with the directory.
-                    let about = fs::metadata(&path)?;
-                    if about.is_file() {
-                        print.add(path, &about);
+                    let status = retry_interrupted(|| system.status(&path))?;
+                    if status.is_file {
+                        print.add(path, status);
                     }
                 }
                 if print.files.len() > MOST_FILES {
@@ -79,19 +82,21 @@
         Ok(Ok(print))
     }
 
-    fn add(&mut self, path: PathBuf, about: &Metadata) {
-        let time = |s: i64, ns: i64| i128::from(s) * 1_000_000_000 + i128::from(ns);
-        let changed = time(about.ctime(), about.ctime_nsec());
-        let modified = time(about.mtime(), about.mtime_nsec());
-        self.newest = self.newest.max(changed).max(modified);
-        let (device, inode, size) = (about.dev().into(), about.ino().into(), about.size().into());
-        self.files.push((path, [device, inode, size, modified, changed]));
+    fn add(&mut self, path: PathBuf, status: FileStatus) {
+        self.newest_ns = self.newest_ns.max(status.changed_ns).max(status.modified_ns);
+        self.files.push((path, status));
     }
 
     /// Whether another state cannot look the same. Danger: a write right after the reading, of the same length
     /// and within one tick of the file system's clock. A clock that is ahead of ours proves nothing either.
+    ///
+    /// Danger: nor does a clock that was set back since: what is written then may get the very times that are
+    /// known. So the earliest time that a write since the reading can have got must lie well after the last
+    /// known change.
     fn proves(&self, now: &Print) -> bool {
-        self.files == now.files && self.newest + (COARSE.as_nanos() as i128) < self.taken
+        let set_back_ns = self.taken.step_ns_until(now.taken).min(0);
+        let earliest_write_ns = self.taken.wall_ns + set_back_ns;
+        self.files == now.files && self.newest_ns + (COARSE.as_nanos() as i128) < earliest_write_ns
     }
 }
 
@@ -100,18 +105,14 @@
     !hidden && path.extension().is_some_and(|form| form == "toml" || form == "json")
 }
 
-fn unix(time: SystemTime) -> i128 {
-    time.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as i128)
-}
-
 /// Looks, and reads what may differ from `known`.
-pub(super) fn look(path: &Path, kind: Kind, known: Option<&Print>) -> Look {
+pub(super) fn look(system: &impl FileSystem, path: &Path, kind: Kind, known: Option<&Print>) -> Look {
     let mut last = None;
     for _ in 0..TRIES {
-        match read(path, kind, known) {
+        match read(system, path, kind, known) {
             // A rename between two steps: the next reading finds one or the other.
             Look::Lost(e) => last = Some(Look::Lost(e)),
-            Look::Read(found) => match Print::of(path, kind) {
+            Look::Read(found) => match Print::of(system, path, kind) {
                 Ok(Ok(after)) if after.files == found.print.files => return Look::Read(found),
                 _ => last = Some(Look::Read(found)),
             },
@@ -121,8 +122,8 @@
     last.unwrap_or(Look::Same)
 }
 
-fn read(path: &Path, kind: Kind, known: Option<&Print>) -> Look {
-    let print = match Print::of(path, kind) {
+fn read(system: &impl FileSystem, path: &Path, kind: Kind, known: Option<&Print>) -> Look {
+    let print = match Print::of(system, path, kind) {
         Ok(Ok(print)) => print,
         Ok(Err(why)) => return Look::Unusable(format!("{} {why}", path.display())),
         Err(e) => return Look::Lost(e),
@@ -134,7 +135,9 @@
     for (path, _) in &print.files {
         let name = path.to_string_lossy().into_owned();
         let mut bytes = Vec::new();
-        if let Err(e) = File::open(path).and_then(|file| file.take(left + 1).read_to_end(&mut bytes)) {
+        let opened = retry_interrupted(|| system.open(path));
+        // Goes on over interrupted and short reads by itself.
+        if let Err(e) = opened.and_then(|file| file.take(left + 1).read_to_end(&mut bytes)) {
             return Look::Lost(e);
         }
         let Some(rest) = left.checked_sub(bytes.len() as u64) else {
--- a/crates/membership/src/watch/mod.rs
+++ b/crates/membership/src/watch/mod.rs
@@ -8,6 +8,9 @@
 //! decides nothing.
 
 mod eyes;
+#[cfg(test)]
+mod fake_file_system;
+mod file_system;
 mod judge;
 mod look;
 mod shell;
@@ -88,7 +91,7 @@
 /// Why it cannot be read, in words.
 pub fn texts(path: &Path) -> Result<Vec<(String, String)>, String> {
     let kind = if path.is_dir() { Kind::Directory } else { Kind::File };
-    match look::look(path, kind, None) {
+    match look::look(&file_system::LocalFileSystem, path, kind, None) {
         look::Look::Read(found) => Ok(found.texts),
         look::Look::Lost(e) => Err(format!("{}: {e}", path.display())),
         look::Look::Unusable(why) => Err(why),
