--- a/crates/lab/src/cli/sidecars.rs
+++ b/crates/lab/src/cli/sidecars.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use olivecart_lab::scenario::Span;
 use olivecart_lab::sidecars::{Plan, VARIANTS, play};
-use olivecart_membership::xds::conversation::Variant;
+use olivecart_membership::xds::session::Variant;
 use slog::{Logger, info};
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/lab/src/sidecars/mod.rs
+++ b/crates/lab/src/sidecars/mod.rs
@@ -13,7 +13,7 @@
 use crate::model::mix;
 use fleet::Fleet;
 use olivecart_decisions::{EndpointId, Nanos, Outcome, Timer};
-use olivecart_membership::xds::conversation::Variant;
+use olivecart_membership::xds::session::Variant;
 use plane::Plane;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/src/sidecars/sidecar.rs
+++ b/crates/lab/src/sidecars/sidecar.rs
@@ -9,9 +9,7 @@
     Action, AttemptEnd, Balancer, Class, ClassId, EndpointId, Entry, Event, ListChange, Nanos, Outcome,
     Request, RequestId, Settings, State,
 };
-use olivecart_membership::xds::conversation::{
-    self, Config, Conversation, Input, Node, Output, Response, Variant,
-};
+use olivecart_membership::xds::session::{self, Config, Input, Node, Output, Response, Session, Variant};
 use olivecart_membership::{Catalog, Output as Told, Policy, SourceId};
 use rand::Rng;
 use rand_distr::Exp1;
@@ -40,7 +38,7 @@
 /// A sidecar.
 pub struct Sidecar {
     id: u32,
-    talk: Conversation,
+    talk: Session,
     catalog: Catalog,
     /// The number of the connection, and whether it stands.
     link: (u32, bool),
@@ -89,7 +87,7 @@
         out.wake(STARTS * 2, Message::Arrival);
         Sidecar {
             id,
-            talk: Conversation::new(config),
+            talk: Session::new(config),
             catalog,
             link: (0, false),
             unread: VecDeque::new(),
@@ -166,7 +164,7 @@
     /// Reads what the pace of the conversation allows.
     fn read(&mut self, world: &World, rng: &mut Pcg64Mcg, now: Nanos, out: &mut Outbox<World>) {
         while !self.unread.is_empty() {
-            let at = self.talk.reads_at();
+            let at = self.talk.next_read_at();
             if at > now {
                 if !self.reads {
                     self.reads = true;
@@ -195,12 +193,12 @@
                 }
                 Output::Send(request) => {
                     let heard = match *request {
-                        conversation::Request::World(request) => Heard::World(request),
-                        conversation::Request::Delta(request) => Heard::Delta(request),
+                        session::Request::World(request) => Heard::World(request),
+                        session::Request::Delta(request) => Heard::Delta(request),
                     };
                     out.send(0, now + LATENCY, Message::Request(self.id, self.link.0, Box::new(heard)));
                 }
-                Output::Tell(event) => self.hear(world, rng, now, event, out),
+                Output::Notify(event) => self.hear(world, rng, now, event, out),
                 Output::Log(_) => {}
             }
         }
@@ -240,12 +238,12 @@
                     let event = Event::List(ListChange::Delta(entries));
                     self.decide(world, rng, now, cluster, event, out);
                 }
-                Told::AskAgain { cluster, .. } => asks.push(cluster),
+                Told::RefetchRequested { cluster, .. } => asks.push(cluster),
                 _ => {}
             }
         }
         for cluster in asks {
-            self.talk(world, rng, now, Input::Ask(cluster), out);
+            self.talk(world, rng, now, Input::Refetch(cluster), out);
         }
         if self.newest.is_none() && now >= world.plan.back() && self.held == world.newest {
             self.newest = Some(now);
--- a/crates/lab/tests/sidecars.rs
+++ b/crates/lab/tests/sidecars.rs
@@ -1,7 +1,7 @@
 //! Many sidecars and a control plane that restarts, in virtual time.
 
 use olivecart_lab::sidecars::{BadPlan, Outcomes, Plan, PlayError, play};
-use olivecart_membership::xds::conversation::Variant;
+use olivecart_membership::xds::session::Variant;
 use std::time::Duration;
 
 fn small() -> Plan {
--- a/crates/membership/benches/catalog.rs
+++ b/crates/membership/benches/catalog.rs
@@ -4,7 +4,8 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion};
 use olivecart_membership::{
-    Catalog, Cluster, ClusterUpdate, Endpoint, Event, Label, Nanos, News, Output, Policy, SourceId, Version,
+    Catalog, Cluster, ClusterDelta, Endpoint, EndpointUpdate, Event, Label, Nanos, Output, Policy, SourceId,
+    Version,
 };
 use std::hint::black_box;
 use std::time::Duration;
@@ -32,9 +33,9 @@
         bench
     }
 
-    fn say(&mut self, news: News) -> usize {
+    fn say(&mut self, update: EndpointUpdate) -> usize {
         self.now += S / 10;
-        let event = Event::News { source: self.source.clone(), version: Version::from(1), news };
+        let event = Event::Update { source: self.source.clone(), version: Version::from(1), update };
         self.out.clear();
         self.catalog.handle(self.now, event, &mut self.out);
         self.out.len()
@@ -52,13 +53,18 @@
     (0..count).map(endpoint).collect()
 }
 
-fn list(endpoints: &[Endpoint]) -> News {
-    News::Clusters(vec![Cluster::new("cart", endpoints.to_vec())])
+fn list(endpoints: &[Endpoint]) -> EndpointUpdate {
+    EndpointUpdate::ClusterSnapshots(vec![Cluster::new("cart", endpoints.to_vec())])
 }
 
-fn update(upserts: Vec<Endpoint>, removals: &[&Endpoint]) -> News {
+fn update(upserts: Vec<Endpoint>, removals: &[&Endpoint]) -> EndpointUpdate {
     let removals = removals.iter().map(|e| e.name.clone()).collect();
-    News::Changes(vec![ClusterUpdate { cluster: "cart".into(), settings: None, upserts, removals }])
+    EndpointUpdate::ClusterDeltas(vec![ClusterDelta {
+        cluster: "cart".into(),
+        settings: None,
+        upserts,
+        removals,
+    }])
 }
 
 fn lists(c: &mut Criterion) {
@@ -70,11 +76,11 @@
         tenth.iter_mut().step_by(10).for_each(|e| e.weight = 2.0);
         group.bench_with_input(BenchmarkId::new("first", size), &first, |b, first| {
             let fresh = || (Bench::new(), list(first));
-            b.iter_batched(fresh, |(mut bench, news)| (bench.say(news), bench), BatchSize::PerIteration);
+            b.iter_batched(fresh, |(mut bench, update)| (bench.say(update), bench), BatchSize::PerIteration);
         });
         group.bench_with_input(BenchmarkId::new("same", size), &first, |b, first| {
             let mut bench = Bench::with(first);
-            b.iter_batched(|| list(first), |news| black_box(bench.say(news)), BatchSize::PerIteration);
+            b.iter_batched(|| list(first), |update| black_box(bench.say(update)), BatchSize::PerIteration);
         });
         group.bench_with_input(BenchmarkId::new("tenth", size), &(first, tenth), |b, (first, tenth)| {
             let (mut bench, mut turn) = (Bench::with(first), false);
@@ -82,12 +88,12 @@
                 turn = !turn;
                 list(if turn { tenth } else { first })
             };
-            b.iter_batched(next, |news| black_box(bench.say(news)), BatchSize::PerIteration);
+            b.iter_batched(next, |update| black_box(bench.say(update)), BatchSize::PerIteration);
         });
         group.bench_with_input(BenchmarkId::new("held", size), &endpoints(size), |b, first| {
             let mut bench = Bench::with(first);
             let few = &first[..size / 3];
-            b.iter_batched(|| list(few), |news| black_box(bench.say(news)), BatchSize::PerIteration);
+            b.iter_batched(|| list(few), |update| black_box(bench.say(update)), BatchSize::PerIteration);
         });
     }
     group.finish();
@@ -106,7 +112,7 @@
         group.bench_function(BenchmarkId::new("changed", size), |b| {
             let (mut bench, mut at) = (Bench::with(&first), 0);
             let next = || update(vec![heavier(&mut at)], &[]);
-            b.iter_batched(next, |news| black_box(bench.say(news)), BatchSize::SmallInput);
+            b.iter_batched(next, |update| black_box(bench.say(update)), BatchSize::SmallInput);
         });
         group.bench_function(BenchmarkId::new("left and came", size), |b| {
             let (mut bench, mut at) = (Bench::with(&first), 0);
@@ -122,7 +128,7 @@
             let (mut bench, mut at) = (Bench::with(&first), 0);
             bench.say(list(&first[..size / 3]));
             let next = || update(vec![heavier(&mut at)], &[]);
-            b.iter_batched(next, |news| black_box(bench.say(news)), BatchSize::SmallInput);
+            b.iter_batched(next, |update| black_box(bench.say(update)), BatchSize::SmallInput);
         });
     }
     group.finish();
--- a/crates/membership/benches/xds.rs
+++ b/crates/membership/benches/xds.rs
@@ -8,8 +8,8 @@
 use envoy_types::pb::google::protobuf::UInt32Value;
 use envoy_types::util::pack_any;
 use olivecart_lab::control_plane::{eds_cluster, endpoints};
-use olivecart_membership::xds::conversation::{Config, Conversation, Input, Node, Output, Response};
 use olivecart_membership::xds::resource::{Kind, assignment};
+use olivecart_membership::xds::session::{Config, Input, Node, Output, Response, Session};
 use olivecart_membership::{Catalog, Nanos, Policy};
 use prost::Message;
 use std::hint::black_box;
@@ -19,7 +19,7 @@
 const COUNT: usize = 10_000;
 
 struct Bench {
-    talk: Conversation,
+    talk: Session,
     catalog: Catalog,
     now: Nanos,
     out: Vec<Output>,
@@ -27,7 +27,7 @@
 
 impl Bench {
     fn new() -> Bench {
-        let talk = Conversation::new(Config::new("xds".into(), Node::default()));
+        let talk = Session::new(Config::new("xds".into(), Node::default()));
         let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("the default policy");
         let mut bench = Bench { talk, catalog, now: 0, out: Vec::new() };
         bench.tell(Input::Tick);
@@ -48,7 +48,7 @@
         self.talk.handle(self.now, input, &mut self.out);
         let mut changes = Vec::new();
         for output in self.out.drain(..) {
-            if let Output::Tell(event) = output {
+            if let Output::Notify(event) = output {
                 self.catalog.handle(self.now, event, &mut changes);
             }
         }
--- a/crates/membership/src/catalog/alarms.rs
+++ b/crates/membership/src/catalog/alarms.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Alarm {
     /// A source is to be asked again about a cluster.
-    Ask(ClusterName, Rank),
+    Refetch(ClusterName, Rank),
     /// Endpoints of a cluster have been away for long enough to be forgotten.
     Forget(ClusterName),
     /// A source has been silent for long enough to age its clusters.
--- a/crates/membership/src/catalog/check.rs
+++ b/crates/membership/src/catalog/check.rs
@@ -1,10 +1,10 @@
 //! Turns away what can mean nothing, by name.
 
 use crate::endpoint::{ClusterSettings, Endpoint};
-use crate::event::ClusterUpdate;
+use crate::event::ClusterDelta;
+use crate::invalid::Invalid;
 use crate::names::EndpointName;
 use crate::policy::Policy;
-use crate::refusal::Invalid;
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
@@ -56,7 +56,7 @@
 /// The part of an update that can be used, endpoints (none if one leaves) and limits, and what is wrong with
 /// the rest.
 pub(super) fn check_update(
-    update: ClusterUpdate,
+    update: ClusterDelta,
 ) -> (BTreeMap<EndpointName, Option<Endpoint>>, Option<ClusterSettings>, Vec<Fault>) {
     let (mut good, mut faults) = (BTreeMap::new(), Vec::new());
     let settings = update.settings.filter(|settings| match settings.check() {
--- a/crates/membership/src/catalog/cluster.rs
+++ b/crates/membership/src/catalog/cluster.rs
@@ -13,11 +13,12 @@
 use super::service::Service;
 use super::{Rank, Source};
 use crate::endpoint::{ClusterSettings, Endpoint, Endpoints};
-use crate::event::ClusterUpdate;
+use crate::event::ClusterDelta;
+use crate::invalid::Invalid;
 use crate::names::{ClusterName, EndpointName, Version};
-use crate::output::{Cause, Confirmation, Output};
+use crate::output::{Cause, ConfirmationSource, Output};
 use crate::policy::Policy;
-use crate::refusal::{Invalid, Refusal};
+use crate::rejection::Rejection;
 use olivecart_decisions::Nanos;
 use std::collections::BTreeMap;
 
@@ -161,13 +162,13 @@
             return feed.hold_whole((items, found), (old, owner), (settings, version), turn, work);
         }
         if old.is_some() && found.settled {
-            work.released.insert(rank, Cause::Confirmed(Confirmation::Again));
+            work.released.insert(rank, Cause::Confirmed(ConfirmationSource::Repetition));
         }
         feed.apply(items, Some(settings), version, work);
     }
 
     /// Takes in changes: the harmless ones at once, the suspicious ones are held.
-    pub fn update(&mut self, turn: &mut Turn, rank: Rank, version: &Version, update: ClusterUpdate) -> Work {
+    pub fn update(&mut self, turn: &mut Turn, rank: Rank, version: &Version, update: ClusterDelta) -> Work {
         let mut work = Work::default();
         self.hear(turn.now, rank);
         let (parts, settings, mut faults) = check_update(update);
@@ -203,12 +204,12 @@
         let found = self.judge(turn, rank, &items, true);
         let (doubtful, items) = found.split(items);
         if found.settled {
-            work.released.insert(rank, Cause::Confirmed(Confirmation::Again));
+            work.released.insert(rank, Cause::Confirmed(ConfirmationSource::Repetition));
         }
         let feed = self.feeds.entry(rank).or_default();
         feed.apply(items, settings, version, work);
         if !doubtful.is_empty() {
-            feed.hold_parts((doubtful, found.suspicions), version, turn, work);
+            feed.hold_parts((doubtful, found.anomalies), version, turn, work);
         }
     }
 
@@ -238,11 +239,11 @@
         let Some(feed) = self.feeds.get_mut(&rank) else { return };
         for (at, (endpoint, reason)) in faults.into_iter().enumerate() {
             let (source, cluster) = (turn.sources[rank].id.clone(), Some(self.name.clone()));
-            let refusal = Refusal { source, cluster, endpoint, reason };
+            let refusal = Rejection { source, cluster, endpoint, reason };
             if at == 0 {
                 feed.refusal = Some((turn.now, refusal.clone()));
             }
-            turn.out.push(Output::Refused(refusal));
+            turn.out.push(Output::Rejected(refusal));
         }
     }
 }
--- a/crates/membership/src/catalog/feed.rs
+++ b/crates/membership/src/catalog/feed.rs
@@ -5,10 +5,12 @@
 use super::cluster::{Turn, Work};
 use super::items::{Item, Items};
 use super::listing::Listing;
+use crate::anomaly::Anomaly;
 use crate::endpoint::{ClusterSettings, Endpoint, State};
+use crate::invalid::Invalid;
 use crate::names::{EndpointName, Version};
 use crate::policy::Policy;
-use crate::refusal::{Invalid, Refusal, Suspicion};
+use crate::rejection::Rejection;
 use olivecart_decisions::Nanos;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,9 +25,9 @@
     pub missing: Option<Missing>,
     /// When the source last spoke of this cluster.
     pub heard: Nanos,
-    pub refusal: Option<(Nanos, Refusal)>,
+    pub refusal: Option<(Nanos, Rejection)>,
     /// The suspicions that were last put out.
-    pub told: Vec<Suspicion>,
+    pub told: Vec<Anomaly>,
     /// When the catalog has asked to be woken for it.
     pub alarm: Option<Nanos>,
 }
@@ -46,7 +48,7 @@
     /// The items are a whole list: they pass together, with these limits.
     pub whole: Option<ClusterSettings>,
     pub version: Version,
-    pub suspicions: Vec<Suspicion>,
+    pub anomalies: Vec<Anomaly>,
     pub since: Nanos,
     /// When its source is to be asked again; before, no repetition confirms.
     pub due: Nanos,
@@ -59,14 +61,14 @@
 /// A cluster that is missing from the list of all clusters.
 #[derive(Clone, Debug)]
 pub(super) struct Missing {
-    pub suspicion: Suspicion,
+    pub anomaly: Anomaly,
     pub since: Nanos,
     pub due: Nanos,
 }
 
 impl Hold {
-    pub fn needs_word(&self) -> bool {
-        self.suspicions.iter().any(Suspicion::needs_word)
+    pub fn needs_explicit_confirmation(&self) -> bool {
+        self.anomalies.iter().any(Anomaly::needs_explicit_confirmation)
     }
 }
 
--- a/crates/membership/src/catalog/hold.rs
+++ b/crates/membership/src/catalog/hold.rs
@@ -5,10 +5,10 @@
 use super::feed::{Feed, Hold, Missing};
 use super::items::Items;
 use super::judge::Findings;
+use crate::anomaly::Anomaly;
 use crate::endpoint::ClusterSettings;
 use crate::names::{EndpointName, Version};
-use crate::output::{Cause, Confirmation};
-use crate::refusal::Suspicion;
+use crate::output::{Cause, ConfirmationSource};
 use olivecart_decisions::Nanos;
 use std::mem::discriminant;
 
@@ -24,16 +24,16 @@
     ) {
         work.touch_cautions(&items);
         found.mark(&mut items);
-        let (whole, suspicions) = (Some(settings), found.suspicions);
+        let (whole, anomalies) = (Some(settings), found.anomalies);
         let against = owner.filter(|_| self.good.is_none());
         self.hold =
-            Some(Hold { items, whole, suspicions, against, fresh: true, ..Hold::begin(old, version, turn) });
+            Some(Hold { items, whole, anomalies, against, fresh: true, ..Hold::begin(old, version, turn) });
     }
 
     /// Holds parts of an update beside what is held already.
     pub(super) fn hold_parts(
         &mut self,
-        (doubtful, suspicions): (Items, Vec<Suspicion>),
+        (doubtful, anomalies): (Items, Vec<Anomaly>),
         version: &Version,
         turn: &Turn,
         work: &mut Work,
@@ -41,9 +41,9 @@
         work.touch_cautions(&doubtful);
         let hold = self.hold.get_or_insert_with(|| Hold::begin(None, version, turn));
         hold.items.merge(doubtful);
-        let is_new = |old: &Suspicion| !suspicions.iter().any(|new| discriminant(old) == discriminant(new));
-        hold.suspicions.retain(is_new);
-        hold.suspicions.extend(suspicions);
+        let is_new = |old: &Anomaly| !anomalies.iter().any(|new| discriminant(old) == discriminant(new));
+        hold.anomalies.retain(is_new);
+        hold.anomalies.extend(anomalies);
     }
 
     /// What is said now of endpoints takes the place of what was held of them.
@@ -70,8 +70,8 @@
     fn begin(old: Option<Hold>, version: &Version, turn: &Turn) -> Hold {
         let due = turn.now.saturating_add(turn.policy.asking().as_nanos() as Nanos);
         let (since, due) = old.map_or((turn.now, due), |old| (old.since, old.due));
-        let (items, suspicions, version) = (Items::default(), Vec::new(), version.clone());
-        Hold { items, whole: None, version, suspicions, since, due, against: None, fresh: false }
+        let (items, anomalies, version) = (Items::default(), Vec::new(), version.clone());
+        Hold { items, whole: None, version, anomalies, since, due, against: None, fresh: false }
     }
 }
 
@@ -81,26 +81,26 @@
         let Some(feed) = self.feeds.get_mut(&rank) else { return false };
         if feed.missing.is_some() {
             *work = self.remove(rank);
-            work.released.insert(rank, Cause::Confirmed(Confirmation::Word));
+            work.released.insert(rank, Cause::Confirmed(ConfirmationSource::ExplicitCommand));
             return true;
         }
-        self.release(rank, Cause::Confirmed(Confirmation::Word), work)
+        self.release(rank, Cause::Confirmed(ConfirmationSource::ExplicitCommand), work)
     }
 
-    /// A list of all clusters lacks this one. `suspicion` is what that is.
-    pub fn miss(&mut self, turn: &Turn, rank: Rank, suspicion: Suspicion) -> Work {
+    /// A list of all clusters lacks this one. `anomaly` is what that is.
+    pub fn miss(&mut self, turn: &Turn, rank: Rank, anomaly: Anomaly) -> Work {
         let Some(feed) = self.feeds.get_mut(&rank) else { return Work::default() };
         let due = turn.now.saturating_add(turn.policy.asking().as_nanos() as Nanos);
         let (since, due) = feed.missing.as_ref().map_or((turn.now, due), |m| (m.since, m.due));
         let is_over = turn.now.saturating_sub(since) >= turn.policy.hold.as_nanos() as Nanos;
-        if feed.good.is_some() && (suspicion.needs_word() || !is_over) {
-            feed.missing = Some(Missing { suspicion, since, due });
+        if feed.good.is_some() && (anomaly.needs_explicit_confirmation() || !is_over) {
+            feed.missing = Some(Missing { anomaly, since, due });
             return Work::default();
         }
         let was_held = feed.missing.is_some();
         let mut work = self.remove(rank);
         if was_held {
-            work.released.insert(rank, Cause::Confirmed(Confirmation::Again));
+            work.released.insert(rank, Cause::Confirmed(ConfirmationSource::Repetition));
         }
         work
     }
@@ -124,14 +124,14 @@
 
     fn second_source(&mut self, turn: &Turn, rank: Rank, work: &mut Work) -> bool {
         let Some(feed) = self.feeds.get(&rank) else { return false };
-        if feed.hold.as_ref().is_none_or(Hold::needs_word) {
+        if feed.hold.as_ref().is_none_or(Hold::needs_explicit_confirmation) {
             return false;
         }
         let mut others = self.feeds.iter().filter(|(other, _)| **other != rank);
         let agrees = others.find(|(_, other)| other.own().is_some_and(|own| feed.agrees_with(own)));
         let Some((&other, _)) = agrees else { return false };
         let other = turn.sources[other].id.clone();
-        self.release(rank, Cause::Confirmed(Confirmation::SecondSource(other)), work)
+        self.release(rank, Cause::Confirmed(ConfirmationSource::SecondSource(other)), work)
     }
 
     /// Whether something passed.
@@ -179,7 +179,7 @@
             return self.release(rank, Cause::Resolved, work);
         }
         if !found.is_clear() {
-            hold.suspicions = found.suspicions;
+            hold.anomalies = found.anomalies;
         }
         hold.items = staying;
         if passing.is_empty() {
--- a/crates/membership/src/catalog/judge.rs
+++ b/crates/membership/src/catalog/judge.rs
@@ -12,10 +12,10 @@
 use super::caution::Cautions;
 use super::items::{Item, Items};
 use super::listing::{Listing, Tally, ready_at};
+use crate::anomaly::Anomaly;
 use crate::endpoint::{Endpoint, State};
 use crate::names::EndpointName;
 use crate::policy::Policy;
-use crate::refusal::Suspicion;
 use olivecart_decisions::Nanos;
 use rustc_hash::{FxBuildHasher, FxHashMap};
 use std::hash::BuildHasher;
@@ -43,14 +43,14 @@
     pub doubtful: Vec<bool>,
     /// Which of them are one of many, in their order.
     pub sticky: Vec<bool>,
-    pub suspicions: Vec<Suspicion>,
+    pub anomalies: Vec<Anomaly>,
     /// Something passed only because it was said again.
     pub settled: bool,
 }
 
 impl Findings {
     pub fn is_clear(&self) -> bool {
-        self.suspicions.is_empty()
+        self.anomalies.is_empty()
     }
 
     /// What is doubtful of a change, with its marks, and what passes.
@@ -70,13 +70,13 @@
     /// are not ready.
     pub fn judge(&self) -> Findings {
         let none = vec![false; self.items.len()];
-        let (doubtful, sticky, suspicions) = (none.clone(), none, Vec::new());
-        let mut found = Findings { doubtful, sticky, suspicions, settled: false };
+        let (doubtful, sticky, anomalies) = (none.clone(), none, Vec::new());
+        let mut found = Findings { doubtful, sticky, anomalies, settled: false };
         self.find_nothing_left(&mut found);
         self.find_many_gone(&mut found);
         self.find_moved(&mut found);
         self.find_addresses_twice(&mut found);
-        if !found.is_clear() && !found.suspicions.iter().any(Suspicion::needs_word) {
+        if !found.is_clear() && !found.anomalies.iter().any(Anomaly::needs_explicit_confirmation) {
             // Without what is held there may be nothing left after all.
             self.find_nothing_left(&mut found);
         }
@@ -146,11 +146,11 @@
                 lost.push(at);
             }
         }
-        found.suspicions.push(match first {
-            _ if after.listed == 0 && (self.own.is_none() || listed > 0) => Suspicion::NoEndpoints,
-            Some(_) if after.ready > 0 => Suspicion::AllWeightsZero,
-            None if after.ready > 0 && listed == 0 => Suspicion::AllWeightsZero,
-            Some(first) => Suspicion::NothingLeft { first: first.clone() },
+        found.anomalies.push(match first {
+            _ if after.listed == 0 && (self.own.is_none() || listed > 0) => Anomaly::NoEndpoints,
+            Some(_) if after.ready > 0 => Anomaly::AllWeightsZero,
+            None if after.ready > 0 && listed == 0 => Anomaly::AllWeightsZero,
+            Some(first) => Anomaly::NothingLeft { first: first.clone() },
             None => return,
         });
         let are_many = lost.len() >= Policy::FEWEST_SUSPICIOUS;
@@ -190,9 +190,9 @@
             return;
         };
         let (count, first) = (gone.len(), EndpointName::clone(first));
-        found.suspicions.push(match count == of {
-            true => Suspicion::AllGone { count, first },
-            false => Suspicion::ManyGone { count, of, first },
+        found.anomalies.push(match count == of {
+            true => Anomaly::AllGone { count, first },
+            false => Anomaly::ManyGone { count, of, first },
         });
         for (at, _) in gone {
             found.doubtful[at] = true;
@@ -222,7 +222,7 @@
         found.settled |= settled;
         let Some(&(at, from, to)) = moved.first() else { return };
         let endpoint = self.items[at].name.clone();
-        found.suspicions.push(Suspicion::Moved { endpoint, from, to, others: moved.len() - 1 });
+        found.anomalies.push(Anomaly::Moved { endpoint, from, to, others: moved.len() - 1 });
         moved.into_iter().for_each(|(at, ..)| found.doubtful[at] = true);
     }
 
@@ -272,7 +272,7 @@
         found.settled |= settled;
         let Some((at, other, address)) = twice.first().cloned() else { return };
         let endpoint = self.items[at].name.clone();
-        found.suspicions.push(Suspicion::AddressTwice { endpoint, other, address, others: twice.len() - 1 });
+        found.anomalies.push(Anomaly::AddressTwice { endpoint, other, address, others: twice.len() - 1 });
         twice.into_iter().for_each(|(at, ..)| found.doubtful[at] = true);
     }
 }
--- a/crates/membership/src/catalog/mod.rs
+++ b/crates/membership/src/catalog/mod.rs
@@ -13,19 +13,21 @@
 mod service;
 mod view;
 
+use crate::anomaly::Anomaly;
 use crate::endpoint::{Cluster, ClusterSettings, Endpoint};
-use crate::event::{ClusterUpdate, Event, News, Silence};
+use crate::event::{ClusterDelta, EndpointUpdate, Event, Silence};
+use crate::invalid::Invalid;
 use crate::names::{ClusterName, EndpointName, SourceId, Version, fault_of};
 use crate::output::Output;
 use crate::policy::{BadPolicy, Policy};
-use crate::refusal::{Invalid, Refusal, Suspicion};
+use crate::rejection::Rejection;
 use alarms::{Alarm, Alarms};
 use cluster::{ClusterState, Turn, Work};
 use olivecart_decisions::Nanos;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-pub use view::{ClusterView, FeedView, HeldView, RefusalView, SourceView};
+pub use view::{ClusterView, QuarantineView, RejectionView, SourceView, SubscriptionView};
 
 /// A source's place in the order of precedence, from 0.
 type Rank = usize;
@@ -38,7 +40,7 @@
     /// When the catalog has asked to be woken for it.
     alarm: Option<Nanos>,
     /// The last refusal that was about no cluster that is known.
-    pub refusal: Option<(Nanos, Refusal)>,
+    pub refusal: Option<(Nanos, Rejection)>,
 }
 
 /// A source that is silent.
@@ -91,26 +93,26 @@
     }
 
     fn hear(&mut self, event: Event, out: &mut Vec<Output>) {
-        let (Event::News { source, .. }
+        let (Event::Update { source, .. }
         | Event::Confirm { source, .. }
         | Event::Silent { source, .. }
-        | Event::Back { source }) = &event
+        | Event::Reconnected { source }) = &event
         else {
             return;
         };
         let Some(rank) = self.sources.iter().position(|known| known.id == *source) else {
             let (source, reason) = (source.clone(), Invalid::UnknownSource);
-            out.push(Output::Refused(Refusal { source, cluster: None, endpoint: None, reason }));
+            out.push(Output::Rejected(Rejection { source, cluster: None, endpoint: None, reason }));
             return;
         };
         match event {
-            Event::News { version, news, .. } => {
+            Event::Update { version, update, .. } => {
                 self.back(rank, out);
-                self.news(rank, &version, news, out);
+                self.apply_update(rank, &version, update, out);
             }
             Event::Confirm { cluster, .. } => self.confirm(rank, cluster, out),
             Event::Silent { silence, .. } => self.silent(rank, silence),
-            Event::Back { .. } => self.back(rank, out),
+            Event::Reconnected { .. } => self.back(rank, out),
             Event::Tick => {}
         }
     }
@@ -148,7 +150,7 @@
             source: &self.sources.get(service.owner)?.id,
             version: &good.version,
             settings: &service.settings,
-            aged: service.aged,
+            is_stale: service.aged,
             endpoints: &service.endpoints,
         })
     }
@@ -171,12 +173,12 @@
         }
     }
 
-    fn news(&mut self, rank: Rank, version: &Version, news: News, out: &mut Vec<Output>) {
-        match news {
-            News::All(clusters) => {
-                let suspicion = match clusters.is_empty() {
-                    true => Suspicion::NoClusters,
-                    false => Suspicion::ClusterMissing,
+    fn apply_update(&mut self, rank: Rank, version: &Version, update: EndpointUpdate, out: &mut Vec<Output>) {
+        match update {
+            EndpointUpdate::FullSnapshot(clusters) => {
+                let anomaly = match clusters.is_empty() {
+                    true => Anomaly::NoClusters,
+                    false => Anomaly::ClusterMissing,
                 };
                 let named = self.lists(rank, version, clusters, out);
                 let mut missing: Vec<ClusterName> = Vec::new();
@@ -184,11 +186,11 @@
                     missing.extend(state.feeds.contains_key(&rank).then(|| state.name.clone()));
                 }
                 for name in missing {
-                    self.turn(&name, rank, out, |state, turn| state.miss(turn, rank, suspicion.clone()));
+                    self.turn(&name, rank, out, |state, turn| state.miss(turn, rank, anomaly.clone()));
                 }
             }
-            News::Clusters(clusters) => _ = self.lists(rank, version, clusters, out),
-            News::Changes(updates) => {
+            EndpointUpdate::ClusterSnapshots(clusters) => _ = self.lists(rank, version, clusters, out),
+            EndpointUpdate::ClusterDeltas(updates) => {
                 for update in by_cluster(updates) {
                     let name = update.cluster.clone();
                     if self.admit(&name, rank, out) {
@@ -196,7 +198,7 @@
                     }
                 }
             }
-            News::Removed(names) => {
+            EndpointUpdate::ClustersRemoved(names) => {
                 for name in names {
                     self.turn(&name, rank, out, |state, _| state.remove(rank));
                 }
@@ -252,11 +254,11 @@
     fn refuse(&mut self, rank: Rank, cluster: ClusterName, reason: Invalid, out: &mut Vec<Output>) {
         let source = &mut self.sources[rank];
         let (id, now) = (source.id.clone(), self.now);
-        let refusal = Refusal { source: id, cluster: Some(cluster.clone()), endpoint: None, reason };
+        let refusal = Rejection { source: id, cluster: Some(cluster.clone()), endpoint: None, reason };
         let feed = self.clusters.get_mut(&cluster).and_then(|state| state.feeds.get_mut(&rank));
         let place = feed.map_or(&mut source.refusal, |feed| &mut feed.refusal);
         *place = Some((now, refusal.clone()));
-        out.push(Output::Refused(refusal));
+        out.push(Output::Rejected(refusal));
     }
 
     fn confirm(&mut self, rank: Rank, cluster: ClusterName, out: &mut Vec<Output>) {
@@ -267,7 +269,7 @@
             work
         });
         if !is_held {
-            self.refuse(rank, cluster, Invalid::NothingHeld, out);
+            self.refuse(rank, cluster, Invalid::NothingQuarantined, out);
         }
     }
 
@@ -305,7 +307,7 @@
                     source.silent.iter_mut().for_each(|silent| silent.aged = true);
                     self.tell_ages(out);
                 }
-                Alarm::Ask(cluster, rank) => self.ask(cluster, rank, out),
+                Alarm::Refetch(cluster, rank) => self.ask(cluster, rank, out),
                 Alarm::Forget(cluster) => self.forget(&cluster),
             }
         }
@@ -319,8 +321,8 @@
         feed.alarm = None;
         feed.ask_later(*now, policy);
         let due = feed.due();
-        alarms.set(&mut feed.alarm, due, || Alarm::Ask(cluster.clone(), rank));
-        out.push(Output::AskAgain { cluster, source: sources[rank].id.clone() });
+        alarms.set(&mut feed.alarm, due, || Alarm::Refetch(cluster.clone(), rank));
+        out.push(Output::RefetchRequested { cluster, source: sources[rank].id.clone() });
     }
 
     fn forget(&mut self, cluster: &ClusterName) {
@@ -335,8 +337,8 @@
 /// One update for each cluster.
 ///
 /// Danger: many updates of one endpoint each, judged one by one, would be many single endpoints that leave.
-fn by_cluster(updates: Vec<ClusterUpdate>) -> Vec<ClusterUpdate> {
-    let mut merged: BTreeMap<ClusterName, ClusterUpdate> = BTreeMap::new();
+fn by_cluster(updates: Vec<ClusterDelta>) -> Vec<ClusterDelta> {
+    let mut merged: BTreeMap<ClusterName, ClusterDelta> = BTreeMap::new();
     for update in updates {
         match merged.entry(update.cluster.clone()) {
             Entry::Vacant(place) => _ = place.insert(update),
@@ -363,7 +365,7 @@
     /// Limits that come with it.
     pub settings: &'a ClusterSettings,
     /// Its source has been silent for too long.
-    pub aged: bool,
+    pub is_stale: bool,
     endpoints: &'a BTreeMap<EndpointName, Arc<Endpoint>>,
 }
 
--- a/crates/membership/src/catalog/reconcile.rs
+++ b/crates/membership/src/catalog/reconcile.rs
@@ -5,9 +5,9 @@
 use super::caution::Cautions;
 use super::cluster::{ClusterState, Turn, Work};
 use super::service::Service;
+use crate::anomaly::Anomaly;
 use crate::endpoint::Endpoint;
-use crate::output::{Added, Aged, Arrival, Cause, Change, Held, Output, Removed, Upserted};
-use crate::refusal::Suspicion;
+use crate::output::{Added, Arrival, Cause, Change, Output, Quarantined, Removed, Stale, Upserted};
 use std::mem::{Discriminant, discriminant};
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     /// Brings what serves to what the sources say, by the smallest change.
     fn serve(&mut self, turn: &mut Turn, by: Rank, work: &mut Work) {
         let cause = work.released.values().next().cloned();
-        let cause = cause.unwrap_or_else(|| Cause::News { by: turn.sources[by].id.clone() });
+        let cause = cause.unwrap_or_else(|| Cause::Update { by: turn.sources[by].id.clone() });
         let cluster = self.name.clone();
         let Some((owner, good)) =
             self.owner().and_then(|owner| Some((owner, self.feeds.get(&owner)?.good.as_ref()?)))
@@ -76,24 +76,24 @@
 
     /// Says what is held, where that has become something else.
     fn tell_holds(&mut self, turn: &mut Turn, work: &Work) {
-        let kinds = |s: &[Suspicion]| s.iter().map(discriminant).collect::<Vec<Discriminant<Suspicion>>>();
+        let kinds = |s: &[Anomaly]| s.iter().map(discriminant).collect::<Vec<Discriminant<Anomaly>>>();
         for (rank, feed) in &mut self.feeds {
             let held = feed.hold.iter_mut().flat_map(|hold| {
                 hold.fresh = false;
-                hold.suspicions.iter().cloned()
+                hold.anomalies.iter().cloned()
             });
-            let missing = feed.missing.iter().map(|missing| missing.suspicion.clone());
-            let suspicions: Vec<Suspicion> = held.chain(missing).collect();
-            let is_new = kinds(&suspicions) != kinds(&feed.told);
-            feed.told = suspicions.clone();
+            let missing = feed.missing.iter().map(|missing| missing.anomaly.clone());
+            let anomalies: Vec<Anomaly> = held.chain(missing).collect();
+            let is_new = kinds(&anomalies) != kinds(&feed.told);
+            feed.told = anomalies.clone();
             if !is_new {
                 continue;
             }
             let (cluster, source) = (self.name.clone(), turn.sources[*rank].id.clone());
             turn.out.push(match (feed.due(), work.released.get(rank)) {
-                (Some(until), _) => Output::Held(Held { cluster, source, suspicions, until }),
+                (Some(until), _) => Output::Quarantined(Quarantined { cluster, source, anomalies, until }),
                 (None, Some(cause)) => Output::Released { cluster, source, cause: cause.clone() },
-                (None, None) => Output::Withdrawn { cluster, source },
+                (None, None) => Output::QuarantineDropped { cluster, source },
             });
         }
     }
@@ -109,15 +109,15 @@
         service.aged = aged.is_some();
         let (cluster, source) = (self.name.clone(), owner.id.clone());
         turn.out.push(match aged {
-            Some(silent) => Output::Aged(Aged { cluster, source, since: silent.since }),
-            None => Output::Renewed { cluster, source },
+            Some(silent) => Output::Stale(Stale { cluster, source, since: silent.since }),
+            None => Output::Recovered { cluster, source },
         });
     }
 
     pub fn set_alarms(&mut self, turn: &mut Turn) {
         for (rank, feed) in &mut self.feeds {
             let due = feed.due();
-            turn.alarms.set(&mut feed.alarm, due, || Alarm::Ask(self.name.clone(), *rank));
+            turn.alarms.set(&mut feed.alarm, due, || Alarm::Refetch(self.name.clone(), *rank));
         }
         let forgets = self.service.as_ref().and_then(|service| service.forgets_at(turn.policy));
         turn.alarms.set(&mut self.forgets, forgets, || Alarm::Forget(self.name.clone()));
--- a/crates/membership/src/catalog/view.rs
+++ b/crates/membership/src/catalog/view.rs
@@ -6,7 +6,7 @@
 use crate::endpoint::{ClusterSettings, State};
 use crate::event::Silence;
 use crate::names::{ClusterName, SourceId, Version};
-use crate::refusal::Refusal;
+use crate::rejection::Rejection;
 use olivecart_decisions::Nanos;
 use serde::Serialize;
 use std::fmt;
@@ -19,7 +19,8 @@
     /// Which source gives it; none if no source has said anything of it that could serve.
     pub source: Option<SourceId>,
     /// Its source has been silent for longer than the policy allows.
-    pub aged: bool,
+    #[serde(rename = "aged")]
+    pub is_stale: bool,
     /// When what serves last changed, in milliseconds ago.
     pub changed_ms_ago: Option<u64>,
     /// Endpoints that take new requests.
@@ -33,12 +34,13 @@
     /// Limits that come with it.
     pub settings: ClusterSettings,
     /// What each source says of it, in the order of precedence.
-    pub feeds: Vec<FeedView>,
+    #[serde(rename = "feeds")]
+    pub subscriptions: Vec<SubscriptionView>,
 }
 
 /// What one source says of one cluster.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct FeedView {
+pub struct SubscriptionView {
     /// The source.
     pub source: SourceId,
     /// The version accepted last.
@@ -46,33 +48,39 @@
     /// How many endpoints were accepted; none if nothing has been, 0 if it is empty on purpose.
     pub endpoints: Option<usize>,
     /// The age of it: when the source last spoke of this cluster, in milliseconds ago.
-    pub heard_ms_ago: u64,
+    #[serde(rename = "heard_ms_ago")]
+    pub last_update_ms_ago: u64,
     /// The source is silent, and for how many milliseconds.
     pub silent: Option<(Silence, u64)>,
     /// What is held back.
-    pub held: Option<HeldView>,
+    #[serde(rename = "held")]
+    pub quarantine: Option<QuarantineView>,
     /// What was refused last.
-    pub refusal: Option<RefusalView>,
+    #[serde(rename = "refusal")]
+    pub rejection: Option<RejectionView>,
 }
 
 /// What is held back.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct HeldView {
+pub struct QuarantineView {
     /// What is suspicious.
-    pub suspicions: Vec<String>,
+    #[serde(rename = "suspicions")]
+    pub anomalies: Vec<String>,
     /// Only an explicit word lets it pass.
-    pub needs_word: bool,
+    #[serde(rename = "needs_word")]
+    pub needs_explicit_confirmation: bool,
     /// How many endpoints' changes are held.
     pub endpoints: usize,
     /// For how many milliseconds.
     pub for_ms: u64,
     /// In how many milliseconds the source is asked again; before, no repetition confirms.
-    pub asks_in_ms: u64,
+    #[serde(rename = "asks_in_ms")]
+    pub refetch_in_ms: u64,
 }
 
 /// What was refused.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct RefusalView {
+pub struct RejectionView {
     /// When, in milliseconds ago.
     pub ms_ago: u64,
     /// What and why.
@@ -87,7 +95,8 @@
     /// It is silent, and for how many milliseconds.
     pub silent: Option<(Silence, u64)>,
     /// What was refused last of it that was about no cluster that is known.
-    pub refusal: Option<RefusalView>,
+    #[serde(rename = "refusal")]
+    pub rejection: Option<RejectionView>,
 }
 
 impl SourceView {
@@ -98,7 +107,7 @@
                 .silent
                 .as_ref()
                 .map(|silent| (silent.silence, ms(now.saturating_sub(silent.since)))),
-            refusal: source.refusal.as_ref().map(|refusal| RefusalView::of(refusal, now)),
+            rejection: source.refusal.as_ref().map(|refusal| RejectionView::of(refusal, now)),
         }
     }
 }
@@ -107,9 +116,9 @@
     nanos / 1_000_000
 }
 
-impl RefusalView {
-    pub(super) fn of((at, refusal): &(Nanos, Refusal), now: Nanos) -> RefusalView {
-        RefusalView { ms_ago: ms(now.saturating_sub(*at)), reason: refusal.to_string() }
+impl RejectionView {
+    pub(super) fn of((at, refusal): &(Nanos, Rejection), now: Nanos) -> RejectionView {
+        RejectionView { ms_ago: ms(now.saturating_sub(*at)), reason: refusal.to_string() }
     }
 }
 
@@ -120,14 +129,14 @@
         let mut view = ClusterView {
             cluster: state.name.clone(),
             source: service.map(|service| sources[service.owner].id.clone()),
-            aged: service.is_some_and(|service| service.aged),
+            is_stale: service.is_some_and(|service| service.aged),
             changed_ms_ago: service.map(|service| ms(now.saturating_sub(service.changed))),
             ready: 0,
             weightless: 0,
             draining: 0,
             unhealthy: 0,
             settings: service.map(|service| service.settings).unwrap_or_default(),
-            feeds: state.feeds.iter().map(feed).collect(),
+            subscriptions: state.feeds.iter().map(feed).collect(),
         };
         for endpoint in service.into_iter().flat_map(|service| service.endpoints.values()) {
             *match endpoint.state {
@@ -141,29 +150,31 @@
     }
 }
 
-fn feed_view(source: &Source, feed: &Feed, now: Nanos) -> FeedView {
+fn feed_view(source: &Source, feed: &Feed, now: Nanos) -> SubscriptionView {
     let ago = |at: Nanos| ms(now.saturating_sub(at));
     let held = feed.due().map(|due| {
         let (hold, missing) = (feed.hold.as_ref(), feed.missing.as_ref());
-        let suspicions = hold.into_iter().flat_map(|hold| &hold.suspicions);
-        let suspicions: Vec<_> = suspicions.chain(missing.map(|missing| &missing.suspicion)).collect();
+        let anomalies = hold.into_iter().flat_map(|hold| &hold.anomalies);
+        let anomalies: Vec<_> = anomalies.chain(missing.map(|missing| &missing.anomaly)).collect();
         let since = hold.map(|hold| hold.since).into_iter().chain(missing.map(|missing| missing.since)).min();
-        HeldView {
-            needs_word: suspicions.iter().any(|suspicion| suspicion.needs_word()),
-            suspicions: suspicions.iter().map(|suspicion| suspicion.to_string()).collect(),
+        QuarantineView {
+            needs_explicit_confirmation: anomalies
+                .iter()
+                .any(|anomaly| anomaly.needs_explicit_confirmation()),
+            anomalies: anomalies.iter().map(|anomaly| anomaly.to_string()).collect(),
             endpoints: hold.map_or(0, |hold| hold.items.len()),
             for_ms: ago(since.unwrap_or(now)),
-            asks_in_ms: ms(due.saturating_sub(now)),
+            refetch_in_ms: ms(due.saturating_sub(now)),
         }
     });
-    FeedView {
+    SubscriptionView {
         source: source.id.clone(),
         version: feed.good.as_ref().map(|good| good.version.clone()),
         endpoints: feed.own().map(|own| own.tally().listed),
-        heard_ms_ago: ago(feed.heard),
+        last_update_ms_ago: ago(feed.heard),
         silent: source.silent.as_ref().map(|silent| (silent.silence, ago(silent.since))),
-        held,
-        refusal: feed.refusal.as_ref().map(|refusal| RefusalView::of(refusal, now)),
+        quarantine: held,
+        rejection: feed.refusal.as_ref().map(|refusal| RejectionView::of(refusal, now)),
     }
 }
 
@@ -186,15 +197,15 @@
                 let ClusterView { ready, weightless, draining, unhealthy, .. } = self;
                 write!(f, "from {source}, {ready} ready, {draining} draining, {unhealthy} unhealthy")?;
                 write!(f, ", {weightless} of weight 0, changed {} ago", span(changed))?;
-                f.write_str(if self.aged { ", AGED" } else { "" })?;
+                f.write_str(if self.is_stale { ", AGED" } else { "" })?;
             }
             _ => f.write_str("nothing serves")?,
         }
-        self.feeds.iter().try_for_each(|feed| write!(f, "\n  {feed}"))
+        self.subscriptions.iter().try_for_each(|feed| write!(f, "\n  {feed}"))
     }
 }
 
-impl fmt::Display for FeedView {
+impl fmt::Display for SubscriptionView {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}: ", self.source)?;
         match (&self.version, self.endpoints) {
@@ -202,17 +213,17 @@
             (Some(version), Some(n)) => write!(f, "version {version:?}, {n} endpoints")?,
             _ => f.write_str("nothing accepted")?,
         }
-        write!(f, ", heard {} ago", span(self.heard_ms_ago))?;
+        write!(f, ", heard {} ago", span(self.last_update_ms_ago))?;
         if let Some((silence, for_ms)) = &self.silent {
             write!(f, ", source {silence} for {}", span(*for_ms))?;
         }
-        if let Some(held) = &self.held {
-            let (reasons, for_ms) = (held.suspicions.join("; "), span(held.for_ms));
+        if let Some(held) = &self.quarantine {
+            let (reasons, for_ms) = (held.anomalies.join("; "), span(held.for_ms));
             write!(f, "\n    held for {for_ms}, {} endpoints: {reasons}; ", held.endpoints)?;
-            write!(f, "asked again in {}", span(held.asks_in_ms))?;
-            f.write_str(if held.needs_word { ", needs an explicit word" } else { "" })?;
+            write!(f, "asked again in {}", span(held.refetch_in_ms))?;
+            f.write_str(if held.needs_explicit_confirmation { ", needs an explicit word" } else { "" })?;
         }
-        match &self.refusal {
+        match &self.rejection {
             Some(refusal) => write!(f, "\n    {} ago: {}", span(refusal.ms_ago), refusal.reason),
             None => Ok(()),
         }
--- a/crates/membership/src/diff.rs
+++ b/crates/membership/src/diff.rs
@@ -2,9 +2,9 @@
 
 use crate::catalog::Catalog;
 use crate::endpoint::{Cluster, ClusterSettings, Endpoint, Endpoints};
-use crate::event::{Event, News};
+use crate::event::{EndpointUpdate, Event};
 use crate::names::{ClusterName, EndpointName, SourceId, Version};
-use crate::output::{Held, Output};
+use crate::output::{Output, Quarantined};
 use crate::policy::{BadPolicy, Policy};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -74,17 +74,21 @@
 ///
 /// # Errors
 /// A figure of the policy that is out of its range.
-pub fn held(old: &[Cluster], new: &[Cluster], policy: Policy) -> Result<Vec<Held>, BadPolicy> {
+pub fn quarantined_changes(
+    old: &[Cluster],
+    new: &[Cluster],
+    policy: Policy,
+) -> Result<Vec<Quarantined>, BadPolicy> {
     let source = SourceId::from("diff");
     let mut catalog = Catalog::new(policy, [source.clone()])?;
     let mut say = |version: u64, clusters: &[Cluster]| {
-        let (version, news) = (Version::from(version), News::All(clusters.to_vec()));
+        let (version, update) = (Version::from(version), EndpointUpdate::FullSnapshot(clusters.to_vec()));
         let mut out = Vec::new();
-        catalog.handle(0, Event::News { source: source.clone(), version, news }, &mut out);
+        catalog.handle(0, Event::Update { source: source.clone(), version, update }, &mut out);
         out
     };
     say(1, old);
-    let held = |output| if let Output::Held(held) = output { Some(held) } else { None };
+    let held = |output| if let Output::Quarantined(held) = output { Some(held) } else { None };
     Ok(say(2, new).into_iter().filter_map(held).collect())
 }
 
--- a/crates/membership/src/endpoint.rs
+++ b/crates/membership/src/endpoint.rs
@@ -1,7 +1,8 @@
 //! What a cluster is and what an endpoint is, in the field's words, and what makes either unusable.
 
+use crate::invalid::Invalid;
+use crate::limits;
 use crate::names::{ClusterName, EndpointName, Label, fault_of};
-use crate::refusal::Invalid;
 use olivecart_decisions::Nanos;
 use serde::{Serialize, Serializer};
 use std::net::SocketAddr;
@@ -51,9 +52,9 @@
 
 impl Endpoint {
     /// The largest priority; xDS has the same limit.
-    pub const MAX_PRIORITY: u32 = 128;
+    pub const MAX_PRIORITY: u32 = limits::MAX_PRIORITY;
     /// The largest weight: that of xDS, and far below where sums of weights lose exactness.
-    pub const MAX_WEIGHT: f64 = u32::MAX as f64;
+    pub const MAX_WEIGHT: f64 = limits::MAX_WEIGHT;
 
     /// An endpoint that takes requests, with nothing else known of it.
     pub fn ready(name: impl Into<EndpointName>, address: SocketAddr) -> Endpoint {
@@ -120,9 +121,9 @@
 
 impl Metadata {
     /// Most pairs.
-    pub const MAX_PAIRS: usize = 32;
+    pub const MAX_PAIRS: usize = limits::MAX_METADATA_PAIRS;
     /// Most bytes of all keys and values together.
-    pub const MAX_BYTES: usize = 4096;
+    pub const MAX_BYTES: usize = limits::MAX_METADATA_BYTES;
 
     /// The value of a key.
     pub fn get(&self, key: &str) -> Option<&str> {
@@ -191,7 +192,7 @@
     /// # Errors
     /// The first fault, with its key.
     pub fn check(&self) -> Result<(), Invalid> {
-        let bad = |key, must| Err(Invalid::Setting { key, must });
+        let bad = |key, requirement| Err(Invalid::Setting { key, requirement });
         if self.connect_timeout.is_some_and(|t| t.is_zero() || t > ClusterSettings::MAX_CONNECT_TIMEOUT) {
             return bad("connect_timeout", "be over 0 and at most 1h");
         }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A source spoke; so it is in touch again, if it was silent.
-    News {
+    Update {
         /// Who spoke.
         source: SourceId,
         /// The version that this brings its clusters to.
         version: Version,
         /// What it said.
-        news: News,
+        update: EndpointUpdate,
     },
     /// The explicit word, from the source or from somebody in its name: what is held of it stands.
     Confirm {
@@ -36,7 +36,7 @@
         silence: Silence,
     },
     /// A source is in touch again and stands by all that it last said.
-    Back {
+    Reconnected {
         /// Which one.
         source: SourceId,
     },
@@ -56,21 +56,21 @@
 
 /// What a source says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum EndpointUpdate {
     /// All clusters whole: its others are no more. Each is judged on its own.
-    All(Vec<Cluster>),
+    FullSnapshot(Vec<Cluster>),
     /// Some clusters whole; nothing about its others.
-    Clusters(Vec<Cluster>),
+    ClusterSnapshots(Vec<Cluster>),
     /// Changes to some clusters; all to one cluster count as one update. To a cluster that the source has not
     /// listed yet they are its first list.
-    Changes(Vec<ClusterUpdate>),
+    ClusterDeltas(Vec<ClusterDelta>),
     /// These clusters are no more, in so many words.
-    Removed(Vec<ClusterName>),
+    ClustersRemoved(Vec<ClusterName>),
 }
 
 /// Changes to one cluster.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClusterUpdate {
+pub struct ClusterDelta {
     /// The cluster.
     pub cluster: ClusterName,
     /// New limits, all of them; none if they stay.
--- a/crates/membership/src/file/problem.rs
+++ b/crates/membership/src/file/problem.rs
@@ -1,6 +1,6 @@
 //! What is wrong with a file, and where.
 
-use crate::refusal::Invalid;
+use crate::invalid::Invalid;
 use std::fmt;
 use std::ops::Range;
 
--- a/crates/membership/src/names.rs
+++ b/crates/membership/src/names.rs
@@ -1,7 +1,7 @@
 //! Names as types, so that a cluster's is never taken for an endpoint's. Cheap to clone; ordered by their
 //! bytes.
 
-use crate::refusal::Invalid;
+use crate::invalid::Invalid;
 use std::fmt;
 use std::sync::Arc;
 
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -1,8 +1,9 @@
 //! What the catalog puts out.
 
+use crate::anomaly::Anomaly;
 use crate::endpoint::{ClusterSettings, Endpoint};
 use crate::names::{ClusterName, EndpointName, SourceId, Version};
-use crate::refusal::{Refusal, Suspicion};
+use crate::rejection::Rejection;
 use olivecart_decisions::Nanos;
 use std::fmt;
 use std::net::SocketAddr;
@@ -20,16 +21,16 @@
     Changed(Change),
     /// A cluster's source has been silent for [`Policy::aged_after`](crate::Policy::aged_after). It serves
     /// on.
-    Aged(Aged),
+    Stale(Stale),
     /// The source of an aged cluster is in touch again.
-    Renewed {
+    Recovered {
         /// The cluster.
         cluster: ClusterName,
         /// Its source.
         source: SourceId,
     },
     /// A suspicious change is held back. Said again when other kinds of suspicion join or go.
-    Held(Held),
+    Quarantined(Quarantined),
     /// All that was held of a source's cluster has passed.
     Released {
         /// The cluster.
@@ -40,21 +41,21 @@
         cause: Cause,
     },
     /// What was held of a source's cluster is no longer what the source says, and was dropped.
-    Withdrawn {
+    QuarantineDropped {
         /// The cluster.
         cluster: ClusterName,
         /// Whose change it was.
         source: SourceId,
     },
     /// A hold has run out: the source shall ask its origin for the cluster again, so that it can confirm.
-    AskAgain {
+    RefetchRequested {
         /// The cluster.
         cluster: ClusterName,
         /// Who shall ask.
         source: SourceId,
     },
     /// Something was refused.
-    Refused(Refusal),
+    Rejected(Rejection),
 }
 
 /// A cluster is there.
@@ -137,30 +138,30 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// A source said so.
-    News {
+    Update {
         /// Who; another than the cluster's source where it urged caution, or where it left the cluster.
         by: SourceId,
     },
     /// What was held has been confirmed.
-    Confirmed(Confirmation),
+    Confirmed(ConfirmationSource),
     /// What was held is no longer suspicious: an address is free again, another endpoint has come.
     Resolved,
 }
 
 /// What has confirmed a held change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Confirmation {
+pub enum ConfirmationSource {
     /// The same again from its source after the hold.
-    Again,
+    Repetition,
     /// The explicit word.
-    Word,
+    ExplicitCommand,
     /// Another source lists exactly the same endpoints at the same addresses.
     SecondSource(SourceId),
 }
 
 /// A cluster whose source is silent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Aged {
+pub struct Stale {
     /// The cluster.
     pub cluster: ClusterName,
     /// Its source.
@@ -171,31 +172,31 @@
 
 /// A suspicious change that is held back.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct Quarantined {
     /// The cluster.
     pub cluster: ClusterName,
     /// Who said it.
     pub source: SourceId,
     /// What is suspicious, at least one thing.
-    pub suspicions: Vec<Suspicion>,
+    pub anomalies: Vec<Anomaly>,
     /// No repetition confirms it before; then the source is asked again.
     pub until: Nanos,
 }
 
-impl Held {
+impl Quarantined {
     /// Whether only the explicit word confirms it.
-    pub fn needs_word(&self) -> bool {
-        self.suspicions.iter().any(Suspicion::needs_word)
+    pub fn needs_explicit_confirmation(&self) -> bool {
+        self.anomalies.iter().any(Anomaly::needs_explicit_confirmation)
     }
 }
 
-impl fmt::Display for Held {
+impl fmt::Display for Quarantined {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}: cluster {}: held: ", self.source, self.cluster)?;
-        for (i, suspicion) in self.suspicions.iter().enumerate() {
-            write!(f, "{}{suspicion}", if i == 0 { "" } else { "; " })?;
+        for (i, anomaly) in self.anomalies.iter().enumerate() {
+            write!(f, "{}{anomaly}", if i == 0 { "" } else { "; " })?;
         }
-        f.write_str(if self.needs_word() {
+        f.write_str(if self.needs_explicit_confirmation() {
             ". Only an explicit word lets it through: empty on purpose, removed, or a confirmation"
         } else {
             ". The same again after the hold, or an explicit word, lets it through"
@@ -206,10 +207,12 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Cause::News { by } => write!(f, "{by} said so"),
-            Cause::Confirmed(Confirmation::Again) => f.write_str("said again after the hold"),
-            Cause::Confirmed(Confirmation::Word) => f.write_str("confirmed by explicit word"),
-            Cause::Confirmed(Confirmation::SecondSource(other)) => write!(f, "{other} lists the same"),
+            Cause::Update { by } => write!(f, "{by} said so"),
+            Cause::Confirmed(ConfirmationSource::Repetition) => f.write_str("said again after the hold"),
+            Cause::Confirmed(ConfirmationSource::ExplicitCommand) => {
+                f.write_str("confirmed by explicit word")
+            }
+            Cause::Confirmed(ConfirmationSource::SecondSource(other)) => write!(f, "{other} lists the same"),
             Cause::Resolved => f.write_str("no longer suspicious"),
         }
     }
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,12 +1,12 @@
 //! The seam between the sources and whoever runs the catalog.
 //!
-//! A source is an asynchronous task. It is given a [`Sink`] and, where its origin can be asked, a receiver of
-//! [`Ask`]s. It ends when the receiver of its sink is gone, and for no other reason: what it cannot reach or
+//! A source is an asynchronous task. It is given a [`EventSender`] and, where its origin can be asked, a receiver of
+//! [`RefetchRequest`]s. It ends when the receiver of its sink is gone, and for no other reason: what it cannot reach or
 //! read it says as [`Event::Silent`], and goes on trying.
 //!
-//! Whoever runs the catalog gives each source its own receiver of [`Ask`]s, passes every [`Heard`] to
+//! Whoever runs the catalog gives each source its own receiver of [`RefetchRequest`]s, passes every [`SourceEvent`] to
 //! [`Catalog::handle`](crate::Catalog::handle) in the order of arrival, and sends each
-//! [`Output::AskAgain`](crate::Output::AskAgain) as an [`Ask`] to the source that it names.
+//! [`Output::RefetchRequested`](crate::Output::AskAgain) as an [`RefetchRequest`] to the source that it names.
 
 use crate::event::Event;
 use crate::names::{ClusterName, SourceId};
@@ -16,30 +16,30 @@
 ///
 /// Weighed: one event may be a list of 10,000 endpoints, some 3 MB, so that a long queue would be the memory
 /// of many lists, of which a proxy has 32 MB in all; and the newest news wait behind all of it.
-pub const SINK_BOUND: usize = 4;
+pub const EVENT_QUEUE_CAPACITY: usize = 4;
 
 /// Most questions that wait for a source. Whoever asks must not wait for room: a question that finds none is
 /// dropped, and the catalog asks again after its next hold.
-pub const ASK_BOUND: usize = 64;
+pub const REFETCH_QUEUE_CAPACITY: usize = 64;
 
 /// What a source has heard.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard {
+pub struct SourceEvent {
     /// Which source; the same as in the event, where the event names one.
     pub source: SourceId,
     /// What the catalog is to be told.
     pub event: Event,
 }
 
-/// Where sources put what they have heard; to be made with [`SINK_BOUND`].
-pub type Sink = tokio::sync::mpsc::Sender<Heard>;
+/// Where sources put what they have heard; to be made with [`EVENT_QUEUE_CAPACITY`].
+pub type EventSender = tokio::sync::mpsc::Sender<SourceEvent>;
 
 /// A source shall ask its origin for a cluster again and put the answer in, changed or not.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct RefetchRequest {
     /// The cluster.
     pub cluster: ClusterName,
 }
 
-/// Where a source is asked; to be made with [`ASK_BOUND`].
-pub type Asks = tokio::sync::mpsc::Receiver<Ask>;
+/// Where a source is asked; to be made with [`REFETCH_QUEUE_CAPACITY`].
+pub type RefetchReceiver = tokio::sync::mpsc::Receiver<RefetchRequest>;
--- a/crates/membership/src/watch/eyes.rs
+++ b/crates/membership/src/watch/eyes.rs
@@ -40,7 +40,7 @@
         };
         let (watcher, notice) = match notify::recommended_watcher(heard) {
             Ok(watcher) => (Some(watcher), None),
-            Err(e) => (None, Some(Notice::Blind(e.to_string()))),
+            Err(e) => (None, Some(Notice::EventsUnavailable(e.to_string()))),
         };
         (Eyes { watcher, directory, watched: None }, notice)
     }
--- a/crates/membership/src/watch/judge.rs
+++ b/crates/membership/src/watch/judge.rs
@@ -2,7 +2,7 @@
 
 use super::look::{Look, Print};
 use super::{Parsed, Parser, Watch};
-use crate::event::{Event, News, Silence};
+use crate::event::{EndpointUpdate, Event, Silence};
 use crate::names::Version;
 use std::fmt;
 
@@ -10,25 +10,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// It cannot be used: why, with file, line and key. The last good one stands.
-    Refused(String),
+    Rejected(String),
     /// It is not there or cannot be read. The last good one stands.
-    Lost(String),
+    Unavailable(String),
     /// It is good again.
-    Back,
-    /// Something in it does nothing here. Said once, until the file's remarks are others.
-    Remark(String),
+    Recovered,
+    /// Something in it does nothing here. Said once, until the file's warnings are others.
+    Warning(String),
     /// The file system tells nothing of changes; polling remains.
-    Blind(String),
+    EventsUnavailable(String),
 }
 
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Notice::Refused(why) => write!(f, "refused, the last good one stands: {why}"),
-            Notice::Lost(why) => write!(f, "cannot be read, the last good one stands: {why}"),
-            Notice::Back => f.write_str("good again"),
-            Notice::Remark(text) => f.write_str(text),
-            Notice::Blind(why) => write!(f, "no events of the file system, only polling: {why}"),
+            Notice::Rejected(why) => write!(f, "refused, the last good one stands: {why}"),
+            Notice::Unavailable(why) => write!(f, "cannot be read, the last good one stands: {why}"),
+            Notice::Recovered => f.write_str("good again"),
+            Notice::Warning(text) => f.write_str(text),
+            Notice::EventsUnavailable(why) => write!(f, "no events of the file system, only polling: {why}"),
         }
     }
 }
@@ -44,11 +44,11 @@
     /// What is wrong, if anything.
     wrong: Option<Notice>,
     /// What does nothing, as it was last said.
-    remarks: Vec<String>,
+    warnings: Vec<String>,
 }
 
-/// Most remarks on a file that are said one by one.
-const REMARKS: usize = 16;
+/// Most warnings on a file that are said one by one.
+const MAX_WARNINGS: usize = 16;
 
 /// What follows.
 pub(super) type Verdict = (Option<Event>, Vec<Notice>);
@@ -61,11 +61,11 @@
             Look::Lost(e) => {
                 (self.print, self.read) = (None, None);
                 let text = format!("{}: {e}", watch.path.display());
-                self.wrong(watch, Notice::Lost(text), Silence::Lost)
+                self.wrong(watch, Notice::Unavailable(text), Silence::Lost)
             }
             Look::Unusable(why) => {
                 (self.print, self.read) = (None, None);
-                self.wrong(watch, Notice::Refused(why), Silence::Quiet)
+                self.wrong(watch, Notice::Rejected(why), Silence::Quiet)
             }
             Look::Read(found) => {
                 self.print = Some(found.print);
@@ -74,19 +74,19 @@
                 }
                 if self.told == Some(found.hash) && !asked {
                     // Danger: news would be a repetition, which confirms what is held.
-                    let back = self.wrong.take().map(|_| Notice::Back);
-                    let event = back.is_some().then(|| Event::Back { source: watch.source.clone() });
+                    let back = self.wrong.take().map(|_| Notice::Recovered);
+                    let event = back.is_some().then(|| Event::Reconnected { source: watch.source.clone() });
                     return (event, Vec::from_iter(back));
                 }
                 match parse(found.texts) {
-                    Err(why) => self.wrong(watch, Notice::Refused(why), Silence::Quiet),
-                    Ok(Parsed { clusters, remarks }) => {
+                    Err(why) => self.wrong(watch, Notice::Rejected(why), Silence::Quiet),
+                    Ok(Parsed { clusters, warnings }) => {
                         self.told = Some(found.hash);
-                        let mut notices = Vec::from_iter(self.wrong.take().map(|_| Notice::Back));
-                        notices.extend(self.remark(remarks));
+                        let mut notices = Vec::from_iter(self.wrong.take().map(|_| Notice::Recovered));
+                        notices.extend(self.new_warnings(warnings));
                         let version = Version::new(format!("{:016x}", found.hash));
-                        let (source, news) = (watch.source.clone(), News::All(clusters));
-                        (Some(Event::News { source, version, news }), notices)
+                        let (source, update) = (watch.source.clone(), EndpointUpdate::FullSnapshot(clusters));
+                        (Some(Event::Update { source, version, update }), notices)
                     }
                 }
             }
@@ -103,15 +103,15 @@
     }
 
     /// Says what does nothing, once for as long as it stays the same.
-    fn remark(&mut self, remarks: Vec<String>) -> Vec<Notice> {
-        if self.remarks == remarks {
+    fn new_warnings(&mut self, warnings: Vec<String>) -> Vec<Notice> {
+        if self.warnings == warnings {
             return Vec::new();
         }
-        let mut notices: Vec<_> = remarks.iter().take(REMARKS).cloned().map(Notice::Remark).collect();
-        if let Some(more @ 1..) = remarks.len().checked_sub(REMARKS) {
-            notices.push(Notice::Remark(format!("{more} more fields that do nothing here")));
+        let mut notices: Vec<_> = warnings.iter().take(MAX_WARNINGS).cloned().map(Notice::Warning).collect();
+        if let Some(more @ 1..) = warnings.len().checked_sub(MAX_WARNINGS) {
+            notices.push(Notice::Warning(format!("{more} more fields that do nothing here")));
         }
-        self.remarks = remarks;
+        self.warnings = warnings;
         notices
     }
 }
--- a/crates/membership/src/watch/mod.rs
+++ b/crates/membership/src/watch/mod.rs
@@ -52,7 +52,7 @@
     /// The clusters.
     pub clusters: Vec<Cluster>,
     /// What is there and does nothing here, in words with the places.
-    pub remarks: Vec<String>,
+    pub warnings: Vec<String>,
 }
 
 /// From the texts of files, each with its name, to what they hold.
@@ -65,9 +65,9 @@
 ///
 /// # Errors
 /// All that is wrong, in words with the places.
-pub fn documented(texts: Vec<(String, String)>) -> Result<Parsed, String> {
+pub fn parse_documented(texts: Vec<(String, String)>) -> Result<Parsed, String> {
     let clusters = crate::file::merge_fragments(texts).map_err(|problems| problems.to_string())?;
-    Ok(Parsed { clusters, remarks: Vec::new() })
+    Ok(Parsed { clusters, warnings: Vec::new() })
 }
 
 /// Reads texts in Envoy's JSON or YAML form ([`xds::file`](crate::xds::file)).
@@ -75,12 +75,12 @@
 /// # Errors
 /// All that is wrong, in words with the places.
 #[cfg(feature = "xds")]
-pub fn envoy(texts: Vec<(String, String)>) -> Result<Parsed, String> {
+pub fn parse_envoy(texts: Vec<(String, String)>) -> Result<Parsed, String> {
     let mut parsed = Parsed::default();
     for (name, text) in texts {
         let resources = crate::xds::file::parse(&name, &text).map_err(|problems| problems.to_string())?;
         parsed.clusters.extend(resources.clusters);
-        parsed.remarks.extend(resources.ignored.iter().map(ToString::to_string));
+        parsed.warnings.extend(resources.ignored.iter().map(ToString::to_string));
     }
     Ok(parsed)
 }
@@ -89,7 +89,7 @@
 ///
 /// # Errors
 /// Why it cannot be read, in words.
-pub fn texts(path: &Path) -> Result<Vec<(String, String)>, String> {
+pub fn read_texts(path: &Path) -> Result<Vec<(String, String)>, String> {
     let kind = if path.is_dir() { Kind::Directory } else { Kind::File };
     match look::look(&file_system::LocalFileSystem, path, kind, None) {
         look::Look::Read(found) => Ok(found.texts),
--- a/crates/membership/src/watch/shell.rs
+++ b/crates/membership/src/watch/shell.rs
@@ -5,7 +5,7 @@
 use super::judge::{Judge, Notice, Verdict};
 use super::look::look;
 use super::{Parser, Watch};
-use crate::source::{Asks, Heard, Sink};
+use crate::source::{EventSender, RefetchReceiver, SourceEvent};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -20,7 +20,13 @@
 const AT_MOST: Duration = Duration::from_millis(100);
 
 /// Watches until nobody listens to the sink any more. `tell` is told what an operator should know.
-pub async fn run(watch: Watch, parse: Parser, sink: Sink, mut asks: Asks, mut tell: impl FnMut(Notice)) {
+pub async fn run(
+    watch: Watch,
+    parse: Parser,
+    sink: EventSender,
+    mut asks: RefetchReceiver,
+    mut tell: impl FnMut(Notice),
+) {
     let changed = Arc::new(Notify::new());
     let (eyes, blind) = Eyes::new(&watch, changed.clone());
     blind.into_iter().for_each(&mut tell);
@@ -38,7 +44,7 @@
         hands = back;
         notices.into_iter().for_each(&mut tell);
         if let Some(event) = event
-            && sink.send(Heard { source: watch.source.clone(), event }).await.is_err()
+            && sink.send(SourceEvent { source: watch.source.clone(), event }).await.is_err()
         {
             return;
         }
--- a/crates/membership/src/watch/shell/tests.rs
+++ b/crates/membership/src/watch/shell/tests.rs
@@ -14,7 +14,7 @@
     hands.system.write(FILE, "a");
     hands.system.pass(REST);
     let (event, _) = hands.look(&watch, Trigger::Poll);
-    assert!(matches!(event, Some(Event::News { .. })));
+    assert!(matches!(event, Some(Event::Update { .. })));
     (hands, watch)
 }
 
@@ -31,7 +31,7 @@
     let (mut hands, watch) = hands_at_rest();
     write_unseen_by_clocks(&hands.system);
     let (event, _) = hands.look(&watch, Trigger::FileSystemEvent);
-    assert!(matches!(event, Some(Event::News { .. })), "{event:?}");
+    assert!(matches!(event, Some(Event::Update { .. })), "{event:?}");
 }
 
 #[test]
@@ -48,5 +48,5 @@
     assert_eq!(hands.look(&watch, Trigger::Poll), (None, Vec::new()));
     assert_eq!(hands.system.reads.get(), 1);
     let (event, _) = hands.look(&watch, Trigger::CatalogRequest);
-    assert!(matches!(event, Some(Event::News { .. })), "{event:?}");
+    assert!(matches!(event, Some(Event::Update { .. })), "{event:?}");
 }
--- a/crates/membership/src/xds/file/fields.rs
+++ b/crates/membership/src/xds/file/fields.rs
@@ -1,7 +1,7 @@
 //! The fields of a message, by the rules of protobuf's JSON form: names in both spellings, numbers also in
 //! quotes, `null` for what is not set.
 
-use super::problem::{Matter, Remark};
+use super::problem::{Diagnostic, DiagnosticKind};
 use super::tree::{Entry, Node, Place, Value, snake};
 use envoy_types::pb::google::protobuf::{Duration as ProtoDuration, UInt32Value};
 use std::collections::BTreeMap;
@@ -9,8 +9,8 @@
 /// Reads a file, and notes what is wrong with it and what does nothing.
 pub(super) struct Reader<'f> {
     pub file: &'f str,
-    pub problems: Vec<Remark>,
-    pub ignored: Vec<Remark>,
+    pub problems: Vec<Diagnostic>,
+    pub ignored: Vec<Diagnostic>,
 }
 
 /// The fields of a message that are set.
@@ -36,14 +36,14 @@
 }
 
 impl Reader<'_> {
-    pub fn remark(&self, place: Place, field: &str, matter: Matter) -> Remark {
+    pub fn diagnostic(&self, place: Place, field: &str, kind: DiagnosticKind) -> Diagnostic {
         let Place { line, column } = place;
-        Remark { file: self.file.to_owned(), line, column, field: field.to_owned(), matter }
+        Diagnostic { file: self.file.to_owned(), line, column, field: field.to_owned(), kind }
     }
 
-    pub fn problem(&mut self, place: Place, field: &str, matter: Matter) {
-        let remark = self.remark(place, field, matter);
-        self.problems.push(remark);
+    pub fn problem(&mut self, place: Place, field: &str, kind: DiagnosticKind) {
+        let diagnostic = self.diagnostic(place, field, kind);
+        self.problems.push(diagnostic);
     }
 
     pub fn wrong(&mut self, node: &Node, field: &str, wanted: &'static str) {
@@ -55,7 +55,7 @@
             Value::List(_) => "a list".to_owned(),
             Value::Table(_) => "a table".to_owned(),
         };
-        self.problem(node.place, field, Matter::Value { wanted, found });
+        self.problem(node.place, field, DiagnosticKind::Value { wanted, found });
     }
 
     /// The fields of a message. Others than the known ones do nothing, which is noted; one that is nearly a
@@ -72,13 +72,13 @@
             match known.iter().find(|known| **known == own) {
                 Some(known) if is_set => {
                     if fields.entries.insert(known, node).is_some() {
-                        self.problem(*place, &below, Matter::FieldTwice);
+                        self.problem(*place, &below, DiagnosticKind::FieldTwice);
                     }
                 }
                 Some(_) => {}
                 None => match known.iter().find(|known| is_slip(&own, known)) {
-                    Some(known) => self.problem(*place, &below, Matter::Misspelt(known)),
-                    None => self.ignored.push(self.remark(*place, &below, Matter::Ignored)),
+                    Some(known) => self.problem(*place, &below, DiagnosticKind::Misspelt(known)),
+                    None => self.ignored.push(self.diagnostic(*place, &below, DiagnosticKind::Ignored)),
                 },
             }
         }
--- a/crates/membership/src/xds/file/mod.rs
+++ b/crates/membership/src/xds/file/mod.rs
@@ -32,7 +32,7 @@
 mod problem;
 mod tree;
 
-pub use problem::{Matter, Problems, Remark};
+pub use problem::{Diagnostic, DiagnosticKind, Diagnostics};
 
 use crate::endpoint::{Cluster, Endpoint, Endpoints};
 use crate::xds::resource::{BadResource, ClusterResource, Kind, Origin, assignment, cluster};
@@ -49,25 +49,25 @@
     /// The clusters, by name.
     pub clusters: Vec<Cluster>,
     /// Fields that are there and do nothing, in the order of the text.
-    pub ignored: Vec<Remark>,
+    pub ignored: Vec<Diagnostic>,
 }
 
-/// Reads a file. `name` is what remarks call it.
+/// Reads a file. `name` is what diagnostics call it.
 ///
 /// # Errors
 /// All that is wrong with it.
-pub fn parse(name: &str, text: &str) -> Result<Resources, Problems> {
+pub fn parse(name: &str, text: &str) -> Result<Resources, Diagnostics> {
     let mut reader = Reader { file: name, problems: Vec::new(), ignored: Vec::new() };
     let mut found = Found::default();
     match Node::read(text) {
         Ok(tree) => reader.top(&tree, &mut found),
-        Err((place, matter)) => reader.problem(place, "", matter),
+        Err((place, kind)) => reader.problem(place, "", kind),
     }
     let clusters = reader.join(found);
     let Reader { mut problems, mut ignored, .. } = reader;
-    problems.sort_by_key(|remark| (remark.line, remark.column));
-    ignored.sort_by_key(|remark| (remark.line, remark.column));
-    if problems.is_empty() { Ok(Resources { clusters, ignored }) } else { Err(Problems(problems)) }
+    problems.sort_by_key(|diagnostic| (diagnostic.line, diagnostic.column));
+    ignored.sort_by_key(|diagnostic| (diagnostic.line, diagnostic.column));
+    if problems.is_empty() { Ok(Resources { clusters, ignored }) } else { Err(Diagnostics(problems)) }
 }
 
 /// A resource, and where it is.
@@ -98,7 +98,7 @@
         let bare = self.inner(&top, "static_resources", &["clusters"]);
         let clusters = bare.map(|fields| self.list(&fields, "clusters")).unwrap_or_default();
         if items.is_empty() && clusters.is_empty() {
-            return self.problem(tree.place, "", Matter::Nothing);
+            return self.problem(tree.place, "", DiagnosticKind::Nothing);
         }
         for (field, node) in clusters {
             self.take(Kind::Cluster, node, &field, found);
@@ -118,12 +118,12 @@
             };
             return match wrapper.get("resource") {
                 Some(inner) => self.typed(inner, &wrapper.below("resource"), found),
-                None => self.problem(node.place, field, Matter::Nothing),
+                None => self.problem(node.place, field, DiagnosticKind::Nothing),
             };
         }
         match Kind::of(&type_url) {
             Some(kind) => self.take(kind, node, field, found),
-            None => self.problem(node.place, field, Matter::Type(type_url)),
+            None => self.problem(node.place, field, DiagnosticKind::Type(type_url)),
         }
     }
 
@@ -160,7 +160,7 @@
     fn bad(&mut self, node: &Node, field: &str, bad: BadResource) {
         for fault in bad.fields {
             let place = node.find(&fault.field).place;
-            self.problem(place, &fields::below(field, &fault.field), Matter::Resource(fault.problem));
+            self.problem(place, &fields::below(field, &fault.field), DiagnosticKind::Resource(fault.problem));
         }
     }
 
@@ -173,7 +173,7 @@
     ) {
         let placed = Placed { resource, field: field.to_owned(), place };
         if let Some(old) = into.insert(name.clone(), placed) {
-            self.problem(place, field, Matter::Twice { name, line: old.place.line });
+            self.problem(place, field, DiagnosticKind::Twice { name, line: old.place.line });
         }
     }
 
@@ -201,7 +201,7 @@
                     }
                     None => {
                         if !is_partial {
-                            self.problem(place, &field, Matter::NoEndpoints(service));
+                            self.problem(place, &field, DiagnosticKind::NoEndpoints(service));
                         }
                         continue;
                     }
@@ -211,7 +211,7 @@
             clusters.push(Cluster { name, endpoints: Endpoints::Listed(endpoints), settings });
         }
         for (name, list) in unused.into_iter().filter(|_| !is_partial) {
-            self.problem(list.place, &list.field, Matter::NoCluster(name.clone()));
+            self.problem(list.place, &list.field, DiagnosticKind::NoCluster(name.clone()));
         }
         clusters
     }
@@ -220,9 +220,9 @@
     fn check_list(&mut self, endpoints: &[Endpoint], place: Place, field: &str) {
         let ready = || endpoints.iter().filter(|e| e.state == crate::endpoint::State::Ready);
         if endpoints.is_empty() {
-            self.problem(place, field, Matter::EmptyList);
+            self.problem(place, field, DiagnosticKind::EmptyList);
         } else if ready().next().is_some() && !ready().any(|e| e.weight > 0.0) {
-            self.problem(place, field, Matter::AllWeightsZero);
+            self.problem(place, field, DiagnosticKind::AllWeightsZero);
         }
     }
 }
--- a/crates/membership/src/xds/file/problem.rs
+++ b/crates/membership/src/xds/file/problem.rs
@@ -5,7 +5,7 @@
 
 /// One thing about a file, and its place.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Remark {
+pub struct Diagnostic {
     /// The file.
     pub file: String,
     /// The line, from 1.
@@ -14,13 +14,13 @@
     pub column: usize,
     /// The field, such as `static_resources.clusters[0].type`; empty if it is the whole file.
     pub field: String,
-    /// What is the matter.
-    pub matter: Matter,
+    /// What is the kind.
+    pub kind: DiagnosticKind,
 }
 
-/// What can be the matter with a file.
+/// What can be the kind with a file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Matter {
+pub enum DiagnosticKind {
     /// It is not YAML (of which JSON is a part).
     #[error("cannot be read: {0}")]
     Syntax(String),
@@ -80,30 +80,30 @@
 
 /// All that is wrong with a file, at least one thing, in the order of the text.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub struct Problems(pub(super) Vec<Remark>);
+pub struct Diagnostics(pub(super) Vec<Diagnostic>);
 
-impl Problems {
+impl Diagnostics {
     /// The problems.
-    pub fn remarks(&self) -> &[Remark] {
+    pub fn diagnostics(&self) -> &[Diagnostic] {
         &self.0
     }
 }
 
-impl fmt::Display for Remark {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Remark { file, line, column, field, matter } = self;
+        let Diagnostic { file, line, column, field, kind } = self;
         write!(f, "{file}:{line}:{column}: ")?;
         if !field.is_empty() {
             write!(f, "{field}: ")?;
         }
-        write!(f, "{matter}")
+        write!(f, "{kind}")
     }
 }
 
-impl fmt::Display for Problems {
+impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (at, remark) in self.0.iter().enumerate() {
-            write!(f, "{}{remark}", if at == 0 { "" } else { "\n" })?;
+        for (at, diagnostic) in self.0.iter().enumerate() {
+            write!(f, "{}{diagnostic}", if at == 0 { "" } else { "\n" })?;
         }
         Ok(())
     }
--- a/crates/membership/src/xds/file/tree.rs
+++ b/crates/membership/src/xds/file/tree.rs
@@ -1,6 +1,6 @@
 //! YAML as a tree whose nodes know their places. JSON is read as the part of YAML that it is.
 
-use super::problem::Matter;
+use super::problem::DiagnosticKind;
 use rustc_hash::FxHashSet;
 use saphyr_parser::{Event, Marker, Parser, ScalarStyle, Tag};
 use std::borrow::Cow;
@@ -40,7 +40,7 @@
     pub node: Node,
 }
 
-pub(super) type Unreadable = (Place, Matter);
+pub(super) type Unreadable = (Place, DiagnosticKind);
 
 /// Danger: a text of brackets alone would overflow the stack of whoever walks the tree.
 const DEEPEST: usize = 64;
@@ -84,15 +84,16 @@
         // of a port, is often shorter YAML.
         let is_json = text.trim_start().starts_with('{');
         if !is_json && text.trim_end().lines().next_back() != Some("...") {
-            return Err((end(), Matter::Torn));
+            return Err((end(), DiagnosticKind::Torn));
         }
         let mut builder = Builder { open: Vec::new(), anchors: BTreeMap::new(), from_aliases: 0, root: None };
         for event in Parser::new_from_str(text) {
-            let (event, span) = event
-                .map_err(|error| (Place::from(*error.marker()), Matter::Syntax(error.info().to_owned())))?;
+            let (event, span) = event.map_err(|error| {
+                (Place::from(*error.marker()), DiagnosticKind::Syntax(error.info().to_owned()))
+            })?;
             builder.take(event, span.start.into())?;
         }
-        builder.root.ok_or_else(|| (end(), Matter::Syntax("the text is blank".into())))
+        builder.root.ok_or_else(|| (end(), DiagnosticKind::Syntax("the text is blank".into())))
     }
 
     /// The deepest node on the way to a field such as `endpoints[0].priority`.
@@ -143,11 +144,11 @@
             }
             Event::Alias(anchor) => {
                 let Some(node) = self.anchors.get(&anchor) else {
-                    return Err((place, Matter::Syntax("an alias of what is not complete".into())));
+                    return Err((place, DiagnosticKind::Syntax("an alias of what is not complete".into())));
                 };
                 self.from_aliases += node.size();
                 if self.from_aliases > MOST_FROM_ALIASES {
-                    return Err((place, Matter::Beyond("aliases amount to more than 100000 values")));
+                    return Err((place, DiagnosticKind::Beyond("aliases amount to more than 100000 values")));
                 }
                 let node = Node::clone(node);
                 self.put(node, 0)
@@ -162,7 +163,7 @@
 
     fn begin(&mut self, place: Place, anchor: usize, table: Option<Table>) -> Result<(), Unreadable> {
         if self.open.len() >= DEEPEST {
-            return Err((place, Matter::Beyond("nested deeper than 64 levels")));
+            return Err((place, DiagnosticKind::Beyond("nested deeper than 64 levels")));
         }
         self.open.push(Open { place, anchor, items: Vec::new(), table });
         Ok(())
@@ -174,7 +175,7 @@
         }
         let Some(open) = self.open.last_mut() else {
             if self.root.is_some() {
-                return Err((node.place, Matter::Beyond("only one document is read")));
+                return Err((node.place, DiagnosticKind::Beyond("only one document is read")));
             }
             self.root = Some(node);
             return Ok(());
@@ -184,7 +185,7 @@
             Some(table) => match table.key.take() {
                 None => table.key = Some((node.place, key_of(node)?)),
                 Some((place, name)) if !table.names.insert(name.clone()) => {
-                    return Err((place, Matter::FieldTwice));
+                    return Err((place, DiagnosticKind::FieldTwice));
                 }
                 Some((place, name)) => table.entries.push(Entry { place, name, node }),
             },
@@ -196,13 +197,13 @@
 fn key_of(node: Node) -> Result<String, Unreadable> {
     match node.value {
         Value::Text(text) if text == "<<" => {
-            Err((node.place, Matter::Beyond("merge keys are not read; write the fields out")))
+            Err((node.place, DiagnosticKind::Beyond("merge keys are not read; write the fields out")))
         }
         Value::Text(text) => Ok(text),
         Value::Number(text) => Ok(text),
         Value::Bool(is) => Ok(is.to_string()),
         Value::Null | Value::List(_) | Value::Table(_) => {
-            Err((node.place, Matter::Beyond("a key must be a text")))
+            Err((node.place, DiagnosticKind::Beyond("a key must be a text")))
         }
     }
 }
--- a/crates/membership/src/xds/mod.rs
+++ b/crates/membership/src/xds/mod.rs
@@ -1,12 +1,12 @@
 //! Clusters and endpoints from a control plane over xDS, and from files in the form of its resources.
 //!
-//! [`resource`] turns resources into clusters and endpoints. [`Conversation`] is the talk with the control
+//! [`resource`] turns resources into clusters and endpoints. [`Session`] is the talk with the control
 //! plane, both variants of the aggregated stream, as a state machine without I/O. [`shell`] is the task
 //! that connects, and decides nothing. [`file`] reads the same resources from JSON or YAML.
 
-pub mod conversation;
 pub mod file;
 pub mod resource;
-pub mod shell;
+pub mod session;
+pub mod transport;
 
-pub use conversation::Conversation;
+pub use session::Session;
--- a/crates/membership/src/xds/resource/cluster.rs
+++ b/crates/membership/src/xds/resource/cluster.rs
@@ -4,8 +4,8 @@
 use super::problem::{BadField, BadResource, Problem};
 use super::{Kind, duration};
 use crate::endpoint::{ClusterSettings, Endpoint};
+use crate::invalid::Invalid;
 use crate::names::{ClusterName, fault_of};
-use crate::refusal::Invalid;
 use envoy_types::pb::envoy::config::cluster::v3::circuit_breakers::Thresholds;
 use envoy_types::pb::envoy::config::cluster::v3::cluster::{
     ClusterDiscoveryType, DiscoveryType, EdsClusterConfig,
@@ -146,7 +146,7 @@
         if let Some(time) = &message.connect_timeout {
             settings.connect_timeout = duration(time);
             if settings.connect_timeout.is_none() {
-                let problem = Invalid::Setting { key: "it", must: "be over 0 and at most 1h" };
+                let problem = Invalid::Setting { key: "it", requirement: "be over 0 and at most 1h" };
                 self.fault("connect_timeout", problem.into());
             }
         }
--- a/crates/membership/src/xds/resource/endpoint.rs
+++ b/crates/membership/src/xds/resource/endpoint.rs
@@ -3,8 +3,8 @@
 use super::address::{Fault, socket_address};
 use super::problem::Problem;
 use crate::endpoint::{Endpoint, State};
+use crate::invalid::Invalid;
 use crate::names::{EndpointName, Label};
-use crate::refusal::Invalid;
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
 use envoy_types::pb::envoy::config::endpoint::v3::LbEndpoint;
 use envoy_types::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
--- a/crates/membership/src/xds/resource/mod.rs
+++ b/crates/membership/src/xds/resource/mod.rs
@@ -14,7 +14,7 @@
 pub use assignment::{Assignment, assignment};
 pub use cluster::{ClusterResource, Origin, cluster};
 pub use problem::{BadField, BadResource, Problem};
-pub use table::{Row, TABLE, Treatment, markdown};
+pub use table::{FieldSupport, Row, TABLE, markdown};
 
 use envoy_types::pb::google::protobuf::Duration as ProtoDuration;
 use std::fmt;
--- a/crates/membership/src/xds/resource/problem.rs
+++ b/crates/membership/src/xds/resource/problem.rs
@@ -1,7 +1,7 @@
 //! What is wrong with a resource, in words that a person can act on.
 
 use super::Kind;
-use crate::refusal::Invalid;
+use crate::invalid::Invalid;
 use std::fmt;
 
 /// A resource that is refused, and why.
--- a/crates/membership/src/xds/resource/table.rs
+++ b/crates/membership/src/xds/resource/table.rs
@@ -4,11 +4,11 @@
 
 /// What becomes of a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Treatment {
+pub enum FieldSupport {
     /// It does what it does in Envoy, or what the note says.
     Honoured,
     /// A resource that has it is refused by name.
-    Refused,
+    Rejected,
     /// It does nothing; said once in the log.
     Ignored,
 }
@@ -21,7 +21,7 @@
     /// The field, as files write it.
     pub field: &'static str,
     /// What becomes of it.
-    pub treatment: Treatment,
+    pub support: FieldSupport,
     /// How, or why.
     pub note: &'static str,
 }
@@ -33,15 +33,15 @@
 const RESOURCE: &str = "Resource";
 
 const fn honoured(message: &'static str, field: &'static str, note: &'static str) -> Row {
-    Row { message, field, treatment: Treatment::Honoured, note }
+    Row { message, field, support: FieldSupport::Honoured, note }
 }
 
 const fn refused(message: &'static str, field: &'static str, note: &'static str) -> Row {
-    Row { message, field, treatment: Treatment::Refused, note }
+    Row { message, field, support: FieldSupport::Rejected, note }
 }
 
 const fn ignored(message: &'static str, field: &'static str, note: &'static str) -> Row {
-    Row { message, field, treatment: Treatment::Ignored, note }
+    Row { message, field, support: FieldSupport::Ignored, note }
 }
 
 const DECIDES: &str = "this proxy's own decisions take its place";
@@ -121,12 +121,12 @@
     ignored(ENDPOINT, "endpoint.additional_addresses", "the first address is used"),
 ];
 
-impl fmt::Display for Treatment {
+impl fmt::Display for FieldSupport {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Treatment::Honoured => "honoured",
-            Treatment::Refused => "refused",
-            Treatment::Ignored => "ignored",
+            FieldSupport::Honoured => "honoured",
+            FieldSupport::Rejected => "refused",
+            FieldSupport::Ignored => "ignored",
         })
     }
 }
@@ -134,7 +134,7 @@
 /// The table in Markdown, for a page.
 pub fn markdown() -> String {
     let head = "| message | field | | |\n| --- | --- | --- | --- |\n".to_owned();
-    TABLE.iter().fold(head, |page, Row { message, field, treatment, note }| {
-        format!("{page}| {message} | `{field}` | {treatment} | {note} |\n")
+    TABLE.iter().fold(head, |page, Row { message, field, support, note }| {
+        format!("{page}| {message} | `{field}` | {support} | {note} |\n")
     })
 }
--- a/crates/membership/src/xds/conversation/lease.rs
+++ b/crates/membership/src/xds/session/lease.rs
@@ -3,7 +3,7 @@
 use super::pace::nanos;
 use super::timers::{Timer, Timers};
 use super::world::Telling;
-use super::{Conversation, Note, Output};
+use super::{Output, Session, SessionNotice};
 use crate::event::Silence;
 use crate::names::Version;
 use crate::xds::resource::Kind;
@@ -52,7 +52,7 @@
     }
 }
 
-impl Conversation {
+impl Session {
     /// A time to live is over. If nothing at all has come in its second half, that is silence: then the
     /// resource gets as much time again, and its clusters age.
     ///
@@ -64,7 +64,7 @@
             let next = self.now.saturating_add(lease.ttl);
             self.timers.set(Timer::Expire(kind, name.clone()), next);
             if !self.is_silent {
-                out.push(Output::Log(Note::Quiet { name }));
+                out.push(Output::Log(SessionNotice::Quiet { name }));
                 self.silent(Silence::Quiet, out);
             }
             return;
@@ -76,7 +76,7 @@
             Kind::Cluster => self.world.remove(&name.as_str().into(), &mut tell),
             Kind::Assignment => self.world.withdraw(self.now, &name, &version, &mut tell),
         }
-        out.push(Output::Log(Note::Expired { kind, name: name.clone() }));
+        out.push(Output::Log(SessionNotice::Expired { kind, name: name.clone() }));
         self.tell(tell, out);
         // What has expired is not held any more, so that another stream must tell it anew.
         self.channel(kind).forget(&name);
--- a/crates/membership/src/xds/conversation/mod.rs
+++ b/crates/membership/src/xds/session/mod.rs
@@ -29,9 +29,9 @@
 
 pub use config::{Config, Node, Variant};
 pub use message::{Request, Response};
-pub use note::Note;
+pub use note::SessionNotice;
 
-use crate::event::{Event, News, Silence};
+use crate::event::{EndpointUpdate, Event, Silence};
 use crate::names::{ClusterName, Version};
 use crate::xds::resource::Kind;
 use channel::Channel;
@@ -57,8 +57,8 @@
     /// The control plane has spoken.
     Response(Response),
     /// The catalog wants to hear of a cluster again.
-    Ask(ClusterName),
-    /// [`Conversation::deadline`] has come.
+    Refetch(ClusterName),
+    /// [`Session::deadline`] has come.
     Tick,
 }
 
@@ -70,14 +70,14 @@
     /// Send this over the stream.
     Send(Box<Request>),
     /// Tell the catalog.
-    Tell(Event),
+    Notify(Event),
     /// Write this into the log.
-    Log(Note),
+    Log(SessionNotice),
 }
 
 /// The talk with a control plane.
 #[derive(Debug)]
-pub struct Conversation {
+pub struct Session {
     config: Config,
     now: Nanos,
     link: Link,
@@ -113,12 +113,12 @@
     Open,
 }
 
-impl Conversation {
+impl Session {
     /// A conversation that wants to connect at once.
-    pub fn new(config: Config) -> Conversation {
+    pub fn new(config: Config) -> Session {
         let mut timers = Timers::default();
         timers.set(Timer::Connect, 0);
-        Conversation {
+        Session {
             now: 0,
             link: Link::Down,
             is_silent: false,
@@ -149,7 +149,7 @@
             Input::Lost { why } => self.lost(why, out),
             Input::Response(response) if self.link == Link::Open => self.response(response, out),
             Input::Response(_) => {} // of a stream that is gone
-            Input::Ask(cluster) => self.ask(&cluster, out),
+            Input::Refetch(cluster) => self.ask(&cluster, out),
             Input::Tick => {}
         }
         while let Some(timer) = self.timers.pop(self.now) {
@@ -163,7 +163,7 @@
     }
 
     /// When the next response may be read; in the past if at once.
-    pub fn reads_at(&self) -> Nanos {
+    pub fn next_read_at(&self) -> Nanos {
         self.pace.next()
     }
 
@@ -187,7 +187,7 @@
             return;
         }
         self.link = Link::Open;
-        out.push(Output::Log(Note::Connected));
+        out.push(Output::Log(SessionNotice::Connected));
         let node = Some(node(&self.config.node));
         let wanted = self.config.clusters.iter().map(|name| name.as_str().to_owned()).collect();
         out.push(send(self.clusters.open(wanted, node)));
@@ -219,7 +219,7 @@
         let retry_in = self.backoff.wait(self.failures);
         self.failures = self.failures.saturating_add(1);
         self.timers.set(Timer::Connect, self.now.saturating_add(retry_in));
-        out.push(Output::Log(Note::Lost { why, retry_in }));
+        out.push(Output::Log(SessionNotice::Lost { why, retry_in }));
         self.silent(Silence::Lost, out);
     }
 
@@ -271,7 +271,7 @@
                 out.extend(self.assignments.again(&names).into_iter().map(send));
             }
             Timer::FirstFetch => {
-                out.push(Output::Log(Note::NoClusters { waited: nanos(self.config.first_fetch) }));
+                out.push(Output::Log(SessionNotice::NoClusters { waited: nanos(self.config.first_fetch) }));
                 self.silent(Silence::Quiet, out);
             }
             Timer::Refuse(kind) => {
@@ -282,7 +282,7 @@
                 let Some(since) = self.world.warming_since(&cluster) else { return };
                 let service = self.world.service_of(&cluster).unwrap_or_default().to_owned();
                 let waited = self.now.saturating_sub(since);
-                out.push(Output::Log(Note::NoEndpoints { cluster, service, waited }));
+                out.push(Output::Log(SessionNotice::NoEndpoints { cluster, service, waited }));
             }
             Timer::Expire(kind, name) => self.expire(kind, name, out),
         }
@@ -306,13 +306,13 @@
     fn back(&mut self, out: &mut Vec<Output>) {
         self.failures = 0;
         if std::mem::take(&mut self.is_silent) {
-            out.push(Output::Tell(Event::Back { source: self.config.source.clone() }));
+            out.push(Output::Notify(Event::Reconnected { source: self.config.source.clone() }));
         }
     }
 
     fn silent(&mut self, silence: Silence, out: &mut Vec<Output>) {
         self.is_silent = true;
-        out.push(Output::Tell(Event::Silent { source: self.config.source.clone(), silence }));
+        out.push(Output::Notify(Event::Silent { source: self.config.source.clone(), silence }));
     }
 
     /// Passes on what is to be told, and sets the clusters' timers.
@@ -324,21 +324,25 @@
             self.timers.clear(&Timer::Warm(cluster.clone()));
             let waited = since.map(|since| self.now.saturating_sub(since));
             if let Some(waited) = waited.filter(|waited| *waited >= nanos(self.config.warming)) {
-                out.push(Output::Log(Note::Warmed { cluster, waited }));
+                out.push(Output::Log(SessionNotice::Warmed { cluster, waited }));
             }
         }
         let source = &self.config.source;
-        let mut news = |version: Version, news| {
-            out.push(Output::Tell(Event::News { source: source.clone(), version, news }));
+        let mut update = |version: Version, update| {
+            out.push(Output::Notify(Event::Update { source: source.clone(), version, update }));
         };
         if !tell.removed.is_empty() {
-            news(Version::new(&*self.clusters.version), News::Removed(tell.removed));
+            update(Version::new(&*self.clusters.version), EndpointUpdate::ClustersRemoved(tell.removed));
         }
-        tell.updates.into_iter().for_each(|(version, updates)| news(version, News::Changes(updates)));
-        tell.lists.into_iter().for_each(|(version, lists)| news(version, News::Clusters(lists)));
+        tell.updates
+            .into_iter()
+            .for_each(|(version, updates)| update(version, EndpointUpdate::ClusterDeltas(updates)));
+        tell.lists
+            .into_iter()
+            .for_each(|(version, lists)| update(version, EndpointUpdate::ClusterSnapshots(lists)));
         if self.is_none_left {
             // After all else, which would pass for a sign that the clusters are still listed.
-            news(Version::new(&*self.clusters.version), News::All(Vec::new()));
+            update(Version::new(&*self.clusters.version), EndpointUpdate::FullSnapshot(Vec::new()));
         }
     }
 
--- a/crates/membership/src/xds/conversation/note.rs
+++ b/crates/membership/src/xds/session/note.rs
@@ -7,7 +7,7 @@
 
 /// What happened, for the log. All texts of the control plane are quoted.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum SessionNotice {
     /// A stream was opened.
     Connected,
     /// The stream ended, or none could be opened.
@@ -39,7 +39,7 @@
         waited: Nanos,
     },
     /// Resources were refused, and the control plane is told.
-    Refused {
+    Rejected {
         /// Of which kind.
         kind: Kind,
         /// The version of the response.
@@ -98,10 +98,13 @@
     },
 }
 
-impl Note {
+impl SessionNotice {
     /// Whether somebody should look.
     pub fn is_warning(&self) -> bool {
-        !matches!(self, Note::Connected | Note::Warmed { .. } | Note::Ignored { .. })
+        !matches!(
+            self,
+            SessionNotice::Connected | SessionNotice::Warmed { .. } | SessionNotice::Ignored { .. }
+        )
     }
 }
 
@@ -109,48 +112,50 @@
     nanos / 1_000_000
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for SessionNotice {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Note::Connected => f.write_str("stream opened"),
-            Note::Lost { why, retry_in } => {
+            SessionNotice::Connected => f.write_str("stream opened"),
+            SessionNotice::Lost { why, retry_in } => {
                 write!(f, "no stream: {why}; next attempt in {} ms", ms(*retry_in))
             }
-            Note::NoClusters { waited } => {
+            SessionNotice::NoClusters { waited } => {
                 write!(f, "no clusters came within {} ms; still waiting", ms(*waited))
             }
-            Note::NoEndpoints { cluster, service, waited } => {
+            SessionNotice::NoEndpoints { cluster, service, waited } => {
                 let waited = ms(*waited);
                 write!(f, "cluster {cluster}: no endpoints {service:?} came within {waited} ms; ")?;
                 f.write_str("still waiting, and what served before serves on")
             }
-            Note::Warmed { cluster, waited } => {
+            SessionNotice::Warmed { cluster, waited } => {
                 write!(f, "cluster {cluster}: its endpoints came after {} ms", ms(*waited))
             }
-            Note::Refused { kind, version, resources, rest_holds } => {
+            SessionNotice::Rejected { kind, version, resources, rest_holds } => {
                 write!(f, "{kind} version {version:?} refused: {}", Reasons(resources))?;
                 f.write_str(if *rest_holds { ". The rest of it holds" } else { ". What was before holds" })
             }
-            Note::StaleNonce { kind, nonce } => {
+            SessionNotice::StaleNonce { kind, nonce } => {
                 write!(f, "{kind} response passed over: nonce {nonce:?} has come before on this stream")
             }
-            Note::UnknownType { type_url } => {
+            SessionNotice::UnknownType { type_url } => {
                 write!(f, "response passed over: {type_url:?} was not asked for")
             }
-            Note::NotGiven { kind, name, why } => {
+            SessionNotice::NotGiven { kind, name, why } => {
                 write!(f, "{kind} resource {name:?}: the control plane says: {why:?}")
             }
-            Note::Ignored { kind, name, field } => {
+            SessionNotice::Ignored { kind, name, field } => {
                 write!(f, "{kind} resource {name:?}: {field} does nothing here; not said again")
             }
-            Note::Expired { kind, name } => {
+            SessionNotice::Expired { kind, name } => {
                 write!(f, "{kind} resource {name:?} was not renewed within its time to live")
             }
-            Note::Quiet { name } => write!(
+            SessionNotice::Quiet { name } => write!(
                 f,
                 "the time to live of {name:?} is over, and the control plane says nothing; it is kept"
             ),
-            Note::NoneLeft { kept } => write!(f, "the control plane lists no clusters; {kept} are kept"),
+            SessionNotice::NoneLeft { kept } => {
+                write!(f, "the control plane lists no clusters; {kept} are kept")
+            }
         }
     }
 }
--- a/crates/membership/src/xds/conversation/receive.rs
+++ b/crates/membership/src/xds/session/receive.rs
@@ -5,29 +5,29 @@
 use super::note::Reasons;
 use super::timers::Timer;
 use super::world::Telling;
-use super::{Conversation, Note, Output, send};
+use super::{Output, Session, SessionNotice, send};
+use crate::invalid::Invalid;
 use crate::names::{ClusterName, Version};
-use crate::refusal::Invalid;
 use crate::xds::resource::{BadResource, ClusterResource, Kind, Origin, Problem};
 use std::collections::BTreeSet;
 
-impl Conversation {
+impl Session {
     pub(super) fn response(&mut self, response: Response, out: &mut Vec<Output>) {
         self.pace.note(self.now, response.size());
         self.heard = self.now;
         self.back(out);
         let mut batch = Batch::from(response);
         let Some(kind) = Kind::of(&batch.type_url) else {
-            return out.push(Output::Log(Note::UnknownType { type_url: batch.type_url }));
+            return out.push(Output::Log(SessionNotice::UnknownType { type_url: batch.type_url }));
         };
         if !self.channel(kind).take_nonce(&batch.nonce) {
-            return out.push(Output::Log(Note::StaleNonce { kind, nonce: batch.nonce }));
+            return out.push(Output::Log(SessionNotice::StaleNonce { kind, nonce: batch.nonce }));
         }
         self.timers.clear(&Timer::Refuse(kind));
         for error in std::mem::take(&mut batch.errors) {
             let name = error.resource_name.unwrap_or_default().name;
             let why = error.error_detail.unwrap_or_default().message;
-            out.push(Output::Log(Note::NotGiven { kind, name, why }));
+            out.push(Output::Log(SessionNotice::NotGiven { kind, name, why }));
         }
         let (mut good, mut bad) = batch.read(kind);
         self.limit_endpoints(kind, &mut good, &mut bad);
@@ -107,7 +107,7 @@
             }
         }
         let rest_holds = self.config.variant == Variant::Incremental;
-        out.push(Output::Log(Note::Refused { kind, version, resources: bad, rest_holds }));
+        out.push(Output::Log(SessionNotice::Rejected { kind, version, resources: bad, rest_holds }));
     }
 
     /// Takes in what is good of a response.
@@ -150,7 +150,7 @@
         let was_none_left = self.is_none_left;
         self.is_none_left = good.is_empty() && self.world.len() > 0;
         if self.is_none_left {
-            return out.push(Output::Log(Note::NoneLeft { kept: self.world.len() }));
+            return out.push(Output::Log(SessionNotice::NoneLeft { kept: self.world.len() }));
         }
         let named: BTreeSet<&str> = good.iter().map(|told| told.name.as_str()).collect();
         let missing: Vec<ClusterName> =
@@ -193,7 +193,7 @@
             }
         };
         for field in ignored.into_iter().filter(|field| self.ignored.insert((kind, field))) {
-            out.push(Output::Log(Note::Ignored { kind, name: name.clone(), field }));
+            out.push(Output::Log(SessionNotice::Ignored { kind, name: name.clone(), field }));
         }
     }
 }
--- a/crates/membership/src/xds/conversation/world.rs
+++ b/crates/membership/src/xds/session/world.rs
@@ -1,7 +1,7 @@
 //! The clusters that the control plane has told, and which of them wait for their endpoints.
 
 use crate::endpoint::{Cluster, ClusterSettings, Endpoint, Endpoints};
-use crate::event::ClusterUpdate;
+use crate::event::ClusterDelta;
 use crate::names::{ClusterName, Version};
 use crate::xds::resource::{ClusterResource, Origin};
 use olivecart_decisions::Nanos;
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Telling {
     pub removed: Vec<ClusterName>,
-    pub updates: Vec<(Version, Vec<ClusterUpdate>)>,
+    pub updates: Vec<(Version, Vec<ClusterDelta>)>,
     pub lists: Vec<(Version, Vec<Cluster>)>,
     /// Names whose endpoints are to be asked for again.
     pub again: BTreeSet<String>,
@@ -48,7 +48,7 @@
 
     fn settings(&mut self, version: &Version, name: &ClusterName, settings: ClusterSettings) {
         let (upserts, removals) = (Vec::new(), Vec::new());
-        let update = ClusterUpdate { cluster: name.clone(), settings: Some(settings), upserts, removals };
+        let update = ClusterDelta { cluster: name.clone(), settings: Some(settings), upserts, removals };
         put(&mut self.updates, version, update);
     }
 }
--- a/crates/membership/src/xds/shell.rs
+++ b/crates/membership/src/xds/transport.rs
@@ -4,8 +4,8 @@
 //! comparing a list of 10,000 endpoints takes its thread for some milliseconds, so where that matters it is
 //! given a thread of its own.
 
-use super::conversation::{Config, Conversation, Input, Note, Output, Request, Response, Variant};
-use crate::source::{Ask, Asks, Heard, Sink};
+use super::session::{Config, Input, Output, Request, Response, Session, SessionNotice, Variant};
+use crate::source::{EventSender, RefetchReceiver, RefetchRequest, SourceEvent};
 use envoy_types::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use envoy_types::pb::envoy::service::discovery::v3::{DeltaDiscoveryResponse, DiscoveryResponse};
 use olivecart_decisions::Nanos;
@@ -63,11 +63,17 @@
 }
 
 /// Runs a conversation until the receiver of the sink is gone. `log` gets what is to be logged.
-pub async fn run(target: Target, config: Config, sink: Sink, asks: Asks, log: impl FnMut(&Note)) {
+pub async fn run(
+    target: Target,
+    config: Config,
+    sink: EventSender,
+    asks: RefetchReceiver,
+    log: impl FnMut(&SessionNotice),
+) {
     let source = config.source.clone();
     let shell = Shell {
         target,
-        talk: Conversation::new(config),
+        talk: Session::new(config),
         link: Link::Down,
         start: Instant::now(),
         sink,
@@ -79,16 +85,16 @@
 
 struct Shell<L> {
     target: Target,
-    talk: Conversation,
+    talk: Session,
     link: Link,
     start: Instant,
-    sink: Sink,
+    sink: EventSender,
     /// None once nobody can ask any more.
-    asks: Option<Asks>,
+    asks: Option<RefetchReceiver>,
     log: L,
 }
 
-impl<L: FnMut(&Note)> Shell<L> {
+impl<L: FnMut(&SessionNotice)> Shell<L> {
     async fn run(mut self, source: crate::names::SourceId) {
         let mut out = Vec::new();
         loop {
@@ -101,8 +107,8 @@
                         Output::Connect => self.link = Link::Connecting(connect(&self.target)),
                         Output::Send(request) => lost = self.send(*request).err().or(lost),
                         Output::Log(note) => (self.log)(&note),
-                        Output::Tell(event) => {
-                            let heard = Heard { source: source.clone(), event };
+                        Output::Notify(event) => {
+                            let heard = SourceEvent { source: source.clone(), event };
                             if self.sink.send(heard).await.is_err() {
                                 return;
                             }
@@ -128,14 +134,14 @@
     async fn next(&mut self) -> Option<Input> {
         loop {
             let deadline = self.talk.deadline().map(|at| self.at(at));
-            let reads = self.at(self.talk.reads_at());
+            let reads = self.at(self.talk.next_read_at());
             let Shell { target, talk, link, sink, asks, .. } = self;
             return tokio::select! {
                 biased;
                 () = sink.closed() => None,
                 () = until(deadline) => Some(Input::Tick),
                 ask = next_ask(asks) => match ask {
-                    Some(Ask { cluster }) => Some(Input::Ask(cluster)),
+                    Some(RefetchRequest { cluster }) => Some(Input::Refetch(cluster)),
                     None => {
                         self.asks = None;
                         continue;
@@ -175,7 +181,7 @@
     }
 }
 
-async fn next_ask(asks: &mut Option<Asks>) -> Option<Ask> {
+async fn next_ask(asks: &mut Option<RefetchReceiver>) -> Option<RefetchRequest> {
     match asks {
         Some(asks) => asks.recv().await,
         None => std::future::pending().await,
--- a/crates/membership/tests/decisions.rs
+++ b/crates/membership/tests/decisions.rs
@@ -1,8 +1,8 @@
 //! Each decision of the catalog, by example.
 
 use olivecart_membership::{
-    Arrival, Catalog, Cluster, ClusterSettings, ClusterUpdate, Endpoint, Event, Metadata, Nanos, News,
-    Output, Policy, Silence, State, Version,
+    Arrival, Catalog, Cluster, ClusterDelta, ClusterSettings, Endpoint, EndpointUpdate, Event, Metadata,
+    Nanos, Output, Policy, Silence, State, Version,
 };
 
 const S: Nanos = 1_000_000_000;
@@ -32,19 +32,19 @@
         out.iter().flat_map(words).collect()
     }
 
-    fn say(&mut self, source: &str, news: News) -> Vec<String> {
+    fn say(&mut self, source: &str, update: EndpointUpdate) -> Vec<String> {
         let (source, version) = (source.into(), Version::from(self.now / S));
-        self.tell(Event::News { source, version, news })
+        self.tell(Event::Update { source, version, update })
     }
 
     fn list(&mut self, source: &str, list: &[&str]) -> Vec<String> {
-        self.say(source, News::Clusters(vec![Cluster::new("cart", endpoints(list))]))
+        self.say(source, EndpointUpdate::ClusterSnapshots(vec![Cluster::new("cart", endpoints(list))]))
     }
 
     fn update(&mut self, source: &str, upserts: &[&str], removals: &[&str]) -> Vec<String> {
         let (upserts, removals) = (endpoints(upserts), removals.iter().map(|id| (*id).into()).collect());
-        let update = ClusterUpdate { cluster: "cart".into(), settings: None, upserts, removals };
-        self.say(source, News::Changes(vec![update]))
+        let update = ClusterDelta { cluster: "cart".into(), settings: None, upserts, removals };
+        self.say(source, EndpointUpdate::ClusterDeltas(vec![update]))
     }
 
     fn confirm(&mut self, source: &str) -> Vec<String> {
@@ -100,16 +100,16 @@
             let limits = change.settings.iter().map(|s| format!("limit {:?}", s.max_requests));
             removed.chain(upserted).chain(limits).collect()
         }
-        Output::Aged(aged) => vec![format!("aged {} since {} s", aged.cluster, aged.since / S)],
-        Output::Renewed { cluster, .. } => vec![format!("renewed {cluster}")],
-        Output::Held(held) => {
-            let reasons: Vec<_> = held.suspicions.iter().map(|s| s.to_string()).collect();
+        Output::Stale(aged) => vec![format!("aged {} since {} s", aged.cluster, aged.since / S)],
+        Output::Recovered { cluster, .. } => vec![format!("renewed {cluster}")],
+        Output::Quarantined(held) => {
+            let reasons: Vec<_> = held.anomalies.iter().map(|s| s.to_string()).collect();
             vec![format!("held until {} s: {}", held.until / S, reasons.join("; "))]
         }
         Output::Released { cause, .. } => vec![format!("released: {cause}")],
-        Output::Withdrawn { .. } => vec!["withdrawn".into()],
-        Output::AskAgain { source, .. } => vec![format!("ask {source}")],
-        Output::Refused(refusal) => vec![refusal.to_string()],
+        Output::QuarantineDropped { .. } => vec!["withdrawn".into()],
+        Output::RefetchRequested { source, .. } => vec![format!("ask {source}")],
+        Output::Rejected(refusal) => vec![refusal.to_string()],
     }
 }
 
@@ -210,9 +210,9 @@
     let mut desk = Desk::serving(&["a", "b", "c"]);
     let cut = |id: &&str| {
         let (upserts, removals) = (Vec::new(), vec![(*id).into()]);
-        ClusterUpdate { cluster: "cart".into(), settings: None, upserts, removals }
+        ClusterDelta { cluster: "cart".into(), settings: None, upserts, removals }
     };
-    let told = desk.say("file", News::Changes(["a", "b"].iter().map(cut).collect()));
+    let told = desk.say("file", EndpointUpdate::ClusterDeltas(["a", "b"].iter().map(cut).collect()));
     assert_eq!(told, ["held until 30 s: 2 of 3 ready endpoints gone at once, a first"]);
     // One by one they pass, but for the last that takes requests; which goes once there is another.
     let mut desk = Desk::serving(&["a", "b", "c"]);
@@ -294,7 +294,10 @@
         assert_eq!(desk.serves(), "a b");
     }
     let mut desk = Desk::serving(&["a", "b"]);
-    assert_eq!(desk.say("file", News::Clusters(vec![Cluster::empty("cart")])), ["-a", "-b"]);
+    assert_eq!(
+        desk.say("file", EndpointUpdate::ClusterSnapshots(vec![Cluster::empty("cart")])),
+        ["-a", "-b"]
+    );
     assert_eq!(desk.serves(), "");
     assert_eq!(
         desk.list("file", &["c*0"]),
@@ -379,7 +382,7 @@
             .to_string()
             .contains("AGED\n  file: version \"0\", 2 endpoints, heard 277 h ago, source lost for 277 h")
     );
-    assert_eq!(desk.tell(Event::Back { source: "file".into() }), ["renewed cart"]);
+    assert_eq!(desk.tell(Event::Reconnected { source: "file".into() }), ["renewed cart"]);
     desk.tell(silent(Silence::Lost));
     desk.wait(10);
     assert_eq!(desk.list("file", &["a", "b"]), ["renewed cart"]);
@@ -396,22 +399,26 @@
     assert_eq!(desk.update("xds", &["d"], &[]), [""; 0], "it stands by");
     // To leave it is a word: nothing is suspicious about what follows.
     assert_eq!(
-        desk.say("file", News::Removed(vec!["cart".into()])),
+        desk.say("file", EndpointUpdate::ClustersRemoved(vec!["cart".into()])),
         ["+b returned after 0 ms", "+c returned after 0 ms", "+d new"]
     );
     // A first list that stands against nothing any more passes.
     desk.list("file", &["x", "y"]);
-    let told = desk.say("xds", News::Removed(vec!["cart".into()]));
+    let told = desk.say("xds", EndpointUpdate::ClustersRemoved(vec!["cart".into()]));
     assert_eq!(told, ["-a", "-b", "-c", "-d", "+x new", "+y new", "released: no longer suspicious"]);
-    assert_eq!(desk.say("file", News::Removed(vec!["cart".into()])), ["removed cart: file said so"]);
+    assert_eq!(
+        desk.say("file", EndpointUpdate::ClustersRemoved(vec!["cart".into()])),
+        ["removed cart: file said so"]
+    );
     desk.wait(1);
     assert_eq!(desk.list("file", &["x"]), ["added cart", "+x new"], "a cluster of the same name is another");
 }
 
 #[test]
 fn a_cluster_that_is_missing_from_a_list_of_all_is_held_until_that_is_confirmed() {
-    let all =
-        |names: &[&str]| News::All(names.iter().map(|n| Cluster::new(*n, endpoints(&["a", "b"]))).collect());
+    let all = |names: &[&str]| {
+        EndpointUpdate::FullSnapshot(names.iter().map(|n| Cluster::new(*n, endpoints(&["a", "b"]))).collect())
+    };
     let mut desk = Desk::new(Policy::default(), &["file"]);
     desk.say("file", all(&["cart", "pay"]));
     assert_eq!(desk.say("file", all(&["pay"])), ["held until 30 s: missing from the list of all clusters"]);
@@ -464,16 +471,19 @@
         let told =
             format!("file: cluster \"cart\": endpoint {:?}: refused: {reason}", endpoint.name.as_str());
         let list = vec![endpoint.clone(), self::endpoint("c")];
-        let whole = News::Clusters(vec![Cluster::new("cart", list.clone())]);
+        let whole = EndpointUpdate::ClusterSnapshots(vec![Cluster::new("cart", list.clone())]);
         assert_eq!(desk.say("file", whole).join("\n"), told, "a list is refused whole");
         let update =
-            ClusterUpdate { cluster: "cart".into(), settings: None, upserts: list, removals: Vec::new() };
+            ClusterDelta { cluster: "cart".into(), settings: None, upserts: list, removals: Vec::new() };
         assert_eq!(
-            desk.say("file", News::Changes(vec![update])),
+            desk.say("file", EndpointUpdate::ClusterDeltas(vec![update])),
             [told.clone(), "+c new".into()],
             "the rest is taken"
         );
-        assert_eq!(desk.catalog.view()[0].feeds[0].refusal.as_ref().map(|r| r.reason.clone()), Some(told));
+        assert_eq!(
+            desk.catalog.view()[0].subscriptions[0].rejection.as_ref().map(|r| r.reason.clone()),
+            Some(told)
+        );
     }
     let mut desk = Desk::serving(&["a", "b"]);
     let twice =
@@ -482,13 +492,13 @@
     assert_eq!(desk.update("file", &["c", "d"], &["c"]), [twice, "+d new"]);
     let two = vec![Cluster::new("cart", endpoints(&["a"])), Cluster::new("cart", endpoints(&["b"]))];
     assert_eq!(
-        desk.say("file", News::All(two)),
+        desk.say("file", EndpointUpdate::FullSnapshot(two)),
         [r#"file: cluster "cart": refused: it comes twice in one update; put its endpoints into one list"#]
     );
     let limits = ClusterSettings { max_requests: Some(0), ..ClusterSettings::default() };
     let limited = Cluster { settings: limits, ..Cluster::new("cart", endpoints(&["a"])) };
     assert_eq!(
-        desk.say("file", News::Clusters(vec![limited])),
+        desk.say("file", EndpointUpdate::ClusterSnapshots(vec![limited])),
         [r#"file: cluster "cart": refused: max_requests must be at least 1"#]
     );
     assert_eq!(desk.list("ftp", &["a"]), ["ftp: refused: no such source is set up"]);
@@ -515,17 +525,17 @@
     }
     assert_eq!(desk.update("file", &["c"], &[]), ["+c new"], "no more is remembered than may be listed");
     let clusters = (0..3).map(|i| Cluster::new(format!("c{i}").as_str(), endpoints(&["a"]))).collect();
-    let told = desk.say("file", News::Clusters(clusters));
+    let told = desk.say("file", EndpointUpdate::ClusterSnapshots(clusters));
     assert_eq!(told[2], r#"file: cluster "c1": refused: there would be more than 2 clusters (max_clusters)"#);
     let upserts = (0..100)
         .map(|i| Endpoint { priority: 999, ..Endpoint::ready(format!("e{i}").as_str(), ([1; 4], 1).into()) });
-    let update = ClusterUpdate {
+    let update = ClusterDelta {
         cluster: "cart".into(),
         settings: None,
         upserts: upserts.collect(),
         removals: Vec::new(),
     };
-    let told = desk.say("file", News::Changes(vec![update]));
+    let told = desk.say("file", EndpointUpdate::ClusterDeltas(vec![update]));
     assert_eq!(told.len(), Policy::MOST_REFUSALS + 1);
     assert_eq!(told[16], r#"file: cluster "cart": refused: 84 more endpoints of the same update"#);
 }
@@ -535,8 +545,11 @@
     let mut desk = Desk::serving(&["a", "b"]);
     let limits = |n| ClusterSettings { max_requests: Some(n), ..ClusterSettings::default() };
     let cart = |n, list: &[&str]| Cluster { settings: limits(n), ..Cluster::new("cart", endpoints(list)) };
-    assert_eq!(desk.say("file", News::Clusters(vec![cart(5, &["a", "b"])])), ["limit Some(5)"]);
-    desk.say("file", News::Clusters(vec![cart(6, &["x", "y"])]));
+    assert_eq!(
+        desk.say("file", EndpointUpdate::ClusterSnapshots(vec![cart(5, &["a", "b"])])),
+        ["limit Some(5)"]
+    );
+    desk.say("file", EndpointUpdate::ClusterSnapshots(vec![cart(6, &["x", "y"])]));
     assert_eq!(
         desk.catalog.cluster(&"cart".into()).expect("cart").settings.max_requests,
         Some(5),
@@ -584,16 +597,16 @@
     desk.update("file", &[], &["a"]);
     desk.now = 50 * S;
     let mut out = Vec::new();
-    let update = ClusterUpdate {
+    let update = ClusterDelta {
         cluster: "cart".into(),
         settings: None,
         upserts: endpoints(&["a"]),
         removals: Vec::new(),
     };
-    let news = News::Changes(vec![update]);
+    let update = EndpointUpdate::ClusterDeltas(vec![update]);
     desk.catalog.handle(
         50 * S,
-        Event::News { source: "file".into(), version: Version::from(1), news },
+        Event::Update { source: "file".into(), version: Version::from(1), update },
         &mut out,
     );
     let Output::Changed(change) = &out[0] else { panic!("{out:?}") };
--- a/crates/membership/tests/files.rs
+++ b/crates/membership/tests/files.rs
@@ -2,7 +2,7 @@
 
 use olivecart_membership::file::{Fault, merge_fragments, parse};
 use olivecart_membership::{
-    Cluster, ClusterSettings, Endpoint, Endpoints, Label, Policy, State, diff, held, summary,
+    Cluster, ClusterSettings, Endpoint, Endpoints, Label, Policy, State, diff, quarantined_changes, summary,
 };
 use std::time::Duration;
 
@@ -350,7 +350,7 @@
         ]
     );
     assert_eq!(diff(&old, &old), []);
-    let suspicious = held(&old, &new, Policy::default()).expect("a usable policy");
+    let suspicious = quarantined_changes(&old, &new, Policy::default()).expect("a usable policy");
     let told: Vec<String> = suspicious.iter().map(|h| h.to_string()).collect();
     assert_eq!(
         told,
--- a/crates/membership/tests/reference/main.rs
+++ b/crates/membership/tests/reference/main.rs
@@ -5,8 +5,8 @@
 
 use model::{Map, Model, Told};
 use olivecart_membership::{
-    Catalog, Cause, Cluster, ClusterName, ClusterSettings, ClusterUpdate, Confirmation, Endpoint,
-    EndpointName, Endpoints, Event, Nanos, News, Output, Policy, Silence, SourceId, State, Version,
+    Catalog, Cause, Cluster, ClusterDelta, ClusterName, ClusterSettings, ConfirmationSource, Endpoint,
+    EndpointName, EndpointUpdate, Endpoints, Event, Nanos, Output, Policy, Silence, SourceId, State, Version,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
@@ -121,7 +121,7 @@
     catalog: Catalog,
     model: Model,
     plain: BTreeMap<String, Plain>,
-    last: BTreeMap<usize, News>,
+    last: BTreeMap<usize, EndpointUpdate>,
     now: Nanos,
     /// How often something was held, released and refused: the sequences must get there.
     seen: BTreeMap<&'static str, usize>,
@@ -152,40 +152,45 @@
         };
         let (id, named) = (SourceId::from(SOURCES[source]), ClusterName::from(CLUSTERS[cluster]));
         let whole = |cluster: usize, list: &[Endpoint]| Cluster::new(CLUSTERS[cluster], list.to_vec());
-        let news = match act {
+        let update = match act {
             Act::Confirm => return self.tell(Event::Confirm { source: id, cluster: named }),
             Act::Silent => return self.tell(Event::Silent { source: id, silence: Silence::Lost }),
-            Act::Back => return self.tell(Event::Back { source: id }),
+            Act::Back => return self.tell(Event::Reconnected { source: id }),
             Act::Damage(fault) => return self.damage(source, cluster, *fault),
             Act::Again(seconds) => {
                 self.now += seconds * S;
-                let Some(news) = self.last.get(&source) else { return Ok(()) };
-                news.clone()
+                let Some(update) = self.last.get(&source) else { return Ok(()) };
+                update.clone()
             }
             Act::Agree => {
                 let feeds = self.model.clusters.get(CLUSTERS[cluster]).into_iter().flat_map(|c| &c.feeds);
                 let mut others = feeds.filter(|(rank, feed)| **rank != source && feed.held.is_some());
                 let Some((_, feed)) = others.next() else { return Ok(()) };
-                News::Clusters(vec![Cluster::new(named, feed.wanted().into_values().collect())])
+                EndpointUpdate::ClusterSnapshots(vec![Cluster::new(
+                    named,
+                    feed.wanted().into_values().collect(),
+                )])
             }
-            Act::List(list) => News::Clusters(vec![whole(cluster, list)]),
-            Act::All(lists) => News::All(lists.iter().map(|(cluster, list)| whole(*cluster, list)).collect()),
+            Act::List(list) => EndpointUpdate::ClusterSnapshots(vec![whole(cluster, list)]),
+            Act::All(lists) => EndpointUpdate::FullSnapshot(
+                lists.iter().map(|(cluster, list)| whole(*cluster, list)).collect(),
+            ),
             Act::Update(upserts, removals, limit) => {
                 let settings = limit.map(|n| ClusterSettings { max_retries: Some(n), ..Default::default() });
                 let removals =
                     removals.iter().map(|id| EndpointName::from(format!("e{id}").as_str())).collect();
                 let (cluster, upserts) = (named, upserts.clone());
-                News::Changes(vec![ClusterUpdate { cluster, settings, upserts, removals }])
+                EndpointUpdate::ClusterDeltas(vec![ClusterDelta { cluster, settings, upserts, removals }])
             }
-            Act::Empty => News::Clusters(vec![Cluster::empty(named)]),
-            Act::Removed => News::Removed(vec![named]),
+            Act::Empty => EndpointUpdate::ClusterSnapshots(vec![Cluster::empty(named)]),
+            Act::Removed => EndpointUpdate::ClustersRemoved(vec![named]),
         };
-        self.say(source, news)
+        self.say(source, update)
     }
 
-    fn say(&mut self, source: usize, news: News) -> Result<(), TestCaseError> {
-        self.last.insert(source, news.clone());
-        self.tell(Event::News { source: SOURCES[source].into(), version: Version::from(1), news })
+    fn say(&mut self, source: usize, update: EndpointUpdate) -> Result<(), TestCaseError> {
+        self.last.insert(source, update.clone());
+        self.tell(Event::Update { source: SOURCES[source].into(), version: Version::from(1), update })
     }
 
     /// A list that the source has given and was accepted comes damaged: what served must serve on.
@@ -208,14 +213,14 @@
         let is_serving = |plain: &Plain| plain.endpoints.values().any(Endpoint::takes_requests);
         let before: Vec<String> =
             self.plain.iter().filter(|(_, plain)| is_serving(plain)).map(|(name, _)| name.clone()).collect();
-        let news = match fault {
-            Fault::NoClusters => News::All(Vec::new()),
+        let update = match fault {
+            Fault::NoClusters => EndpointUpdate::FullSnapshot(Vec::new()),
             _ => {
                 let (name, endpoints) = (CLUSTERS[cluster].into(), Endpoints::Listed(list));
-                News::Clusters(vec![Cluster { name, endpoints, settings }])
+                EndpointUpdate::ClusterSnapshots(vec![Cluster { name, endpoints, settings }])
             }
         };
-        self.say(source, news)?;
+        self.say(source, update)?;
         for name in before {
             let serves = self.plain.get(&name).is_some_and(is_serving);
             prop_assert!(serves, "{fault:?} of {} emptied {name}", SOURCES[source]);
@@ -271,31 +276,31 @@
                 }
                 "changed"
             }
-            Output::Aged(aged) => {
+            Output::Stale(aged) => {
                 self.plain.entry(aged.cluster.as_str().to_owned()).or_default().aged = true;
                 "aged"
             }
-            Output::Renewed { cluster, .. } => {
+            Output::Recovered { cluster, .. } => {
                 self.plain.entry(cluster.as_str().to_owned()).or_default().aged = false;
                 "renewed"
             }
-            Output::Refused(_) => {
+            Output::Rejected(_) => {
                 told.refused += 1;
                 "refused"
             }
-            Output::AskAgain { cluster, source } => {
+            Output::RefetchRequested { cluster, source } => {
                 told.asked.insert((cluster.as_str().to_owned(), source.as_str().to_owned()));
                 "asked"
             }
-            Output::Held(_) => "held",
+            Output::Quarantined(_) => "held",
             Output::Released { cause, .. } => match cause {
-                Cause::Confirmed(Confirmation::Again) => "said again",
-                Cause::Confirmed(Confirmation::Word) => "confirmed by word",
-                Cause::Confirmed(Confirmation::SecondSource(_)) => "confirmed by a second source",
+                Cause::Confirmed(ConfirmationSource::Repetition) => "said again",
+                Cause::Confirmed(ConfirmationSource::ExplicitCommand) => "confirmed by word",
+                Cause::Confirmed(ConfirmationSource::SecondSource(_)) => "confirmed by a second source",
                 Cause::Resolved => "resolved",
-                Cause::News { .. } => "released by news",
+                Cause::Update { .. } => "released by news",
             },
-            Output::Withdrawn { .. } => "withdrawn",
+            Output::QuarantineDropped { .. } => "withdrawn",
         };
         *self.seen.entry(kind).or_default() += 1;
         Ok(())
@@ -318,7 +323,7 @@
             prop_assert_eq!((cluster.settings, cluster.settings), (&model.settings, &plain.settings));
             let source = cluster.source.as_str();
             prop_assert_eq!((source, source), (SOURCES[model.owner], plain.source.as_str()));
-            let aged = cluster.aged;
+            let aged = cluster.is_stale;
             prop_assert_eq!((aged, aged), (self.model.is_aged(model.owner), plain.aged));
         }
         Ok(())
@@ -329,18 +334,22 @@
         let ms = |at: Nanos| at / 1_000_000;
         let mut held = BTreeMap::new();
         for view in self.catalog.view() {
-            for feed in view.feeds {
-                if let Some(h) = feed.held {
+            for feed in view.subscriptions {
+                if let Some(h) = feed.quarantine {
                     let key = (view.cluster.as_str().to_owned(), feed.source.as_str().to_owned());
-                    held.insert(key, (h.needs_word, h.endpoints, h.for_ms, h.asks_in_ms));
+                    held.insert(key, (h.needs_explicit_confirmation, h.endpoints, h.for_ms, h.refetch_in_ms));
                 }
             }
         }
         let mut expected = BTreeMap::new();
         for (name, cluster) in &self.model.clusters {
             for (rank, feed) in &cluster.feeds {
-                let hold = feed.held.as_ref().map(|h| (h.needs_word(), h.parts.len(), h.since, h.due));
-                let missing = feed.missing.as_ref().map(|m| (m.needs_word(), 0, m.since, m.due));
+                let hold = feed
+                    .held
+                    .as_ref()
+                    .map(|h| (h.needs_explicit_confirmation(), h.parts.len(), h.since, h.due));
+                let missing =
+                    feed.missing.as_ref().map(|m| (m.needs_explicit_confirmation(), 0, m.since, m.due));
                 let both: Vec<_> = hold.into_iter().chain(missing).collect();
                 let Some(since) = both.iter().map(|h| h.2).min() else { continue };
                 let due = both.iter().map(|h| h.3).min().unwrap_or(0);
--- a/crates/membership/tests/reference/model.rs
+++ b/crates/membership/tests/reference/model.rs
@@ -1,7 +1,7 @@
 //! A plain, slow model of the catalog, written from its rules: whole maps, copied and compared each time.
 
 use olivecart_membership::{
-    Arrival, ClusterSettings, ClusterUpdate, Endpoint, Endpoints, Event, Nanos, News, Policy, State,
+    Arrival, ClusterDelta, ClusterSettings, Endpoint, EndpointUpdate, Endpoints, Event, Nanos, Policy, State,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub struct Feed {
     pub good: Option<(Map, ClusterSettings)>,
-    pub held: Option<Held>,
+    pub held: Option<Quarantined>,
     pub missing: Option<Missing>,
     refused: bool,
 }
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct Quarantined {
     pub parts: BTreeMap<String, Part>,
     whole: Option<ClusterSettings>,
     kinds: BTreeSet<&'static str>,
@@ -76,8 +76,8 @@
 
 const WORDS: [&str; 3] = ["no endpoints", "all zero", "nothing left"];
 
-impl Held {
-    pub fn needs_word(&self) -> bool {
+impl Quarantined {
+    pub fn needs_explicit_confirmation(&self) -> bool {
         WORDS.iter().any(|kind| self.kinds.contains(kind))
     }
 }
@@ -92,7 +92,7 @@
 }
 
 impl Missing {
-    pub fn needs_word(&self) -> bool {
+    pub fn needs_explicit_confirmation(&self) -> bool {
         self.none_named
     }
 }
@@ -203,10 +203,10 @@
         self.ask();
         let rank = |source: &str| self.sources.iter().position(|s| s == source).expect("a known source");
         match event {
-            Event::News { source, news, .. } => {
+            Event::Update { source, update, .. } => {
                 let rank = rank(source.as_str());
                 self.silent[rank] = None;
-                self.news(rank, news);
+                self.apply_update(rank, update);
             }
             Event::Confirm { source, cluster } => {
                 let rank = rank(source.as_str());
@@ -222,7 +222,7 @@
                 let rank = rank(source.as_str());
                 self.silent[rank].get_or_insert(now);
             }
-            Event::Back { source } => {
+            Event::Reconnected { source } => {
                 let rank = rank(source.as_str());
                 self.silent[rank] = None;
             }
@@ -251,9 +251,9 @@
         }
     }
 
-    fn news(&mut self, rank: usize, news: &News) {
-        match news {
-            News::All(clusters) | News::Clusters(clusters) => {
+    fn apply_update(&mut self, rank: usize, update: &EndpointUpdate) {
+        match update {
+            EndpointUpdate::FullSnapshot(clusters) | EndpointUpdate::ClusterSnapshots(clusters) => {
                 let names: Vec<&str> = clusters.iter().map(|c| c.name.as_str()).collect();
                 let is_twice = |name: &str| names.iter().filter(|n| **n == name).count() > 1;
                 for cluster in clusters.iter().filter(|c| !is_twice(c.name.as_str())) {
@@ -261,7 +261,7 @@
                 }
                 let twice: BTreeSet<&str> = names.iter().copied().filter(|n| is_twice(n)).collect();
                 self.told.refused += twice.len();
-                if matches!(news, News::All(_)) {
+                if matches!(update, EndpointUpdate::FullSnapshot(_)) {
                     let missing = self
                         .clusters
                         .iter()
@@ -270,8 +270,10 @@
                     missing.iter().for_each(|n| self.miss(rank, n, names.is_empty()));
                 }
             }
-            News::Changes(updates) => updates.iter().for_each(|update| self.update(rank, update)),
-            News::Removed(names) => {
+            EndpointUpdate::ClusterDeltas(updates) => {
+                updates.iter().for_each(|update| self.update(rank, update))
+            }
+            EndpointUpdate::ClustersRemoved(names) => {
                 for cluster in names {
                     self.drop_feed(cluster.as_str(), rank);
                     self.settle(cluster.as_str());
@@ -361,12 +363,12 @@
         }
         let (since, due) = old.map_or((now, due), |old| (old.since, old.due));
         let (whole, against, kinds) = (Some(settings), owner.filter(|_| is_first), verdict.kinds);
-        let mut held = Held { parts, whole, kinds, since, due, against, fresh: true };
+        let mut held = Quarantined { parts, whole, kinds, since, due, against, fresh: true };
         held.parts.iter_mut().for_each(|(id, part)| part.sticky |= verdict.sticky.contains(id));
         feed.held = Some(held);
     }
 
-    fn update(&mut self, rank: usize, update: &ClusterUpdate) {
+    fn update(&mut self, rank: usize, update: &ClusterDelta) {
         let cluster = update.cluster.as_str();
         let feed = self.feed(cluster, rank);
         feed.missing = None;
@@ -427,7 +429,7 @@
             return;
         }
         let (parts_held, whole, kinds, against) = Default::default();
-        let begin = Held { parts: parts_held, whole, kinds, since: now, due, against, fresh: false };
+        let begin = Quarantined { parts: parts_held, whole, kinds, since: now, due, against, fresh: false };
         let held = feed.held.get_or_insert(begin);
         held.kinds.extend(verdict.kinds);
         for (id, mut part) in parts.into_iter().filter(|(id, _)| verdict.doubtful.contains(id)) {
@@ -459,7 +461,7 @@
     fn second(&mut self, cluster: &str, rank: usize) -> bool {
         let state = self.clusters.get_mut(cluster).expect("the cluster");
         let feed = &state.feeds[&rank];
-        if feed.held.as_ref().is_none_or(Held::needs_word) {
+        if feed.held.as_ref().is_none_or(Quarantined::needs_explicit_confirmation) {
             return false;
         }
         let places = |map: &Map| map.iter().map(|(id, e)| (id.clone(), e.address)).collect::<Vec<_>>();
--- a/crates/membership/tests/watch.rs
+++ b/crates/membership/tests/watch.rs
@@ -1,9 +1,11 @@
 //! Watched files on a real file system: what the catalog and the operator are told, in order.
 #![cfg(feature = "sources")]
 
-use olivecart_membership::source::{ASK_BOUND, Ask, Heard, SINK_BOUND};
-use olivecart_membership::watch::{Kind, Notice, Watch, documented, run};
-use olivecart_membership::{Event, News};
+use olivecart_membership::source::{
+    EVENT_QUEUE_CAPACITY, REFETCH_QUEUE_CAPACITY, RefetchRequest, SourceEvent,
+};
+use olivecart_membership::watch::{Kind, Notice, Watch, parse_documented, run};
+use olivecart_membership::{EndpointUpdate, Event};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -16,8 +18,8 @@
 
 struct Watched {
     directory: tempfile::TempDir,
-    heard: Receiver<Heard>,
-    asks: Sender<Ask>,
+    heard: Receiver<SourceEvent>,
+    asks: Sender<RefetchRequest>,
     notices: tokio::sync::mpsc::UnboundedReceiver<Notice>,
 }
 
@@ -29,10 +31,10 @@
     }
 
     fn at(directory: tempfile::TempDir, path: PathBuf, kind: Kind, poll: Duration) -> Watched {
-        let ((sink, heard), (asks, asked)) = (channel(SINK_BOUND), channel(ASK_BOUND));
+        let ((sink, heard), (asks, asked)) = (channel(EVENT_QUEUE_CAPACITY), channel(REFETCH_QUEUE_CAPACITY));
         let (tell, notices) = unbounded_channel();
         let watch = Watch { source: "files".into(), path, kind, poll };
-        tokio::spawn(run(watch, documented, sink, asked, move |notice| drop(tell.send(notice))));
+        tokio::spawn(run(watch, parse_documented, sink, asked, move |notice| drop(tell.send(notice))));
         Watched { directory, heard, asks, notices }
     }
 
@@ -44,7 +46,7 @@
     async fn next(&mut self) -> String {
         let heard = tokio::time::timeout(NEVER, self.heard.recv()).await.expect("in time").expect("it runs");
         match heard.event {
-            Event::News { news: News::All(clusters), .. } => {
+            Event::Update { update: EndpointUpdate::FullSnapshot(clusters), .. } => {
                 let said = |c: &olivecart_membership::Cluster| {
                     let ids: Vec<_> = c.listed().iter().map(|e| e.name.as_str().to_owned()).collect();
                     format!("{}={}", c.name, ids.join(","))
@@ -52,7 +54,7 @@
                 clusters.iter().map(said).collect::<Vec<_>>().join(" ")
             }
             Event::Silent { silence, .. } => silence.to_string(),
-            Event::Back { .. } => "back".into(),
+            Event::Reconnected { .. } => "back".into(),
             other => panic!("{other:?}"),
         }
     }
@@ -117,7 +119,7 @@
     assert_eq!(watched.next().await, "lost");
     put(&watched.path("fleet.toml"), &text("cart=a"));
     assert_eq!(watched.next().await, "cart=a");
-    watched.asks.send(Ask { cluster: "cart".into() }).await.expect("it runs");
+    watched.asks.send(RefetchRequest { cluster: "cart".into() }).await.expect("it runs");
     assert_eq!(watched.next().await, "cart=a");
 }
 
@@ -171,11 +173,11 @@
 
 #[tokio::test]
 async fn whoever_watches_ends_with_who_listens() {
-    let (sink, heard) = channel(SINK_BOUND);
-    let (_asks, asked) = channel(ASK_BOUND);
+    let (sink, heard) = channel(EVENT_QUEUE_CAPACITY);
+    let (_asks, asked) = channel(REFETCH_QUEUE_CAPACITY);
     let path = PathBuf::from("/nowhere/fleet.toml");
     let watch = Watch { source: "files".into(), path, kind: Kind::File, poll: SELDOM };
-    let task = tokio::spawn(run(watch, documented, sink, asked, |_| {}));
+    let task = tokio::spawn(run(watch, parse_documented, sink, asked, |_| {}));
     drop(heard);
     tokio::time::timeout(NEVER, task).await.expect("it ends").expect("without a panic");
 }
--- a/crates/membership/tests/xds/faults.rs
+++ b/crates/membership/tests/xds/faults.rs
@@ -1,8 +1,8 @@
 //! What a control plane does wrong or not at all, both variants.
 
 use super::talk::*;
-use olivecart_membership::xds::conversation::{Config, Input};
 use olivecart_membership::xds::resource::Kind::{Assignment, Cluster};
+use olivecart_membership::xds::session::{Config, Input};
 
 #[test]
 fn no_clusters_come() {
@@ -34,13 +34,13 @@
     let mut talk = Talk::serving(Incremental, &["a", "b"]);
     let lines = talk.says(Assignment, "2", vec![], &["cart"]);
     assert_eq!(lines, ["tell 2 cart(0)", "send EDS n=n3 +[] -[] {}"]);
-    assert_eq!((talk.serves().as_str(), talk.needs_word()), ("cart: a b", true));
+    assert_eq!((talk.serves().as_str(), talk.needs_explicit_confirmation()), ("cart: a b", true));
     assert_eq!(talk.reconnect()[2], "send EDS n= +[cart] -[] {}", "it must be told anew");
     talk.says(Assignment, "3", vec![resource("cart", "3", eds("cart", &["b", "c"]))], &[]);
-    assert_eq!((talk.serves().as_str(), talk.needs_word()), ("cart: b c", false));
+    assert_eq!((talk.serves().as_str(), talk.needs_explicit_confirmation()), ("cart: b c", false));
     // An empty list is no better.
     talk.says(Assignment, "4", vec![resource("cart", "4", eds("cart", &[]))], &[]);
-    assert_eq!((talk.serves().as_str(), talk.needs_word()), ("cart: b c", true));
+    assert_eq!((talk.serves().as_str(), talk.needs_explicit_confirmation()), ("cart: b c", true));
 }
 
 #[test]
@@ -51,14 +51,14 @@
         lines,
         ["log the control plane lists no clusters; 1 are kept", "tell 2 all 0", "send CDS v=2 n=n3 []"]
     );
-    assert_eq!((talk.serves().as_str(), talk.needs_word()), ("cart: a", true));
+    assert_eq!((talk.serves().as_str(), talk.needs_explicit_confirmation()), ("cart: a", true));
     // Their endpoints are still followed, and the hold does not end by that.
     talk.says(Assignment, "3", vec![resource("", "", eds("cart", &["a", "b"]))], &[]);
-    assert_eq!((talk.serves().as_str(), talk.needs_word()), ("cart: a b", true));
-    assert_eq!(talk.tell(Input::Ask("cart".into())), ["tell 2 all 0"]);
+    assert_eq!((talk.serves().as_str(), talk.needs_explicit_confirmation()), ("cart: a b", true));
+    assert_eq!(talk.tell(Input::Refetch("cart".into())), ["tell 2 all 0"]);
     // The clusters are back, or the word is said.
     talk.says(Cluster, "4", vec![resource("", "", cluster("cart"))], &[]);
-    assert_eq!((talk.serves().as_str(), talk.needs_word()), ("cart: a b", false));
+    assert_eq!((talk.serves().as_str(), talk.needs_explicit_confirmation()), ("cart: a b", false));
 }
 
 #[test]
@@ -87,7 +87,7 @@
         // Silence is another thing: it ages, and removes nothing.
         let lines = talk.wait(60_000);
         assert_eq!(lines.iter().filter(|line| *line == "tell quiet").count(), 1, "{lines:?}");
-        assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| cart.aged));
+        assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| cart.is_stale));
         // Nor does it run without a stream, also if something came a moment before its end.
         talk.says(Cluster, "1", vec![lasting(2_000, resource("cart", "1", None))], &[]);
         talk.wait(1_500);
@@ -97,7 +97,7 @@
         talk.tell(Input::Connected);
         assert_eq!(talk.serves(), "cart: a");
         talk.says(Cluster, "9", vec![lasting(2_000, resource("cart", "9", own("cart", &["a"])))], &[]);
-        assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| !cart.aged));
+        assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| !cart.is_stale));
     }
 }
 
@@ -139,26 +139,26 @@
     let reason = "load_assignment.endpoints: it would have more than 3 endpoints (max_endpoints)";
     assert!(lines[0].ends_with(reason), "{lines:?}");
     // After a burst, two hundred small ones a second, and fewer large ones.
-    assert!(talk.talk.reads_at() <= talk.now);
+    assert!(talk.talk.next_read_at() <= talk.now);
     for _ in 0..1000 {
         talk.says(Cluster, "3", vec![own("b")], &[]);
     }
-    let wait = (talk.talk.reads_at() - talk.now) / MS;
+    let wait = (talk.talk.next_read_at() - talk.now) / MS;
     assert!((1_900..2_500).contains(&wait), "{wait} ms");
     talk.wait(wait + 1);
-    assert!(talk.talk.reads_at() <= talk.now);
+    assert!(talk.talk.next_read_at() <= talk.now);
     let mut large = super::talk::list("b", &["a"]);
     large.named_endpoints.insert("x".repeat(1_000_000), Default::default());
     let large = vec![resource("b", "4", envoy_types::util::pack_any(large))];
     talk.says(Assignment, "4", large, &[]);
-    let wait = (talk.talk.reads_at() - talk.now) / MS;
+    let wait = (talk.talk.next_read_at() - talk.now) / MS;
     assert!((140..160).contains(&wait), "{wait} ms");
 }
 
 #[test]
 fn what_nobody_asked_for_is_passed_over() {
     use envoy_types::pb::envoy::service::discovery::v3::DiscoveryResponse;
-    use olivecart_membership::xds::conversation::Response;
+    use olivecart_membership::xds::session::Response;
     let mut talk = Talk::serving(StateOfTheWorld, &["a"]);
     let type_url = "type.googleapis.com/envoy.config.listener.v3.Listener".to_owned();
     let response = Response::World(DiscoveryResponse { type_url, ..DiscoveryResponse::default() });
--- a/crates/membership/tests/xds/main.rs
+++ b/crates/membership/tests/xds/main.rs
@@ -1,9 +1,9 @@
 //! xDS: resources, conversations line by line, files, random faults, and the shell on loopback.
 
-mod conversation;
 mod faults;
 mod file;
 mod random;
 mod resource;
-mod shell;
+mod session;
 mod talk;
+mod transport;
--- a/crates/membership/tests/xds/random.rs
+++ b/crates/membership/tests/xds/random.rs
@@ -2,8 +2,8 @@
 //! has in the end what the control plane has.
 
 use super::talk::*;
-use olivecart_lab::control_plane::{Heard, Kind as Served, Resources, Said, Session};
-use olivecart_membership::xds::conversation::{Conversation, Input, Output, Request, Response, Variant};
+use olivecart_lab::control_plane::{Heard, Kind as Served, Resources, Said, Session as ControlPlaneSession};
+use olivecart_membership::xds::session::{Input, Output, Request, Response, Session, Variant};
 use olivecart_membership::{Catalog, Event, Nanos, Policy};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -55,10 +55,10 @@
 
 /// Both ends, and what is on its way between them.
 struct Play {
-    talk: Conversation,
+    talk: Session,
     catalog: Catalog,
     now: Nanos,
-    session: Option<Session>,
+    session: Option<ControlPlaneSession>,
     plane: Resources,
     requests: VecDeque<Request>,
     responses: VecDeque<Said>,
@@ -68,11 +68,11 @@
 
 impl Play {
     fn new(variant: Variant, seed: u64) -> Play {
-        let config = olivecart_membership::xds::conversation::Config { seed, ..config(variant) };
+        let config = olivecart_membership::xds::session::Config { seed, ..config(variant) };
         // Doubt is the catalog's affair, and tested there; what needs an explicit word still does.
         let policy = Policy { hold: Duration::ZERO, ..Policy::default() };
         let mut play = Play {
-            talk: Conversation::new(config),
+            talk: Session::new(config),
             catalog: Catalog::new(policy, ["xds".into()]).expect("a usable policy"),
             now: 0,
             session: None,
@@ -94,14 +94,18 @@
         for output in out {
             match output {
                 Output::Send(request) => self.requests.push_back(*request),
-                Output::Tell(event) => {
-                    if let Event::News { news: olivecart_membership::News::Removed(names), .. } = &event {
+                Output::Notify(event) => {
+                    if let Event::Update {
+                        update: olivecart_membership::EndpointUpdate::ClustersRemoved(names),
+                        ..
+                    } = &event
+                    {
                         self.removed.extend(names.iter().map(ToString::to_string));
                     }
                     self.catalog.handle(self.now, event, &mut Vec::new());
                 }
                 Output::Connect => {
-                    self.session = Some(Session::default());
+                    self.session = Some(ControlPlaneSession::default());
                     self.tell(Input::Connected);
                 }
                 Output::Log(_) => {}
--- a/crates/membership/tests/xds/resource.rs
+++ b/crates/membership/tests/xds/resource.rs
@@ -17,7 +17,7 @@
 use envoy_types::pb::google::protobuf::{Duration, Struct, UInt32Value, Value};
 use olivecart_lab::control_plane::eds_cluster;
 use olivecart_membership::State;
-use olivecart_membership::xds::resource::{TABLE, Treatment, assignment, cluster, markdown};
+use olivecart_membership::xds::resource::{FieldSupport, TABLE, assignment, cluster, markdown};
 
 fn host(endpoint: &mut LbEndpoint) -> &mut Endpoint {
     match &mut endpoint.host_identifier {
@@ -189,7 +189,10 @@
     assert_eq!(found.ignored, ignored);
     // Whatever is said to be ignored is in the table, as that.
     for field in ignored {
-        assert!(TABLE.iter().any(|row| row.field == field && row.treatment == Treatment::Ignored), "{field}");
+        assert!(
+            TABLE.iter().any(|row| row.field == field && row.support == FieldSupport::Ignored),
+            "{field}"
+        );
         assert!(markdown().contains(&format!("| `{field}` | ignored |")));
     }
 }
--- a/crates/membership/tests/xds/conversation.rs
+++ b/crates/membership/tests/xds/session.rs
@@ -1,8 +1,8 @@
 //! Conversations line by line, both variants.
 
 use super::talk::*;
-use olivecart_membership::xds::conversation::Input;
 use olivecart_membership::xds::resource::Kind::{Assignment, Cluster};
+use olivecart_membership::xds::session::Input;
 
 #[test]
 fn incremental_from_the_first_request_to_a_removal() {
@@ -114,9 +114,9 @@
         ["log stream opened", "send CDS n= +[] -[] {cart=} node=proxy-1", "send EDS n= +[cart] -[] {cart=1}"]
     );
     // Nothing new: nothing comes, and a stream that stands is good.
-    assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| cart.aged));
+    assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| cart.is_stale));
     assert!(talk.wait(5_000).contains(&"tell back".to_owned()));
-    assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| !cart.aged));
+    assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| !cart.is_stale));
     assert_eq!(talk.serves(), "cart: a");
     let mut talk = Talk::serving(StateOfTheWorld, &["a"]);
     assert_eq!(
@@ -166,8 +166,7 @@
 #[test]
 fn waits_between_connections_grow_and_differ() {
     let waits = |seed| {
-        let mut talk =
-            Talk::new(olivecart_membership::xds::conversation::Config { seed, ..config(Incremental) });
+        let mut talk = Talk::new(olivecart_membership::xds::session::Config { seed, ..config(Incremental) });
         let mut waits = Vec::new();
         for _ in 0..40 {
             assert_eq!(talk.tell(Input::Tick), ["connect"]);
@@ -232,9 +231,12 @@
 #[test]
 fn the_catalog_asks_again() {
     let mut talk = Talk::serving(Incremental, &["a"]);
-    assert_eq!(talk.tell(Input::Ask("cart".into())), ["send EDS n= +[cart] -[] {}"]);
+    assert_eq!(talk.tell(Input::Refetch("cart".into())), ["send EDS n= +[cart] -[] {}"]);
     let mut talk = Talk::serving(StateOfTheWorld, &["a"]);
-    assert_eq!(talk.tell(Input::Ask("cart".into())), ["send EDS v=1 n=n2 []", "send EDS v=1 n=n2 [cart]"]);
+    assert_eq!(
+        talk.tell(Input::Refetch("cart".into())),
+        ["send EDS v=1 n=n2 []", "send EDS v=1 n=n2 [cart]"]
+    );
     // Of clusters there is no such question; what the stream told last is said again.
     talk.says(
         Cluster,
@@ -242,7 +244,7 @@
         vec![resource("", "", own("tea", &["t"])), resource("", "", cluster("cart"))],
         &[],
     );
-    assert_eq!(talk.tell(Input::Ask("tea".into())), ["tell 2 tea(1)"]);
+    assert_eq!(talk.tell(Input::Refetch("tea".into())), ["tell 2 tea(1)"]);
 }
 
 #[test]
@@ -254,8 +256,8 @@
         connect_timeout,
         ..olivecart_lab::control_plane::eds_cluster("cart")
     };
-    let news = vec![resource("cart", "2", envoy_types::util::pack_any(cluster))];
-    assert_eq!(talk.says(Cluster, "2", news, &[])[0], "tell 2 settings cart");
+    let update = vec![resource("cart", "2", envoy_types::util::pack_any(cluster))];
+    assert_eq!(talk.says(Cluster, "2", update, &[])[0], "tell 2 settings cart");
     let cart = talk.catalog.cluster(&"cart".into()).expect("it serves");
     assert_eq!(cart.settings.connect_timeout, Some(std::time::Duration::from_millis(250)));
     assert_eq!(cart.endpoints().len(), 1);
--- a/crates/membership/tests/xds/talk.rs
+++ b/crates/membership/tests/xds/talk.rs
@@ -6,11 +6,11 @@
 use envoy_types::pb::google::protobuf::{Any, Duration as ProtoDuration};
 use envoy_types::util::pack_any;
 use olivecart_lab::control_plane::{eds_cluster, endpoints};
-use olivecart_membership::xds::conversation::{
-    Config, Conversation, Input, Node, Note, Output, Request, Response, Variant,
-};
 use olivecart_membership::xds::resource::Kind;
-use olivecart_membership::{Catalog, Event, Nanos, News, Policy};
+use olivecart_membership::xds::session::{
+    Config, Input, Node, Output, Request, Response, Session, SessionNotice, Variant,
+};
+use olivecart_membership::{Catalog, EndpointUpdate, Event, Nanos, Policy};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
 pub use Variant::{Incremental, StateOfTheWorld};
 
 pub struct Talk {
-    pub talk: Conversation,
+    pub talk: Session,
     pub catalog: Catalog,
     pub now: Nanos,
     pub requests: Vec<Request>,
@@ -71,7 +71,7 @@
 impl Talk {
     pub fn new(config: Config) -> Talk {
         let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("the default policy");
-        let talk = Conversation::new(config);
+        let talk = Session::new(config);
         Talk { talk, catalog, now: 0, requests: Vec::new(), nonce: 0 }
     }
 
@@ -97,7 +97,7 @@
         self.talk.handle(self.now, input, &mut out);
         for output in &out {
             match output {
-                Output::Tell(event) => self.catalog.handle(self.now, event.clone(), &mut Vec::new()),
+                Output::Notify(event) => self.catalog.handle(self.now, event.clone(), &mut Vec::new()),
                 Output::Send(request) => self.requests.push(Request::clone(request)),
                 Output::Connect | Output::Log(_) => {}
             }
@@ -181,11 +181,13 @@
     }
 
     /// Whether the catalog holds something back that only an explicit word lets through.
-    pub fn needs_word(&self) -> bool {
+    pub fn needs_explicit_confirmation(&self) -> bool {
         let views = self.catalog.view();
-        views
-            .iter()
-            .any(|view| view.feeds.iter().any(|feed| feed.held.as_ref().is_some_and(|h| h.needs_word)))
+        views.iter().any(|view| {
+            view.subscriptions
+                .iter()
+                .any(|feed| feed.quarantine.as_ref().is_some_and(|h| h.needs_explicit_confirmation))
+        })
     }
 }
 
@@ -193,8 +195,8 @@
     match output {
         Output::Connect => "connect".into(),
         Output::Send(request) => format!("send {}", request_line(request)),
-        Output::Tell(event) => format!("tell {}", event_line(event)),
-        Output::Log(Note::Refused { .. }) => "log refused".into(),
+        Output::Notify(event) => format!("tell {}", event_line(event)),
+        Output::Log(SessionNotice::Rejected { .. }) => "log refused".into(),
         Output::Log(note) => format!("log {note}"),
     }
 }
@@ -234,19 +236,19 @@
 
 fn event_line(event: &Event) -> String {
     match event {
-        Event::News { version, news, .. } => {
-            let what = match news {
-                News::All(all) => format!("all {}", all.len()),
-                News::Clusters(lists) => {
+        Event::Update { version, update, .. } => {
+            let what = match update {
+                EndpointUpdate::FullSnapshot(all) => format!("all {}", all.len()),
+                EndpointUpdate::ClusterSnapshots(lists) => {
                     let list =
                         |c: &olivecart_membership::Cluster| format!("{}({})", c.name, c.listed().len());
                     lists.iter().map(list).collect::<Vec<_>>().join(" ")
                 }
-                News::Changes(updates) => {
+                EndpointUpdate::ClusterDeltas(updates) => {
                     let names: Vec<String> = updates.iter().map(|u| u.cluster.to_string()).collect();
                     format!("settings {}", names.join(" "))
                 }
-                News::Removed(names) => {
+                EndpointUpdate::ClustersRemoved(names) => {
                     let names: Vec<&str> = names.iter().map(|name| name.as_str()).collect();
                     format!("removed {}", names.join(" "))
                 }
@@ -254,7 +256,7 @@
             format!("{version} {what}")
         }
         Event::Silent { silence, .. } => format!("{silence}"),
-        Event::Back { .. } => "back".into(),
+        Event::Reconnected { .. } => "back".into(),
         other => format!("{other:?}"),
     }
 }
--- a/crates/membership/tests/xds/shell.rs
+++ b/crates/membership/tests/xds/transport.rs
@@ -2,9 +2,11 @@
 
 use super::talk::{at, bad, config, eds};
 use olivecart_lab::control_plane::{ControlPlane, Kind, Resources};
-use olivecart_membership::source::{ASK_BOUND, Ask, Heard, SINK_BOUND};
-use olivecart_membership::xds::conversation::{Config, Variant};
-use olivecart_membership::xds::shell::{Target, run};
+use olivecart_membership::source::{
+    EVENT_QUEUE_CAPACITY, REFETCH_QUEUE_CAPACITY, RefetchRequest, SourceEvent,
+};
+use olivecart_membership::xds::session::{Config, Variant};
+use olivecart_membership::xds::transport::{Target, run};
 use olivecart_membership::{Catalog, Event, Policy};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -13,8 +15,8 @@
 
 struct Proxy {
     catalog: Catalog,
-    heard: Receiver<Heard>,
-    asks: Sender<Ask>,
+    heard: Receiver<SourceEvent>,
+    asks: Sender<RefetchRequest>,
     task: JoinHandle<()>,
     start: Instant,
     notes: Arc<Mutex<Vec<String>>>,
@@ -22,8 +24,8 @@
 
 impl Proxy {
     fn start(plane: &ControlPlane, variant: Variant, max_message: usize) -> Proxy {
-        let (sink, heard) = channel(SINK_BOUND);
-        let (asks, answers) = channel(ASK_BOUND);
+        let (sink, heard) = channel(EVENT_QUEUE_CAPACITY);
+        let (asks, answers) = channel(REFETCH_QUEUE_CAPACITY);
         let notes: Arc<Mutex<Vec<String>>> = Arc::default();
         let target = Target { max_message, ..Target::new(plane.address().to_string()) };
         let short = Duration::from_millis(20);
@@ -158,10 +160,10 @@
         let mut proxy = Proxy::start(&plane, Variant::Incremental, MEBI);
         proxy.until_serves(&["a"]).await;
         let (line, _) = plane.journal().wait_for(0, &["1 < EDS nonce=\"2\""]).await;
-        proxy.asks.send(Ask { cluster: "cart".into() }).await.expect("it listens");
+        proxy.asks.send(RefetchRequest { cluster: "cart".into() }).await.expect("it listens");
         plane.journal().wait_for(line, &["1 < EDS nonce=\"\"", "subscribe=[cart]"]).await;
         let heard = proxy.heard.recv().await.expect("the answer");
-        assert!(matches!(heard.event, Event::News { .. }));
+        assert!(matches!(heard.event, Event::Update { .. }));
     });
 }
 
@@ -204,9 +206,9 @@
         // Whoever listens again hears on: a burst of 20, and then one in 150 ms.
         let (mut heard, begin) = (0, Instant::now());
         while heard < 36 {
-            let Heard { event, .. } = proxy.heard.recv().await.expect("the source goes on");
-            heard += u32::from(matches!(event, Event::News { .. }));
+            let SourceEvent { event, .. } = proxy.heard.recv().await.expect("the source goes on");
+            heard += u32::from(matches!(event, Event::Update { .. }));
         }
-        assert!(begin.elapsed() > Duration::from_millis(150) * (36 - 21 - SINK_BOUND as u32 - 2));
+        assert!(begin.elapsed() > Duration::from_millis(150) * (36 - 21 - EVENT_QUEUE_CAPACITY as u32 - 2));
     });
 }
--- a/crates/proxy/src/catalog/mod.rs
+++ b/crates/proxy/src/catalog/mod.rs
@@ -14,7 +14,7 @@
 use crate::clock::Clock;
 use crate::operators::{REGISTRY, Source};
 use members::{Members, Turn};
-use olivecart_membership::source::{Ask, Heard, SINK_BOUND};
+use olivecart_membership::source::{EVENT_QUEUE_CAPACITY, RefetchRequest, SourceEvent};
 use olivecart_membership::{
     BadPolicy, Catalog, ClusterName, ClusterSettings, Event, Output, Policy, SourceId,
 };
@@ -112,7 +112,7 @@
     let ((into, steps), (report, reports)) = (channel(STEPS), channel(1));
     let named: BTreeSet<_> = named.into_iter().filter(|name| name.as_str() != REGISTRY).collect();
     let sight = Sight::new(log, named.clone());
-    let (sink, heard) = channel(SINK_BOUND);
+    let (sink, heard) = channel(EVENT_QUEUE_CAPACITY);
     let origins = Origins { sink, notices: sight.notices(), policy, seed };
     let keeper =
         Keeper { catalog, named, members: BTreeMap::new(), steps: into, asks: BTreeMap::new(), clock, sight };
@@ -127,7 +127,7 @@
     named: BTreeSet<ClusterName>,
     members: BTreeMap<ClusterName, Members>,
     steps: Sender<Step>,
-    asks: BTreeMap<SourceId, Sender<Ask>>,
+    asks: BTreeMap<SourceId, Sender<RefetchRequest>>,
     clock: Clock,
     sight: Sight,
 }
@@ -138,7 +138,7 @@
         mut self,
         sources: Vec<Source>,
         origins: Origins,
-        mut heard: Receiver<Heard>,
+        mut heard: Receiver<SourceEvent>,
         mut reports: Receiver<()>,
     ) {
         for source in sources {
@@ -157,7 +157,7 @@
             };
             let (event, report) = tokio::select! {
                 () = self.steps.closed() => return,
-                Some(Heard { event, .. }) = heard.recv() => (event, None),
+                Some(SourceEvent { event, .. }) = heard.recv() => (event, None),
                 () = tick => (Event::Tick, None),
                 // The tick brings the catalog's time up to date.
                 Some(()) = reports.recv() => (Event::Tick, Some(usize::MAX)),
@@ -202,12 +202,12 @@
                 }
                 steps
             }
-            Output::AskAgain { cluster, source } => {
+            Output::RefetchRequested { cluster, source } => {
                 // Danger: waiting for a source that waits for us. Without room the catalog asks again later.
                 self.asks
                     .get(&source)
                     .into_iter()
-                    .for_each(|asks| _ = asks.try_send(Ask { cluster: cluster.clone() }));
+                    .for_each(|asks| _ = asks.try_send(RefetchRequest { cluster: cluster.clone() }));
                 Vec::new()
             }
             _ => Vec::new(),
--- a/crates/proxy/src/catalog/origin.rs
+++ b/crates/proxy/src/catalog/origin.rs
@@ -2,10 +2,10 @@
 
 use super::sight::{Notices, Tone};
 use crate::operators::{Source, SourceKind, Watched, Xds};
-use olivecart_membership::source::{ASK_BOUND, Ask, Asks, Sink};
+use olivecart_membership::source::{EventSender, REFETCH_QUEUE_CAPACITY, RefetchReceiver, RefetchRequest};
 use olivecart_membership::watch::{self, Kind, Parser, Watch};
-use olivecart_membership::xds::conversation::{Config, Node, Note};
-use olivecart_membership::xds::shell::{self, Target};
+use olivecart_membership::xds::session::{Config, Node, SessionNotice};
+use olivecart_membership::xds::transport::{self, Target};
 use olivecart_membership::{Policy, SourceId};
 use rustc_hash::FxBuildHasher;
 use std::hash::BuildHasher;
@@ -14,7 +14,7 @@
 /// What sources are started with.
 pub struct Origins {
     /// Where they put what they hear.
-    pub sink: Sink,
+    pub sink: EventSender,
     /// Where they tell of themselves.
     pub notices: Notices,
     /// The catalog's figures: what it would refuse, a control plane is told.
@@ -25,27 +25,29 @@
 
 impl Origins {
     /// Starts a source, and tells where it is asked.
-    pub fn start(&self, Source { id, kind }: Source) -> Sender<Ask> {
-        let (asks, asked) = channel(ASK_BOUND);
+    pub fn start(&self, Source { id, kind }: Source) -> Sender<RefetchRequest> {
+        let (asks, asked) = channel(REFETCH_QUEUE_CAPACITY);
         match kind {
-            SourceKind::File(watched) => self.watch(id, watched, Kind::File, watch::documented, asked),
+            SourceKind::File(watched) => self.watch(id, watched, Kind::File, watch::parse_documented, asked),
             SourceKind::Directory(watched) => {
-                self.watch(id, watched, Kind::Directory, watch::documented, asked);
+                self.watch(id, watched, Kind::Directory, watch::parse_documented, asked);
             }
-            SourceKind::Envoy(watched) => self.watch(id, watched, Kind::File, watch::envoy, asked),
+            SourceKind::Envoy(watched) => self.watch(id, watched, Kind::File, watch::parse_envoy, asked),
             SourceKind::Xds(xds) => self.talk(id, xds, asked),
         }
         asks
     }
 
-    fn watch(&self, source: SourceId, watched: Watched, kind: Kind, parse: Parser, asked: Asks) {
+    fn watch(&self, source: SourceId, watched: Watched, kind: Kind, parse: Parser, asked: RefetchReceiver) {
         let Watched { path, poll } = watched;
         let (notices, of) = (self.notices.clone(), source.clone());
         let tell = move |notice: watch::Notice| {
             let tone = match &notice {
-                watch::Notice::Back => Tone::Fine,
-                watch::Notice::Remark(_) => Tone::Remark,
-                watch::Notice::Refused(_) | watch::Notice::Lost(_) | watch::Notice::Blind(_) => Tone::Amiss,
+                watch::Notice::Recovered => Tone::Fine,
+                watch::Notice::Warning(_) => Tone::Remark,
+                watch::Notice::Rejected(_)
+                | watch::Notice::Unavailable(_)
+                | watch::Notice::EventsUnavailable(_) => Tone::Amiss,
             };
             notices.note(&of, tone, &notice);
         };
@@ -53,11 +55,11 @@
         tokio::spawn(watch::run(watch, parse, self.sink.clone(), asked, tell));
     }
 
-    fn talk(&self, source: SourceId, xds: Xds, asked: Asks) {
+    fn talk(&self, source: SourceId, xds: Xds, asked: RefetchReceiver) {
         let (notices, of) = (self.notices.clone(), source.clone());
-        let tell = move |note: &Note| {
+        let tell = move |note: &SessionNotice| {
             let tone = match note {
-                Note::Connected => Tone::Fine,
+                SessionNotice::Connected => Tone::Fine,
                 note if note.is_warning() => Tone::Amiss,
                 _ => Tone::Remark,
             };
@@ -76,6 +78,6 @@
             seed: self.seed ^ FxBuildHasher.hash_one((source.as_str(), &node.id)),
             ..Config::new(source, node)
         };
-        tokio::spawn(shell::run(Target::new(xds.address), config, self.sink.clone(), asked, tell));
+        tokio::spawn(transport::run(Target::new(xds.address), config, self.sink.clone(), asked, tell));
     }
 }
--- a/crates/proxy/src/catalog/sight.rs
+++ b/crates/proxy/src/catalog/sight.rs
@@ -85,23 +85,23 @@
                     "source" => %added.source);
             }
             Output::Removed(removed) => _ = self.told.remove(&removed.cluster),
-            Output::Aged(aged) => {
+            Output::Stale(aged) => {
                 let for_ms = now.saturating_sub(aged.since) / 1_000_000;
                 warn!(self.log, "cluster aged"; "cluster" => %aged.cluster, "source" => %aged.source,
                     "silent_ms" => for_ms);
             }
-            Output::Renewed { cluster, source } => {
+            Output::Recovered { cluster, source } => {
                 info!(self.log, "cluster renewed"; "cluster" => %cluster, "source" => %source);
             }
-            Output::Held(held) => warn!(self.log, "held"; "what" => %held),
+            Output::Quarantined(held) => warn!(self.log, "held"; "what" => %held),
             Output::Released { cluster, source, cause } => {
                 info!(self.log, "released"; "cluster" => %cluster, "source" => %source, "because" => %cause);
             }
-            Output::Withdrawn { cluster, source } => {
+            Output::QuarantineDropped { cluster, source } => {
                 info!(self.log, "withdrawn"; "cluster" => %cluster, "source" => %source);
             }
-            Output::Refused(refusal) => warn!(self.log, "refused"; "what" => %refusal),
-            Output::Added(_) | Output::Changed(_) | Output::AskAgain { .. } => {}
+            Output::Rejected(refusal) => warn!(self.log, "refused"; "what" => %refusal),
+            Output::Added(_) | Output::Changed(_) | Output::RefetchRequested { .. } => {}
         }
     }
 
@@ -145,7 +145,7 @@
             let last = self.notices.last.lock().unwrap_or_else(PoisonError::into_inner);
             let last = last.get(&source.source).cloned();
             let refusal =
-                source.refusal.map(|refusal| format!("{} ms ago: {}", refusal.ms_ago, refusal.reason));
+                source.rejection.map(|refusal| format!("{} ms ago: {}", refusal.ms_ago, refusal.reason));
             let silent = source.silent.map(|(silence, ms)| format!("{silence} for {ms} ms"));
             let is = silent.into_iter().chain(last).chain(refusal).collect::<Vec<_>>().join("; ");
             let is = if is.is_empty() { "in touch" } else { &is };
@@ -156,8 +156,10 @@
         for missing in self.named.difference(&there) {
             warn!(self.log, "cluster"; "is" => format!("{missing}: requests are led here, and no source has it"));
         }
-        let amiss = |feed: &olivecart_membership::FeedView| feed.held.is_some() || feed.refusal.is_some();
-        views.sort_by_key(|view| !(view.aged || view.feeds.iter().any(amiss)));
+        let amiss = |feed: &olivecart_membership::SubscriptionView| {
+            feed.quarantine.is_some() || feed.rejection.is_some()
+        };
+        views.sort_by_key(|view| !(view.is_stale || view.subscriptions.iter().any(amiss)));
         for view in views.iter().take(most) {
             let text = view.to_string();
             text.lines().for_each(|line| info!(self.log, "cluster"; "is" => line));
--- a/crates/proxy/src/operators/mod.rs
+++ b/crates/proxy/src/operators/mod.rs
@@ -39,7 +39,7 @@
 pub use read::read;
 pub use rules::{Criteria, Rules};
 
-use olivecart_membership::xds::conversation::Variant;
+use olivecart_membership::xds::session::Variant;
 use olivecart_membership::{ClusterName, ClusterSettings, Policy, SourceId};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/proxy/src/operators/read.rs
+++ b/crates/proxy/src/operators/read.rs
@@ -4,7 +4,7 @@
 use super::rules::{Criteria, Rules};
 use super::{Operators, Overrides, REGISTRY, Source, SourceKind, VERSION, Watched, Xds};
 use olivecart_decisions::ClassId;
-use olivecart_membership::xds::conversation::Variant;
+use olivecart_membership::xds::session::Variant;
 use olivecart_membership::{ClusterName, ClusterSettings, Policy, SourceId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/proxy/src/sidecar/settings.rs
+++ b/crates/proxy/src/sidecar/settings.rs
@@ -5,7 +5,7 @@
 use olivecart_config::resolve::OWN_DESCRIPTORS;
 use olivecart_config::types::{Group, Proxy, ProxyClass, Repeat, Route, Variant};
 use olivecart_decisions::ClassId;
-use olivecart_membership::xds::conversation;
+use olivecart_membership::xds::session;
 use olivecart_membership::{ClusterName, SourceId};
 use olivecart_settings::{SettingsError, Site};
 use serde_json::{Value, json};
@@ -161,8 +161,8 @@
                 first_fetch: time(source.first_fetch, 15),
                 backoff: time(source.backoff, 30),
                 variant: match source.variant.unwrap_or_default() {
-                    Variant::Incremental => conversation::Variant::Incremental,
-                    Variant::StateOfTheWorld => conversation::Variant::StateOfTheWorld,
+                    Variant::Incremental => session::Variant::Incremental,
+                    Variant::StateOfTheWorld => session::Variant::StateOfTheWorld,
                 },
                 region: String::new(),
                 zone: proxy.zone.clone().unwrap_or_default(),
--- a/crates/proxy/src/tools.rs
+++ b/crates/proxy/src/tools.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use olivecart_membership::watch::{self, Parsed, Parser};
 use olivecart_membership::xds::resource::markdown;
-use olivecart_membership::{Cluster, Held, Policy, diff, held, summary};
+use olivecart_membership::{Cluster, Policy, Quarantined, diff, quarantined_changes, summary};
 use serde::de::IgnoredAny;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -124,23 +124,23 @@
 
     fn parser(self) -> Parser {
         match self {
-            Form::Documented => watch::documented,
-            Form::Envoy => watch::envoy,
+            Form::Documented => watch::parse_documented,
+            Form::Envoy => watch::parse_envoy,
         }
     }
 }
 
 fn read(path: &Path, form: Option<Form>) -> Result<Parsed, Wrong> {
-    let texts = watch::texts(path).map_err(|why| Wrong(TROUBLE, why))?;
+    let texts = watch::read_texts(path).map_err(|why| Wrong(TROUBLE, why))?;
     let parse = form.unwrap_or_else(|| Form::of(&texts)).parser();
     parse(texts).map_err(|why| Wrong(FOUND, why))
 }
 
 fn check(path: &Path, form: Option<Form>) -> u8 {
     match read(path, form) {
-        Ok(Parsed { clusters, remarks }) => {
+        Ok(Parsed { clusters, warnings }) => {
             println!("{}: {}", path.display(), summary(&clusters));
-            remarks.iter().for_each(|remark| println!("{remark}"));
+            warnings.iter().for_each(|warning| println!("{warning}"));
             let held = held_back(&[], &clusters);
             held.iter().for_each(|held| println!("would be held back: {held}"));
             if held.is_empty() { FINE } else { FOUND }
@@ -168,6 +168,6 @@
 }
 
 /// What a catalog with the usual figures would hold back.
-fn held_back(old: &[Cluster], new: &[Cluster]) -> Vec<Held> {
-    held(old, new, Policy::default()).unwrap_or_default() // the usual figures are in their ranges
+fn held_back(old: &[Cluster], new: &[Cluster]) -> Vec<Quarantined> {
+    quarantined_changes(old, new, Policy::default()).unwrap_or_default() // the usual figures are in their ranges
 }
