--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -40,13 +40,13 @@
         })
     }
 
-    fn entries(&mut self, elements: &[Element]) -> Result<Vec<Entry>, String> {
+    fn entries(&mut self, elements: &[Element]) -> Result<Vec<EndpointEntry>, String> {
         let mut entries = Vec::with_capacity(elements.len());
         for e in elements {
             let state = match e.stage_state {
-                0 => State::Gone,
-                1 => State::Ready,
-                2 => State::Draining,
+                0 => EndpointState::Removed,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Draining,
                 other => return Err(format!("unknown stage-state {other}")),
             };
             entries.push(self.site.entry(&Listed {
@@ -86,12 +86,12 @@
     Ok(match word {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
-        "full" => Outcome::Full,
+        "full" => Outcome::Overloaded,
         "timeout" => Outcome::Timeout,
         "connect_failed" => Outcome::ConnectFailed,
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
-        "moot" => Outcome::Moot,
+        "moot" => Outcome::NotSent,
         other => return Err(format!("unknown result {other:?}")),
     })
 }
@@ -144,14 +144,14 @@
                     let catalog = catalogs.get(&m.set_id);
                     self.tell(m.i, now, orders, |inst| {
                         let entries = match (m.form, catalog) {
-                            (3, _) => return Ok(Some(Event::List(ListChange::Failed))),
+                            (3, _) => return Ok(Some(Event::Endpoints(EndpointUpdate::Failed))),
                             (_, Some(elements)) => inst.entries(elements)?,
                             (_, None) => return Err(format!("unknown catalog {}", m.set_id)),
                         };
-                        Ok(Some(Event::List(match m.form {
-                            0 => ListChange::Delta(entries),
-                            1 => ListChange::Full(entries),
-                            2 => ListChange::Cached(entries),
+                        Ok(Some(Event::Endpoints(match m.form {
+                            0 => EndpointUpdate::Delta(entries),
+                            1 => EndpointUpdate::Snapshot(entries),
+                            2 => EndpointUpdate::Cached(entries),
                             other => return Err(format!("unknown form {other}")),
                         })))
                     })?;
@@ -168,23 +168,23 @@
                     inst.next_request += 1;
                     inst.ids.insert(txn.clone(), id);
                     inst.open.insert(id, Open { txn, ended: false, out: 0 });
-                    Ok(Some(Event::Request(Request {
+                    Ok(Some(Event::RequestArrived(Request {
                         id: RequestId(id),
                         class: ClassId(class as u16),
                         tenant,
                         key: r.entity,
-                        left: r.left_ns.max(0) as u64,
-                        cost: r.cost_ns,
-                        write: r.is_write,
-                        retry: r.retry,
+                        time_left: r.left_ns.max(0) as u64,
+                        estimated_work: r.cost_ns,
+                        is_write: r.is_write,
+                        is_retry: r.retry,
                     })))
                 })?,
                 WireEvent::Ring { i, cookie } => {
-                    self.tell(i, now, orders, |_| Ok(Some(Event::Timer(timer(cookie)))))?;
+                    self.tell(i, now, orders, |_| Ok(Some(Event::TimerFired(timer(cookie)))))?;
                 }
                 WireEvent::PeerData(p) => self.tell(p.i, now, orders, |_| {
                     let bytes = BASE64.decode(p.raw.as_bytes()).map_err(|e| format!("peer bytes: {e}"))?;
-                    Ok(Some(Event::Peer { from: p.author, bytes }))
+                    Ok(Some(Event::PeerMessage { from: p.author, bytes }))
                 })?,
                 WireEvent::Response(r) => self.tell(r.i, now, orders, |inst| {
                     let outcome = outcome(&r.result)?;
@@ -194,32 +194,32 @@
                         open.ended |= r.over;
                     }
                     inst.settle(id);
-                    Ok(Some(Event::Outcome(AttemptEnd {
+                    Ok(Some(Event::AttemptEnded(AttemptEnd {
                         request: RequestId(id),
                         attempt: r.leg,
                         endpoint: EndpointId(inst.site.endpoints.id(&r.endpoint)),
                         outcome,
-                        took: r.duration_ns,
-                        over: r.over,
+                        duration: r.duration_ns,
+                        request_completed: r.over,
                         load: r.telemetry.map(|row| inst.site.load_row(row)),
                     })))
                 })?,
                 WireEvent::Aborted(a) => self.tell(a.i, now, orders, |inst| {
                     let Some(&id) = inst.ids.get(&*a.txn) else { return Ok(None) };
                     inst.end(RequestId(id));
-                    Ok(Some(Event::Aborted(RequestId(id))))
+                    Ok(Some(Event::RequestAborted(RequestId(id))))
                 })?,
                 WireEvent::Health(h) => self.tell(h.i, now, orders, |inst| {
-                    Ok(Some(Event::Checked {
+                    Ok(Some(Event::HealthCheckCompleted {
                         endpoint: EndpointId(inst.site.endpoints.id(&h.endpoint)),
                         outcome: outcome(&h.result)?,
-                        took: h.duration_ns,
+                        duration: h.duration_ns,
                         load: h.telemetry.map(|row| inst.site.load_row(row)),
                     }))
                 })?,
                 WireEvent::Begun(b) => self.tell(b.i, now, orders, |inst| {
                     let Some(&id) = inst.ids.get(&*b.txn) else { return Ok(None) };
-                    Ok(Some(Event::Begun { request: RequestId(id), attempt: b.leg }))
+                    Ok(Some(Event::ResponseStarted { request: RequestId(id), attempt: b.leg }))
                 })?,
             }
         }
@@ -261,7 +261,7 @@
 /// A timer's purpose as a number, and back.
 fn cookie(timer: Timer) -> u64 {
     match timer {
-        Timer::Check(EndpointId(id)) => u64::from(id) << 2,
+        Timer::HealthCheck(EndpointId(id)) => u64::from(id) << 2,
         Timer::Request(RequestId(id)) => id << 2 | 1,
         Timer::Discovery => 2,
     }
@@ -269,7 +269,7 @@
 
 fn timer(cookie: u64) -> Timer {
     match cookie & 3 {
-        0 => Timer::Check(EndpointId((cookie >> 2) as u32)),
+        0 => Timer::HealthCheck(EndpointId((cookie >> 2) as u32)),
         1 => Timer::Request(RequestId(cookie >> 2)),
         _ => Timer::Discovery,
     }
@@ -286,16 +286,16 @@
         Ok::<_, String>(name.clone())
     };
     Ok(match action {
-        Action::Send { request, endpoint, cap, .. } => {
+        Action::StartAttempt { request, endpoint, timeout: cap, .. } => {
             if let Some(open) = inst.open.get_mut(&request.0) {
                 open.out += 1;
             }
             Order::HandOff { i, txn: txn(inst, request)?, cap_ns: cap, endpoint: name(inst, endpoint)? }
         }
-        Action::Cancel { request, attempt } => {
+        Action::CancelAttempt { request, attempt } => {
             Order::DropAttempt { i, txn: txn(inst, request)?, leg: attempt }
         }
-        Action::Shed { request, come_back } => {
+        Action::Shed { request, retry_after: come_back } => {
             let txn = txn(inst, request)?;
             inst.end(request);
             Order::Shed { i, txn, come_back_ns: come_back }
@@ -305,15 +305,15 @@
             inst.end(request);
             Order::EndFailed { i, txn }
         }
-        Action::Check(endpoint) => Order::Sample { i, endpoint: name(inst, endpoint)? },
+        Action::StartHealthCheck(endpoint) => Order::Sample { i, endpoint: name(inst, endpoint)? },
         Action::SetTimer { at, timer } => Order::SetTimer { i, alarm_time_ns: at, cookie: cookie(timer) },
-        Action::Watch(enable) => Order::Watch { i, enable },
-        Action::Refresh => Order::Refresh { i },
-        Action::Close(endpoint) => Order::Disconnect { i, endpoint: name(inst, endpoint)? },
+        Action::WatchEndpoints(enable) => Order::Watch { i, enable },
+        Action::RefreshEndpoints => Order::Refresh { i },
+        Action::CloseIdleConnections(endpoint) => Order::Disconnect { i, endpoint: name(inst, endpoint)? },
         Action::Publish { to, bytes } => {
             let recipient = to.map_or(Recipient::All("all"), Recipient::One);
             Order::Publish { i, recipient, raw: BASE64.encode(bytes) }
         }
-        Action::Remark(what) => Order::Remark { i, what },
+        Action::Log(what) => Order::Remark { i, what },
     })
 }
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -40,8 +40,8 @@
 /// What a timer is for; handed back unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// An endpoint's periodic check.
-    Check(EndpointId),
+    /// An endpoint's periodic health check.
+    HealthCheck(EndpointId),
     /// A request that waits for an endpoint, or whose attempt may be overdue.
     Request(RequestId),
     /// The list has to be asked for.
@@ -50,7 +50,7 @@
 
 /// The endpoints within which a repeat of a keyed request is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// Any endpoint.
     All,
     /// Those in the zone of the endpoint that may have run it.
@@ -61,41 +61,47 @@
 
 /// What happens if a request runs twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be sent again at will.
-    Repeatable,
+    Idempotent,
     /// Its key keeps it from taking effect twice, inside one group and for a while.
-    ByKey {
+    Keyed {
         /// Where a repeat is dropped.
-        group: Group,
+        scope: DeduplicationScope,
         /// For how long after the first attempt that may have run.
         window: Nanos,
     },
     /// Harm: it must never run twice.
-    Once,
+    NonIdempotent,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// The longest a client waits, over all its tries.
-    pub give_up: Nanos,
+    pub client_deadline: Nanos,
     /// Whether it may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth left to an answer after the aim.
-    pub late_worth: f64,
+    pub late_weight_ratio: f64,
     /// The answer comes as a stream.
-    pub stream: bool,
+    pub streaming: bool,
 }
 
 impl Default for Class {
     fn default() -> Self {
-        let effect = Effect::Repeatable;
-        Class { aim: 100_000_000, give_up: 400_000_000, effect, worth: 1.0, late_worth: 0.0, stream: false }
+        Class {
+            latency_objective: 100_000_000,
+            client_deadline: 400_000_000,
+            idempotency: Idempotency::Idempotent,
+            priority_weight: 1.0,
+            late_weight_ratio: 0.0,
+            streaming: false,
+        }
     }
 }
 
@@ -113,7 +119,7 @@
 pub enum Discovery {
     /// Changes come unasked.
     Automatic,
-    /// Only after [`Action::Watch`] or [`Action::Refresh`].
+    /// Only after [`Action::WatchEndpoints`] or [`Action::RefreshEndpoints`].
     Subscribe,
 }
 
@@ -123,11 +129,11 @@
     /// Most attempts of one request.
     pub max_attempts: u32,
     /// Two attempts of one request may be out at the same time.
-    pub second_copies: bool,
-    /// [`Action::Cancel`] may be used.
-    pub cancel: bool,
-    /// [`Action::Check`] may be used.
-    pub probes: bool,
+    pub hedging_enabled: bool,
+    /// [`Action::CancelAttempt`] may be used.
+    pub cancellation_enabled: bool,
+    /// [`Action::StartHealthCheck`] may be used.
+    pub health_checks_enabled: bool,
     /// Longest come-back time that clients honour; 0 where none may be given.
     pub max_retry_after: Nanos,
     /// A connection not established in this time has failed.
@@ -138,55 +144,55 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// A cold endpoint starts with at least this share of its capacity.
-    pub cold_share: f64,
+    pub slow_start_initial_share: f64,
     /// It is warm no later than this after its start.
-    pub cold: Nanos,
+    pub slow_start_window: Nanos,
     /// It falls over when sent more than this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long.
-    pub fall: Nanos,
+    pub overload_window: Nanos,
     /// Sends to a draining or gone endpoint must stop within this time.
     pub drain_grace: Nanos,
     /// Without a subscription, the list must be asked for within this time.
-    pub must_ask_in: Nanos,
+    pub poll_interval: Nanos,
 }
 
 /// What a unit of each costs, as a fraction of all the service.
 #[derive(Clone, Debug, Default)]
-pub struct Prices {
+pub struct CostWeights {
     /// An attempt across zones, per first try.
     pub cross_zone: f64,
     /// Endpoint work that yields no answer, as a fraction of the work offered.
-    pub waste: f64,
+    pub wasted_work: f64,
     /// A probe, per first try.
-    pub probe: f64,
+    pub health_check: f64,
     /// Worth that ends unserved after its aim, per worth.
-    pub late_fail: f64,
+    pub late_failure: f64,
 }
 
 /// What an instance is told at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of this instance among those of its tier, from 0.
-    pub me: u32,
+    pub replica_index: u32,
     /// How many instances its tier has.
-    pub group_size: u32,
+    pub replica_count: u32,
     /// The tier it sends to; 0 is the one that clients call.
     pub tier: u32,
     /// Where it runs.
     pub zone: ZoneId,
     /// Least time between two batches of events.
-    pub tick: Nanos,
+    pub clock_granularity: Nanos,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants; may be none.
     pub tenants: Vec<Tenant>,
     /// Worth left to a request beyond its tenant's share.
-    pub over_share_worth: f64,
+    pub over_quota_weight_ratio: f64,
     /// Worth is counted for each unit of work instead of each request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// A call to the next tier carries the time its caller has left.
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// How the list comes.
     pub discovery: Discovery,
     /// What the site allows.
@@ -194,41 +200,41 @@
     /// The figures of the rules.
     pub rules: Rules,
     /// What things cost.
-    pub prices: Prices,
+    pub cost_weights: CostWeights,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         const S: Nanos = 1_000_000_000;
         Settings {
-            me: 0,
-            group_size: 1,
+            replica_index: 0,
+            replica_count: 1,
             tier: 0,
             zone: ZoneId(0),
-            tick: S / 1000,
+            clock_granularity: S / 1000,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
-            passes_deadline: true,
+            over_quota_weight_ratio: 1.0,
+            weight_by_work: false,
+            propagates_deadline: true,
             discovery: Discovery::Automatic,
             limits: Limits {
                 max_attempts: 3,
-                second_copies: false,
-                cancel: false,
-                probes: true,
+                hedging_enabled: false,
+                cancellation_enabled: false,
+                health_checks_enabled: true,
                 max_retry_after: 0,
                 connect_timeout: S / 4,
             },
             rules: Rules {
-                cold_share: 0.1,
-                cold: 30 * S,
-                fall_multiple: 2.0,
-                fall: S,
+                slow_start_initial_share: 0.1,
+                slow_start_window: 30 * S,
+                overload_multiple: 2.0,
+                overload_window: S,
                 drain_grace: S / 4,
-                must_ask_in: 10 * S,
+                poll_interval: 10 * S,
             },
-            prices: Prices::default(),
+            cost_weights: CostWeights::default(),
         }
     }
 }
@@ -240,19 +246,19 @@
         if self.classes.is_empty() {
             return bad("there is no class of requests");
         }
-        if self.group_size == 0 || self.me >= self.group_size {
+        if self.replica_count == 0 || self.replica_index >= self.replica_count {
             return bad("this instance's number lies outside its group");
         }
         if self.limits.max_attempts == 0 {
             return bad("no attempt is allowed at all");
         }
-        if self.classes.iter().any(|c| c.aim == 0 || c.give_up == 0) {
+        if self.classes.iter().any(|c| c.latency_objective == 0 || c.client_deadline == 0) {
             return bad("a class has no time to be answered in");
         }
         let rules = &self.rules;
-        if !(0.0..=1.0).contains(&rules.cold_share)
-            || rules.fall_multiple.is_nan()
-            || rules.fall_multiple <= 0.0
+        if !(0.0..=1.0).contains(&rules.slow_start_initial_share)
+            || rules.overload_multiple.is_nan()
+            || rules.overload_multiple <= 0.0
         {
             return bad("the figures of the cold rule are not usable");
         }
@@ -262,25 +268,25 @@
 
 /// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
     /// It takes requests.
     Ready,
     /// It finishes what it has; nothing new.
     Draining,
-    /// It is withdrawn.
+    /// It is no longer listed, or the list says that it has left.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One endpoint as the list describes it.
 #[derive(Clone, Debug, Default)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The endpoint.
     pub id: EndpointId,
     /// Its name, the same at every instance; only hashed.
     pub name: Rc<str>,
     /// Whether it takes requests.
-    pub state: State,
+    pub state: EndpointState,
     /// Where it runs.
     pub zone: ZoneId,
     /// Its kind of machine.
@@ -293,34 +299,43 @@
     pub started: Option<Nanos>,
 }
 
-impl Entry {
+impl EndpointEntry {
     /// A warm endpoint that takes requests, with nothing else known of it.
-    pub fn ready(id: EndpointId, name: &str) -> Entry {
+    pub fn ready(id: EndpointId, name: &str) -> EndpointEntry {
         let (zone, kind, cell) = (ZoneId(0), KindId(0), CellId(0));
-        Entry { id, name: name.into(), state: State::Ready, zone, kind, cell, size: 1.0, started: None }
+        EndpointEntry {
+            id,
+            name: name.into(),
+            state: EndpointState::Ready,
+            zone,
+            kind,
+            cell,
+            size: 1.0,
+            started: None,
+        }
     }
 }
 
-impl Group {
-    /// Whether two endpoints are of one group.
-    pub fn joins(self, a: &Entry, b: &Entry) -> bool {
+impl DeduplicationScope {
+    /// Whether two endpoints lie in one scope, so that each drops what the other has run.
+    pub fn is_shared_by(self, a: &EndpointEntry, b: &EndpointEntry) -> bool {
         match self {
-            Group::All => true,
-            Group::Zone => a.zone == b.zone,
-            Group::Cell => a.cell == b.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => a.zone == b.zone,
+            DeduplicationScope::Cell => a.cell == b.cell,
         }
     }
 }
 
 /// News of the list.
 #[derive(Clone, Debug)]
-pub enum ListChange {
+pub enum EndpointUpdate {
     /// Entries that changed.
-    Delta(Vec<Entry>),
+    Delta(Vec<EndpointEntry>),
     /// The whole list; what is missing is gone.
-    Full(Vec<Entry>),
+    Snapshot(Vec<EndpointEntry>),
     /// The whole list as this instance last held it, perhaps outdated.
-    Cached(Vec<Entry>),
+    Cached(Vec<EndpointEntry>),
     /// Asking failed or the subscription broke; the list stays as it was.
     Failed,
 }
@@ -337,19 +352,28 @@
     /// Its subject; requests of one key belong together.
     pub key: Option<u64>,
     /// Time until the client gives up this try.
-    pub left: Nanos,
+    pub time_left: Nanos,
     /// Expected work, as time on a standard core; rough.
-    pub cost: Option<Nanos>,
+    pub estimated_work: Option<Nanos>,
     /// It writes.
-    pub write: bool,
+    pub is_write: bool,
     /// The client marked it as a repeated try.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 impl Request {
     /// A request with nothing optional.
-    pub fn new(id: RequestId, class: ClassId, left: Nanos) -> Request {
-        Request { id, class, tenant: None, key: None, left, cost: None, write: false, retry: false }
+    pub fn new(id: RequestId, class: ClassId, time_left: Nanos) -> Request {
+        Request {
+            id,
+            class,
+            tenant: None,
+            key: None,
+            time_left,
+            estimated_work: None,
+            is_write: false,
+            is_retry: false,
+        }
     }
 }
 
@@ -361,7 +385,7 @@
     /// The endpoint answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection; it never ran.
@@ -371,19 +395,19 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never issued.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// The attempt provably never ran.
-    pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+    pub fn was_never_executed(self) -> bool {
+        matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 /// What an endpoint reported of its load: late, noisy, and only in part.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests in work.
     pub active: Option<f64>,
     /// Requests waiting.
@@ -398,7 +422,7 @@
     pub error_rate: Option<f64>,
 }
 
-/// The end of one attempt; exactly one comes for each [`Action::Send`].
+/// The end of one attempt; exactly one comes for each [`Action::StartAttempt`].
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
     /// The request.
@@ -410,46 +434,46 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub took: Nanos,
-    /// The request has ended, by this or before.
-    pub over: bool,
+    pub duration: Nanos,
+    /// The request has ended, by this attempt or before.
+    pub request_completed: bool,
     /// Load report that came along.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// What the module is told.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the list of endpoints.
-    List(ListChange),
-    /// A request arrived; one final answer is owed.
-    Request(Request),
+    Endpoints(EndpointUpdate),
+    /// A request arrived; one final response is owed.
+    RequestArrived(Request),
     /// An attempt's stream has begun: no time-out runs any more.
-    Begun {
+    ResponseStarted {
         /// The request.
         request: RequestId,
         /// Which of its attempts.
         attempt: u32,
     },
     /// An attempt ended.
-    Outcome(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// The client left; nothing is owed any more.
-    Aborted(RequestId),
+    RequestAborted(RequestId),
     /// A check ended.
-    Checked {
+    HealthCheckCompleted {
         /// The endpoint checked.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
-        took: Nanos,
+        duration: Nanos,
         /// Load report that came along.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A timer is due.
-    Timer(Timer),
+    TimerFired(Timer),
     /// Bytes from another instance of the tier. The module shares nothing and ignores them.
-    Peer {
+    PeerMessage {
         /// Number of the sender.
         from: u32,
         /// What it sent.
@@ -461,19 +485,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Send {
+    StartAttempt {
         /// The request.
         request: RequestId,
         /// Where to.
         endpoint: EndpointId,
         /// Time-out of the attempt; 0: until the client gives up.
-        cap: Nanos,
+        timeout: Nanos,
         /// Its first byte may be written until then. Danger: a connection that comes up late carries a repeat out
         /// of the window in which it is known as one.
         start_by: Nanos,
     },
     /// Stop waiting for an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
         request: RequestId,
         /// Which of its attempts.
@@ -484,13 +508,13 @@
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0: no word.
-        come_back: Nanos,
+        retry_after: Nanos,
     },
     /// Final answer: failed, nothing promised.
     Fail(RequestId),
     /// Check an endpoint.
-    Check(EndpointId),
-    /// Ask for [`Event::Timer`] at a time.
+    StartHealthCheck(EndpointId),
+    /// Ask for [`Event::TimerFired`] at a time.
     SetTimer {
         /// When.
         at: Nanos,
@@ -498,11 +522,11 @@
         timer: Timer,
     },
     /// Subscribe to changes of the list, or stop.
-    Watch(bool),
+    WatchEndpoints(bool),
     /// Ask for the whole list once.
-    Refresh,
+    RefreshEndpoints,
     /// Close idle connections to an endpoint.
-    Close(EndpointId),
+    CloseIdleConnections(EndpointId),
     /// Send bytes to one other instance of the tier, or to all.
     Publish {
         /// Number of the receiver; none: all.
@@ -511,5 +535,5 @@
         bytes: Vec<u8>,
     },
     /// A line for the operators' report.
-    Remark(String),
+    Log(String),
 }
--- a/crates/decisions/src/knowledge.rs
+++ b/crates/decisions/src/knowledge.rs
@@ -8,7 +8,7 @@
 /// must go on from.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Knowledge {
+pub struct LearnedState {
     /// By class: mean duration, deviation, of how many, mean hint.
     norms: Vec<[f64; 4]>,
     retry_budget: f64,
@@ -47,7 +47,7 @@
 
 impl Balancer {
     /// What it has learned so far.
-    pub fn knowledge(&self) -> Knowledge {
+    pub fn learned_state(&self) -> LearnedState {
         let known = |e: &Endpoint| Known {
             started: e.entry.started,
             up: e.up,
@@ -62,7 +62,7 @@
             budget: e.budget,
             topped: e.topped,
         };
-        Knowledge {
+        LearnedState {
             norms: self.norms.iter().map(|n| [n.mean, n.deviation, n.seen, n.cost]).collect(),
             retry_budget: self.retry_budget,
             sent_work: sum(&self.sent_work),
@@ -79,7 +79,7 @@
     ///
     /// Danger: one that begins anew knows no rate, and lets next to nothing go to a cold endpoint. In the middle of a
     /// release that is most of them, and the few warm ones jam.
-    pub fn take_over(&mut self, other: &Knowledge) {
+    pub fn restore(&mut self, other: &LearnedState) {
         if other.norms.len() == self.norms.len() {
             let norm = |&[mean, deviation, seen, cost]: &[f64; 4]| Norm { mean, deviation, seen, cost };
             self.norms = other.norms.iter().map(norm).collect();
@@ -107,7 +107,7 @@
 mod tests {
     use super::*;
     use crate::interface::*;
-    use crate::logic::Standing;
+    use crate::logic::EndpointStatus;
 
     const S: Nanos = 1_000_000_000;
 
@@ -117,16 +117,24 @@
         for n in 0..seconds * 20 {
             let (now, mut out) = ((1000 + from) * S + n * S / 20, Vec::new());
             let request = RequestId(from * 1000 + n);
-            balancer.handle(now, Event::Request(Request::new(request, ClassId(0), S)), &mut out);
+            balancer.handle(now, Event::RequestArrived(Request::new(request, ClassId(0), S)), &mut out);
             let sent = out.iter().find_map(|action| match action {
-                Action::Send { endpoint, .. } => Some(*endpoint),
+                Action::StartAttempt { endpoint, .. } => Some(*endpoint),
                 _ => None,
             });
             let Some(at) = sent else { continue };
             there += usize::from(at == endpoint);
             let (outcome, took, load) = (Outcome::Ok, S / 100, None);
-            let end = AttemptEnd { request, attempt: 0, endpoint: at, outcome, took, over: true, load };
-            balancer.handle(now, Event::Outcome(end), &mut Vec::new());
+            let end = AttemptEnd {
+                request,
+                attempt: 0,
+                endpoint: at,
+                outcome,
+                duration: took,
+                request_completed: true,
+                load,
+            };
+            balancer.handle(now, Event::AttemptEnded(end), &mut Vec::new());
         }
         there
     }
@@ -135,25 +143,28 @@
     fn the_next_instance_avoids_who_is_down_and_sends_a_cold_endpoint_what_the_rate_of_calls_allows() {
         let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
         let start = |now| {
-            let entry = |n, name: &str, started| Entry { started, ..Entry::ready(EndpointId(n), name) };
+            let entry = |n, name: &str, started| EndpointEntry {
+                started,
+                ..EndpointEntry::ready(EndpointId(n), name)
+            };
             // In a release: the cold one is another process for the next instance.
             let list = vec![entry(0, "warm", None), entry(1, "cold", Some(now - S))];
             let mut balancer = Balancer::new(settings.clone(), 1, now);
-            balancer.handle(now, Event::List(ListChange::Full(list)), &mut Vec::new());
+            balancer.handle(now, Event::Endpoints(EndpointUpdate::Snapshot(list)), &mut Vec::new());
             balancer
         };
         let goes_down = |balancer: &mut Balancer| {
             let (endpoint, outcome) = (EndpointId(0), Outcome::ConnectFailed);
-            let checked = Event::Checked { endpoint, outcome, took: 1, load: None };
+            let checked = Event::HealthCheckCompleted { endpoint, outcome, duration: 1, load: None };
             balancer.handle(1010 * S, checked, &mut Vec::new());
         };
         let mut old = start(1000 * S);
         serve(&mut old, 0, 10, EndpointId(1));
         goes_down(&mut old);
         let (mut taught, mut fresh) = (start(1010 * S), start(1010 * S));
-        taught.take_over(&old.knowledge());
-        assert_eq!(taught.standing(EndpointId(0)), Standing::Down);
-        assert_eq!(taught.knowledge().norms, old.knowledge().norms);
+        taught.restore(&old.learned_state());
+        assert_eq!(taught.endpoint_status(EndpointId(0)), EndpointStatus::Unhealthy);
+        assert_eq!(taught.learned_state().norms, old.learned_state().norms);
         goes_down(&mut fresh);
         let cold = EndpointId(1);
         let [taught, fresh] = [&mut taught, &mut fresh].map(|balancer| serve(balancer, 10, 3, cold));
@@ -164,17 +175,22 @@
     fn one_that_started_anew_is_not_taken_for_the_one_before() {
         let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
         let mut old = Balancer::new(settings.clone(), 1, 1000 * S);
-        let list = |started| vec![Entry { started, ..Entry::ready(EndpointId(0), "a") }];
-        old.handle(1000 * S, Event::List(ListChange::Full(list(None))), &mut Vec::new());
+        let list = |started| vec![EndpointEntry { started, ..EndpointEntry::ready(EndpointId(0), "a") }];
+        old.handle(1000 * S, Event::Endpoints(EndpointUpdate::Snapshot(list(None))), &mut Vec::new());
         let (endpoint, outcome) = (EndpointId(0), Outcome::ConnectFailed);
-        old.handle(1001 * S, Event::Checked { endpoint, outcome, took: 1, load: None }, &mut Vec::new());
-        for (started, standing) in
-            [(None, Standing::Down), (Some(1001 * S), Standing::Cold { started: 1001 * S })]
-        {
+        old.handle(
+            1001 * S,
+            Event::HealthCheckCompleted { endpoint, outcome, duration: 1, load: None },
+            &mut Vec::new(),
+        );
+        for (started, standing) in [
+            (None, EndpointStatus::Unhealthy),
+            (Some(1001 * S), EndpointStatus::SlowStart { started: 1001 * S }),
+        ] {
             let mut new = Balancer::new(settings.clone(), 1, 1002 * S);
-            new.handle(1002 * S, Event::List(ListChange::Full(list(started))), &mut Vec::new());
-            new.take_over(&old.knowledge());
-            assert_eq!(new.standing(EndpointId(0)), standing);
+            new.handle(1002 * S, Event::Endpoints(EndpointUpdate::Snapshot(list(started))), &mut Vec::new());
+            new.restore(&old.learned_state());
+            assert_eq!(new.endpoint_status(EndpointId(0)), standing);
         }
     }
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -4,16 +4,17 @@
 //! clock, no threads and no sockets; the same events always give the same actions.
 //!
 //! ```
-//! use olivecart_decisions::{Action, Balancer, Class, Entry, Event, ListChange, Settings};
+//! use olivecart_decisions::{Action, Balancer, Class, EndpointEntry, EndpointUpdate, Event, Settings};
 //! use olivecart_decisions::{ClassId, EndpointId, Request, RequestId};
 //!
 //! let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 7, 0);
 //! let mut actions = Vec::new();
-//! let list = vec![Entry::ready(EndpointId(0), "a"), Entry::ready(EndpointId(1), "b")];
-//! balancer.handle(0, Event::List(ListChange::Cached(list)), &mut actions);
-//! balancer.handle(0, Event::Request(Request::new(RequestId(1), ClassId(0), 400_000_000)), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
+//! let list = vec![EndpointEntry::ready(EndpointId(0), "a"), EndpointEntry::ready(EndpointId(1), "b")];
+//! balancer.handle(0, Event::Endpoints(EndpointUpdate::Cached(list)), &mut actions);
+//! let request = Request::new(RequestId(1), ClassId(0), 400_000_000);
+//! balancer.handle(0, Event::RequestArrived(request), &mut actions);
+//! assert!(actions.iter().any(|a| matches!(a, Action::StartAttempt { request: RequestId(1), .. })));
 //! ```
 
 mod decayed;
@@ -21,7 +22,7 @@
 mod logic;
 
 pub use interface::*;
-pub use logic::{Balancer, Knowledge, Standing};
+pub use logic::{Balancer, EndpointStatus, LearnedState};
 
 /// The README's example is compiled and run with the tests.
 #[cfg(doctest)]
--- a/crates/decisions/src/logic.rs
+++ b/crates/decisions/src/logic.rs
@@ -13,7 +13,7 @@
 
 #[path = "sight.rs"]
 mod sight; // a child, so that it sees what is private here
-pub use sight::{Knowledge, Standing};
+pub use sight::{EndpointStatus, LearnedState};
 
 /// Calls an endpoint of ordinary speed may hold above the lowest count before the walk skips it. Under one:
 /// at full size an instance holds few calls, and a second one on a favourite is worse than an idle endpoint.
@@ -62,7 +62,7 @@
 
 #[derive(Default)]
 struct Endpoint {
-    entry: Entry,
+    entry: EndpointEntry,
     up: bool,
     next_check: Nanos,
     in_flight: u32,
@@ -111,7 +111,7 @@
 /// What the rules still permit for a request: sends, until when and to whose group; and a refusal.
 struct Permit {
     until: Nanos,
-    within: Option<(Group, usize)>,
+    within: Option<(DeduplicationScope, usize)>,
     shed: bool,
 }
 
@@ -148,7 +148,7 @@
 impl Balancer {
     /// A balancer that knows nothing yet. `seed` feeds all its chance.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Balancer {
-        let mean = |c: &Class| c.aim as f64 / OVERDUE_DEVIATIONS;
+        let mean = |c: &Class| c.latency_objective as f64 / OVERDUE_DEVIATIONS;
         let norm = |c| Norm { mean: mean(c), deviation: 1.0, seen: 0.0, cost: 0.0 };
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
@@ -173,19 +173,19 @@
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.now = now.max(self.now);
         match event {
-            Event::List(change) => self.follow_list(change, out),
-            Event::Request(request) => self.take(request, out),
-            Event::Begun { request, attempt } => {
+            Event::Endpoints(change) => self.follow_list(change, out),
+            Event::RequestArrived(request) => self.take(request, out),
+            Event::ResponseStarted { request, attempt } => {
                 self.open.entry(request).and_modify(|r| r.begun = true);
                 self.cancel_rest(request, Some(attempt), out);
             }
-            Event::Outcome(end) => self.attempt_ended(end, out),
-            Event::Aborted(request) => self.forget(request, out),
-            Event::Checked { endpoint, outcome, .. } => self.checked(endpoint, outcome, out),
-            Event::Timer(Timer::Check(id)) => self.check_due(id.0 as usize, out),
-            Event::Timer(Timer::Request(id)) => self.request_due(id, out),
-            Event::Timer(Timer::Discovery) => out.push(Action::Watch(true)),
-            Event::Peer { .. } => {} // instances share nothing
+            Event::AttemptEnded(end) => self.attempt_ended(end, out),
+            Event::RequestAborted(request) => self.forget(request, out),
+            Event::HealthCheckCompleted { endpoint, outcome, .. } => self.checked(endpoint, outcome, out),
+            Event::TimerFired(Timer::HealthCheck(id)) => self.check_due(id.0 as usize, out),
+            Event::TimerFired(Timer::Request(id)) => self.request_due(id, out),
+            Event::TimerFired(Timer::Discovery) => out.push(Action::WatchEndpoints(true)),
+            Event::PeerMessage { .. } => {} // instances share nothing
         }
     }
 
@@ -195,49 +195,52 @@
 
     // ---- membership ----
 
-    fn follow_list(&mut self, change: ListChange, out: &mut Vec<Action>) {
-        let must_ask = self.settings.rules.must_ask_in;
-        let whole = !matches!(change, ListChange::Delta(_));
-        if matches!(change, ListChange::Cached(_)) && self.settings.discovery == Discovery::Subscribe {
+    fn follow_list(&mut self, change: EndpointUpdate, out: &mut Vec<Action>) {
+        let must_ask = self.settings.rules.poll_interval;
+        let whole = !matches!(change, EndpointUpdate::Delta(_));
+        if matches!(change, EndpointUpdate::Cached(_)) && self.settings.discovery == Discovery::Subscribe {
             let wait = self.rng.u64(0..=must_ask / 2);
             self.set_timer(wait, Timer::Discovery, out);
         }
         let entries = match change {
-            ListChange::Failed => {
+            EndpointUpdate::Failed => {
                 // Discovery is one small service for all: ask again spread out, and further apart each time.
                 self.watch_failures = (self.watch_failures + 1).min(3);
                 let wait = (must_ask / 16) << self.watch_failures;
                 let wait = wait + self.rng.u64(0..=wait);
                 return self.set_timer(wait, Timer::Discovery, out);
             }
-            ListChange::Cached(entries) | ListChange::Full(entries) | ListChange::Delta(entries) => entries,
+            EndpointUpdate::Cached(entries)
+            | EndpointUpdate::Snapshot(entries)
+            | EndpointUpdate::Delta(entries) => entries,
         };
         self.watch_failures = 0;
-        self.endpoints.iter_mut().filter(|_| whole).for_each(|e| e.entry.state = State::Gone);
+        self.endpoints.iter_mut().filter(|_| whole).for_each(|e| e.entry.state = EndpointState::Removed);
         entries.into_iter().for_each(|entry| self.list_entry(entry, out));
         // The preferred order: endpoints stand on a ring by the hash of their names, this zone's before the
         // others', and each instance starts where its number points. Starts are evenly spread, so that each
         // endpoint is the favourite of about as many instances and their own counts tell of most of its load.
         let zone = self.settings.zone;
-        let mut ring: Vec<_> = self.endpoints.iter().filter(|e| e.entry.state == State::Ready).collect();
+        let mut ring: Vec<_> =
+            self.endpoints.iter().filter(|e| e.entry.state == EndpointState::Ready).collect();
         ring.sort_by_cached_key(|e| (e.entry.zone != zone, xxh3_64(e.entry.name.as_bytes()), e.entry.id));
         let near = ring.iter().take_while(|e| e.entry.zone == zone).count();
-        let start = (f64::from(self.settings.me) * GOLDEN).fract();
+        let start = (f64::from(self.settings.replica_index) * GOLDEN).fract();
         let (near, far) = ring.split_at_mut(near);
         [near, far].into_iter().for_each(|part| part.rotate_left((start * part.len() as f64) as usize));
         self.order = ring.iter().map(|e| e.entry.id.0 as usize).collect();
         self.resume_held(out);
     }
 
-    fn list_entry(&mut self, entry: Entry, out: &mut Vec<Action>) {
-        let (slot, now, ready) = (entry.id.0 as usize, self.now, entry.state == State::Ready);
+    fn list_entry(&mut self, entry: EndpointEntry, out: &mut Vec<Action>) {
+        let (slot, now, ready) = (entry.id.0 as usize, self.now, entry.state == EndpointState::Ready);
         self.endpoints.resize_with(self.endpoints.len().max(slot + 1), Endpoint::default);
         // The cold budget starts at a random phase of one call: all instances together then begin at the
         // budgeted rate instead of sending their first call at the same moment.
         let (budget, period) = (-self.rng.f64(), self.check_period());
         let first_check = self.rng.u64(0..=period);
         let e = &mut self.endpoints[slot];
-        let mut entered = ready && e.entry.state != State::Ready;
+        let mut entered = ready && e.entry.state != EndpointState::Ready;
         if e.entry.name.is_empty() || entry.started.is_some() && entry.started != e.entry.started {
             // New, or a new process that owes nothing to its predecessor but the calls still out.
             let fresh = Endpoint { up: true, slow: 1.0, answered: now, topped: now, ..Endpoint::default() };
@@ -245,7 +248,7 @@
             entered = ready;
         }
         e.entry = entry;
-        if entered && self.settings.limits.probes {
+        if entered && self.settings.limits.health_checks_enabled {
             self.schedule_check(slot, first_check, out); // spread, or all instances would check together
         }
     }
@@ -255,7 +258,7 @@
     /// The base is the time in which a view of the list has to be renewed. The period shortens or grows
     /// from there so that checks stay a small share of this instance's calls, however long the list is.
     fn check_period(&mut self) -> Nanos {
-        let base = self.settings.rules.must_ask_in;
+        let base = self.settings.rules.poll_interval;
         let calls = (self.sent_work.add(self.now, base as f64, 0.0) / self.mean_work().max(1.0)).max(1.0);
         let wanted = base as f64 * self.order.len() as f64 / (calls * CHECK_SHARE);
         (wanted as Nanos).clamp(base / 2, 3 * base)
@@ -264,14 +267,14 @@
     fn schedule_check(&mut self, slot: usize, wait: Nanos, out: &mut Vec<Action>) {
         let Some(e) = self.endpoints.get_mut(slot) else { return };
         e.next_check = self.now + wait;
-        self.set_timer(wait, Timer::Check(EndpointId(slot as u32)), out);
+        self.set_timer(wait, Timer::HealthCheck(EndpointId(slot as u32)), out);
     }
 
     fn check_due(&mut self, slot: usize, out: &mut Vec<Action>) {
         let (now, period) = (self.now, self.check_period());
         let jitter = self.rng.u64(0..=period / 8);
         // Else it was rescheduled meanwhile, or is no longer listed.
-        let due = |e: &&mut Endpoint| e.next_check <= now && e.entry.state == State::Ready;
+        let due = |e: &&mut Endpoint| e.next_check <= now && e.entry.state == EndpointState::Ready;
         let Some(e) = self.endpoints.get_mut(slot).filter(due) else { return };
         // One that is down or held back is looked at more often: its place waits for it.
         let wait = if e.up && e.held.is_none() { period } else { period / 8 } + jitter;
@@ -279,16 +282,16 @@
         // one costs more than one kept for a while, so that only what a whole period did not need is let go.
         if e.opened > SPARE && e.peak * 2 <= e.opened {
             e.opened = e.peak;
-            out.push(Action::Close(e.entry.id));
+            out.push(Action::CloseIdleConnections(e.entry.id));
         }
         e.peak = e.in_flight;
-        out.push(Action::Check(e.entry.id));
+        out.push(Action::StartHealthCheck(e.entry.id));
         self.schedule_check(slot, wait, out);
     }
 
     /// When an endpoint that was found down is looked at again: before then there is little use in asking.
     fn soon(&self) -> Nanos {
-        self.settings.rules.must_ask_in / 8
+        self.settings.rules.poll_interval / 8
     }
 
     fn checked(&mut self, id: EndpointId, outcome: Outcome, out: &mut Vec<Action>) {
@@ -305,7 +308,7 @@
     /// Evidence from calls: the mark is left to the checks, but the endpoint is held back and its next check
     /// brought forward. Danger: a server that hangs or fails calls while its checks pass.
     fn suspect(&mut self, slot: usize, out: &mut Vec<Action>) {
-        let (now, probes) = (self.now, self.settings.limits.probes);
+        let (now, probes) = (self.now, self.settings.limits.health_checks_enabled);
         let base = self.settings.limits.connect_timeout + self.mean_work() as Nanos;
         let Some(e) = self.endpoints.get_mut(slot) else { return };
         (e.held, e.trial_at) = (Some(now), now + (base << e.back_off));
@@ -324,7 +327,8 @@
         let good = self.listed().filter(|e| standing(e)).count();
         // Danger: a surge or our own isolation fails checks everywhere, and the survivors drown.
         let panic = (good as f64) < PANIC_SHARE * self.order.len() as f64;
-        let repeatable = !matches!(self.settings.classes[request.class].effect, Effect::Once);
+        let repeatable =
+            !matches!(self.settings.classes[request.class].idempotency, Idempotency::NonIdempotent);
         self.order.iter().for_each(|&slot| _ = self.endpoints[slot].rate.add(now, RATE_SPAN, 0.0));
         let mean = self.listed().map(|e| e.rate.sum).sum::<f64>() / self.order.len().max(1) as f64;
         let warm = self.listed().filter(|e| standing(e) && self.warmth(e) >= 1.0);
@@ -337,7 +341,9 @@
             rank += u32::from(stands);
             // A trial is one call at a time, and never one that would be lost for good.
             let trial = repeatable && e.up && e.held.is_some() && e.in_flight == 0 && e.trial_at <= now;
-            let joins = |(group, like): (Group, usize)| group.joins(&self.endpoints[like].entry, &e.entry);
+            let joins = |(group, like): (DeduplicationScope, usize)| {
+                group.is_shared_by(&self.endpoints[like].entry, &e.entry)
+            };
             let tried = request.tries.iter().any(|t| t.slot == slot);
             // Danger: marks may all be wrong, but who says it is full is; a call there costs it a handshake.
             let open = (stands || trial) && e.full_until <= now && !tried && permit.within.is_none_or(joins);
@@ -361,16 +367,16 @@
 
     /// The count with this call, weighed by how slow it was lately and how often it failed; both fade.
     fn pressure(&self, e: &Endpoint) -> f64 {
-        let age = self.now.saturating_sub(e.answered) as f64 / self.settings.rules.must_ask_in as f64;
+        let age = self.now.saturating_sub(e.answered) as f64 / self.settings.rules.poll_interval as f64;
         let (slow, blame) = (1.0 + (e.slow - 1.0) * (-age).exp(), e.blame * (-age).exp());
         (1.0 + f64::from(e.in_flight)) * slow * (1.0 + LONGEST_RATIO * blame * blame)
     }
 
     /// Whether an endpoint answers what is out in time. Danger: where too much waits it turns and stays slow.
     fn has_room(&mut self, slot: usize, part: f64, mean: f64, request: &Open) -> bool {
-        let aim = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64;
+        let aim = self.settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0) as f64;
         let copies =
-            f64::from(if self.settings.tier == 0 { self.settings.group_size.max(2) } else { 2 }) / 2.0;
+            f64::from(if self.settings.tier == 0 { self.settings.replica_count.max(2) } else { 2 }) / 2.0;
         let e = &mut self.endpoints[slot];
         let (seen, prior) = (e.rate.add(self.now, RATE_SPAN, 0.0), PRIOR * (1.0 - 1.0 / copies));
         let rate = (seen + prior) / (mean + prior).max(f64::MIN_POSITIVE) * mean / RATE_SPAN;
@@ -384,7 +390,10 @@
 
     /// What an endpoint is sure to be capable of by its age, as a part of what it can do when warm.
     fn warmth(&self, e: &Endpoint) -> f64 {
-        let (least, cold) = (self.settings.rules.cold_share, self.settings.rules.cold.max(1) as f64);
+        let (least, cold) = (
+            self.settings.rules.slow_start_initial_share,
+            self.settings.rules.slow_start_window.max(1) as f64,
+        );
         least + (1.0 - least) * e.entry.started.map_or(1.0, |t| self.now.saturating_sub(t) as f64 / cold)
     }
 
@@ -393,13 +402,13 @@
     /// One that knows no rate yet sends next to nothing. `warm`: their number, size in all, calls answered.
     fn cold_budget_allows(&mut self, slot: usize, work: f64, warm: [f64; 3]) -> bool {
         let (now, unit, rules) = (self.now, self.usual_work(), self.settings.rules.clone());
-        let (span, [count, size, seen]) = (rules.must_ask_in as f64, warm);
+        let (span, [count, size, seen]) = (rules.poll_interval as f64, warm);
         let sent = self.sent_work.add(now, span, 0.0) / unit / span / self.order.len() as f64;
         // Danger: one smaller than the mean can do less than an ordinary load.
         let part = (self.endpoints[slot].entry.size / size).min(1.0 / count);
         let ordinary = if count > 0.0 { seen / RATE_SPAN * part } else { sent };
-        let rate = ordinary * self.warmth(&self.endpoints[slot]) * rules.fall_multiple * COLD_SHARE;
-        let (heavy, window) = ((work / unit - 1.0).max(0.0), rate * rules.fall as f64);
+        let rate = ordinary * self.warmth(&self.endpoints[slot]) * rules.overload_multiple * COLD_SHARE;
+        let (heavy, window) = ((work / unit - 1.0).max(0.0), rate * rules.overload_window as f64);
         let e = &mut self.endpoints[slot];
         let most = if count > 0.0 { window * SAVED_SHARE } else { 1.5 * window.max(1.0 + heavy) - 1.0 };
         (e.budget, e.topped) = (e.budget + rate * now.saturating_sub(e.topped) as f64, now);
@@ -414,16 +423,16 @@
     /// The one place that says what may still be done with a request.
     fn permit(&self, request: &Open) -> Permit {
         let anything = Permit { until: Nanos::MAX, within: None, shed: true };
-        let ran = |t: &&Try| !t.done.is_some_and(Outcome::never_ran);
+        let ran = |t: &&Try| !t.done.is_some_and(Outcome::was_never_executed);
         let Some(first) = request.tries.iter().find(ran) else { return anything };
-        match self.settings.classes[request.class].effect {
-            Effect::Repeatable => anything,
-            Effect::ByKey { group, window } => Permit {
+        match self.settings.classes[request.class].idempotency {
+            Idempotency::Idempotent => anything,
+            Idempotency::Keyed { scope: group, window } => Permit {
                 until: first.sent + window - window / 8, // it has to arrive inside the window too
                 within: Some((group, first.slot)),
-                shed: group == Group::All,
+                shed: group == DeduplicationScope::All,
             },
-            Effect::Once => Permit { until: 0, within: None, shed: false },
+            Idempotency::NonIdempotent => Permit { until: 0, within: None, shed: false },
         }
     }
 
@@ -440,10 +449,10 @@
             (e.in_flight, e.trial_at) = (e.in_flight + 1, now + overdue);
             (e.peak, e.opened) = (e.peak.max(e.in_flight), e.opened.max(e.in_flight));
             e.budget -= request.work / unit;
-            out.push(Action::Send { request: id, endpoint: e.entry.id, cap: 0, start_by });
+            out.push(Action::StartAttempt { request: id, endpoint: e.entry.id, timeout: 0, start_by });
             request.tries.push(Try { slot, sent: now, done: None });
             self.held.remove(&id);
-            self.sent_work.add(now, self.settings.rules.must_ask_in as f64, request.work);
+            self.sent_work.add(now, self.settings.rules.poll_interval as f64, request.work);
             self.set_timer(overdue, Timer::Request(id), out);
         }
         self.open.insert(id, request);
@@ -477,14 +486,14 @@
 
     /// What becomes of its request.
     fn attempt_settled(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
-        if end.over {
+        if end.request_completed {
             return self.forget(end.request, out);
         }
         if self.open.get(&end.request).is_none_or(|r| r.begun || r.tries.iter().any(|t| t.done.is_none())) {
             return; // another attempt is still out
         }
         // Danger: every tier retrying multiplies a failure. Only a call that never ran is retried for free.
-        let free = end.outcome.never_ran();
+        let free = end.outcome.was_never_executed();
         if (free || self.retry_budget >= 1.0) && self.dispatch(end.request, out) {
             self.retry_budget -= if free { 0.0 } else { 1.0 };
         } else {
@@ -496,9 +505,10 @@
     fn learn(&mut self, slot: usize, end: &AttemptEnd, out: &mut Vec<Action>) {
         let (now, pause, ok) = (self.now, self.mean_work() as Nanos, end.outcome == Outcome::Ok);
         // Danger: what was called off took longer still; left out, nothing strays, and all is called off.
-        let called_off = end.outcome == Outcome::Cancelled && !end.over;
+        let called_off = end.outcome == Outcome::Cancelled && !end.request_completed;
         if let Some(request) = self.open.get(&end.request).filter(|_| ok || called_off) {
-            let (aim, took) = (self.settings.classes[request.class].aim as f64, end.took as f64);
+            let (aim, took) =
+                (self.settings.classes[request.class].latency_objective as f64, end.duration as f64);
             let ratio = took / request.work.max(1.0);
             // Danger: where none is warm all would wait, with no rate to go by. So what a cold endpoint has
             // answered in its usual time it may be sent again: that much it can do.
@@ -522,13 +532,13 @@
                 e.rate.add(now, RATE_SPAN, 1.0);
                 e.blame *= 1.0 - BLAME;
                 e.answered = now;
-                if e.held.is_none_or(|since| now.saturating_sub(end.took) >= since) {
+                if e.held.is_none_or(|since| now.saturating_sub(end.duration) >= since) {
                     e.back_off = if e.held.take().is_none() { 0 } else { e.back_off };
                 }
             }
             // Danger: an endpoint whose connection table is full refuses connections but is not gone.
-            Outcome::ConnectFailed if e.answered + end.took + pause > now => e.full_until = now + pause,
-            Outcome::Full => e.full_until = now + pause,
+            Outcome::ConnectFailed if e.answered + end.duration + pause > now => e.full_until = now + pause,
+            Outcome::Overloaded => e.full_until = now + pause,
             Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::ConnectFailed => {
                 e.blame += BLAME * (1.0 - e.blame);
                 // A tier below in trouble fails calls at every endpoint: only the odd one out is held back.
@@ -537,21 +547,27 @@
                     self.suspect(slot, out);
                 }
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
     fn cancel_rest(&self, id: RequestId, keep: Option<u32>, out: &mut Vec<Action>) {
-        let Some(request) = self.open.get(&id).filter(|_| self.settings.limits.cancel) else { return };
+        let Some(request) = self.open.get(&id).filter(|_| self.settings.limits.cancellation_enabled) else {
+            return;
+        };
         let out_still = request.tries.iter().zip(0..).filter(|(t, n)| t.done.is_none() && Some(*n) != keep);
-        out.extend(out_still.map(|(_, attempt)| Action::Cancel { request: id, attempt }));
+        out.extend(out_still.map(|(_, attempt)| Action::CancelAttempt { request: id, attempt }));
     }
 
     /// Nothing more can be done: a refusal where it is true that trying again is harmless, else a failure.
     fn finish(&mut self, id: RequestId, come_back: Nanos, out: &mut Vec<Action>) {
         let come_back = come_back.min(self.settings.limits.max_retry_after);
         let Some(harmless) = self.open.get(&id).map(|r| self.permit(r).shed) else { return };
-        out.push(if harmless { Action::Shed { request: id, come_back } } else { Action::Fail(id) });
+        out.push(if harmless {
+            Action::Shed { request: id, retry_after: come_back }
+        } else {
+            Action::Fail(id)
+        });
         self.forget(id, out);
     }
 
@@ -568,14 +584,15 @@
         let class = (r.class.0 as usize).min(self.norms.len() - 1);
         let norm = &mut self.norms[class];
         let mut scale = 1.0;
-        if let Some(cost) = r.cost.map(|c| c as f64) {
+        if let Some(cost) = r.estimated_work.map(|c| c as f64) {
             norm.cost += (1.0 / (1.0 + norm.seen)).max(LEARN / 4.0) * (cost - norm.cost);
             // Half of a duration is taken to follow the work; the other half is waiting on others.
             scale = 0.5 + 0.5 * cost / norm.cost.max(1.0);
         }
-        let (work, deadline) = (norm.mean * scale, self.now + r.left);
-        let hold = self.now + (r.left as f64 * HOLD_SHARE) as Nanos;
-        let wait = hold.min(self.now + (self.settings.classes[class].aim as f64 * WAIT_SHARE) as Nanos);
+        let (work, deadline) = (norm.mean * scale, self.now + r.time_left);
+        let hold = self.now + (r.time_left as f64 * HOLD_SHARE) as Nanos;
+        let wait = hold
+            .min(self.now + (self.settings.classes[class].latency_objective as f64 * WAIT_SHARE) as Nanos);
         self.open
             .insert(r.id, Open { class, scale, work, deadline, hold, wait, tries: Vec::new(), begun: false });
         self.retry_budget = (self.retry_budget + RETRY_SHARE).min(RETRY_SAVINGS);
@@ -589,12 +606,12 @@
     /// Whether this request is part of what its tenant sends beyond its share. Danger: a busy zone looks like
     /// every tenant sending too much, so the others' excess over their quotas at this instance is granted.
     fn over_share(&mut self, tenant: usize) -> bool {
-        let (now, span) = (self.now, self.settings.rules.must_ask_in as f64);
+        let (now, span) = (self.now, self.settings.rules.poll_interval as f64);
         let Some(mine) = self.tenants.get_mut(tenant).map(|t| t.add(now, span, 1.0)) else { return false };
         let others = self.arrived.add(now, span, 1.0) - mine;
         let all: f64 = self.settings.tenants.iter().map(|t| t.quota_per_s).sum();
         let quota = self.settings.tenants[tenant].quota_per_s;
-        let usual = span / 1e9 / f64::from(self.settings.group_size);
+        let usual = span / 1e9 / f64::from(self.settings.replica_count);
         self.rng.f64() * mine > quota * usual.max(others / (all - quota).max(1.0))
     }
 
@@ -603,10 +620,12 @@
     /// beyond its tenant's share, is turned away at a shorter one. Danger: counted by work instead, one heavy
     /// request shuts itself and others out, and where worth goes by work it is the one to keep.
     fn overloaded(&mut self, class: usize, over_share: bool) -> Option<Nanos> {
-        let worth = |class: usize| self.settings.classes[class].worth / self.norms[class].mean.max(1.0);
+        let worth =
+            |class: usize| self.settings.classes[class].priority_weight / self.norms[class].mean.max(1.0);
         let best = (0..self.norms.len()).map(worth).fold(f64::MIN_POSITIVE, f64::max);
-        let value = worth(class) / best * if over_share { self.settings.over_share_worth } else { 1.0 };
-        let (aim, open) = (self.settings.classes[class].aim as f64, self.open.len() as f64);
+        let value =
+            worth(class) / best * if over_share { self.settings.over_quota_weight_ratio } else { 1.0 };
+        let (aim, open) = (self.settings.classes[class].latency_objective as f64, self.open.len() as f64);
         let served = self.served.add(self.now, aim, 0.0);
         let share = 1.0 / (1.0 + WAIT_DEVIATIONS * self.norms[class].deviation);
         let limit = served * share * value.sqrt();
@@ -636,7 +655,7 @@
         let Some(request) = self.open.get(&id) else { return };
         let crowded = self.listed().any(|e| e.up && e.held.is_none());
         let until = if crowded { request.wait } else { request.hold };
-        match until.saturating_sub(self.now + 2 * self.settings.tick) {
+        match until.saturating_sub(self.now + 2 * self.settings.clock_granularity) {
             0 => self.finish(id, self.soon(), out),
             left => {
                 self.set_timer(left.min(self.settings.limits.connect_timeout), Timer::Request(id), out);
@@ -681,7 +700,7 @@
         if self.retry_budget < 1.0 || self.open.get(&id).is_none_or(|r| self.permit(r).until <= self.now) {
             return;
         }
-        if self.settings.limits.second_copies {
+        if self.settings.limits.hedging_enabled {
             self.retry_budget -= if self.dispatch(id, out) { 1.0 } else { 0.0 };
         } else if hangs {
             // Danger: cutting off calls that are merely slow, when all are, wastes their work twice.
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -6,23 +6,26 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: 200 * MS, give_up: 1000 * MS, effect, ..Class::default() }
+pub fn class(effect: Idempotency) -> Class {
+    Class { latency_objective: 200 * MS, client_deadline: 1000 * MS, idempotency: effect, ..Class::default() }
 }
 
-pub fn cell(window: Nanos) -> Effect {
-    Effect::ByKey { group: Group::Cell, window }
+pub fn cell(window: Nanos) -> Idempotency {
+    Idempotency::Keyed { scope: DeduplicationScope::Cell, window }
 }
 
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(effect: Idempotency) -> Settings {
     let mut s = Settings { classes: vec![class(effect)], ..Settings::default() };
-    (s.limits.cancel, s.limits.second_copies) = (true, true);
+    (s.limits.cancellation_enabled, s.limits.hedging_enabled) = (true, true);
     s
 }
 
 /// `n` warm endpoints, two to a cell, all in the first zone.
-pub fn list(n: u32) -> Vec<Entry> {
-    let entry = |i| Entry { cell: CellId(u64::from(i / 2)), ..Entry::ready(EndpointId(i), &format!("e{i}")) };
+pub fn list(n: u32) -> Vec<EndpointEntry> {
+    let entry = |i| EndpointEntry {
+        cell: CellId(u64::from(i / 2)),
+        ..EndpointEntry::ready(EndpointId(i), &format!("e{i}"))
+    };
     (0..n).map(entry).collect()
 }
 
@@ -33,14 +36,14 @@
 }
 
 impl Bench {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Bench {
+    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Bench {
         Bench::seeded(1, settings, entries)
     }
 
-    pub fn seeded(seed: u64, settings: Settings, entries: Vec<Entry>) -> Bench {
+    pub fn seeded(seed: u64, settings: Settings, entries: Vec<EndpointEntry>) -> Bench {
         let now = 1000 * S;
         let mut bench = Bench { balancer: Balancer::new(settings, seed, now), now, next: 0 };
-        bench.list(ListChange::Cached(entries));
+        bench.list(EndpointUpdate::Cached(entries));
         bench
     }
 
@@ -50,18 +53,18 @@
         actions
     }
 
-    pub fn list(&mut self, change: ListChange) -> Vec<Action> {
-        self.tell(Event::List(change))
+    pub fn list(&mut self, change: EndpointUpdate) -> Vec<Action> {
+        self.tell(Event::Endpoints(change))
     }
 
-    pub fn state(&mut self, entry: &Entry, state: State) -> Vec<Action> {
-        self.list(ListChange::Delta(vec![Entry { state, ..entry.clone() }]))
+    pub fn state(&mut self, entry: &EndpointEntry, state: EndpointState) -> Vec<Action> {
+        self.list(EndpointUpdate::Delta(vec![EndpointEntry { state, ..entry.clone() }]))
     }
 
     pub fn request(&mut self, left: Nanos) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next);
         self.next += 1;
-        (id, self.tell(Event::Request(Request::new(id, ClassId(0), left))))
+        (id, self.tell(Event::RequestArrived(Request::new(id, ClassId(0), left))))
     }
 
     pub fn end(
@@ -73,19 +76,19 @@
         took: Nanos,
     ) -> Vec<Action> {
         let over = outcome == Outcome::Ok;
-        self.tell(Event::Outcome(AttemptEnd {
+        self.tell(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             endpoint: at,
             outcome,
-            took,
-            over,
+            duration: took,
+            request_completed: over,
             load: None,
         }))
     }
 
     pub fn check(&mut self, endpoint: EndpointId, outcome: Outcome) -> Vec<Action> {
-        self.tell(Event::Checked { endpoint, outcome, took: MS, load: None })
+        self.tell(Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None })
     }
 
     /// A request that is served at once where it is sent.
@@ -100,7 +103,7 @@
 
 pub fn sent(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { endpoint, .. } => Some(*endpoint),
+        Action::StartAttempt { endpoint, .. } => Some(*endpoint),
         _ => None,
     })
 }
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -28,7 +28,7 @@
 fn many_small_instances_do_not_admit_more_than_they_answer() {
     // Answers take as long as the whole aim, so what is open is twice what may be: half has to be shed,
     // also where an instance has so few requests that slack for chance would exceed the limit.
-    let mut b = Bench::new(settings(Effect::Once), list(8));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(8));
     offer(&mut b, 60, 50 * MS, 200 * MS);
     let refused = offer(&mut b, 100, 50 * MS, 200 * MS);
     assert!(refused >= 20, "{refused} of 100 shed");
@@ -36,7 +36,7 @@
 
 #[test]
 fn requests_stuck_on_a_few_endpoints_are_not_a_queue() {
-    let mut b = Bench::new(settings(Effect::Once), list(8));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(8));
     offer(&mut b, 100, 10 * MS, 10 * MS);
     let stuck = (0..60).filter(|_| shed(&b.request(10 * S).1)).count();
     assert_eq!(stuck, 0, "answers are fast: nothing is overloaded");
@@ -44,7 +44,7 @@
 
 #[test]
 fn nothing_is_shed_below_the_first_tier() {
-    let mut s = settings(Effect::Once);
+    let mut s = settings(Idempotency::NonIdempotent);
     s.tier = 1;
     let mut b = Bench::new(s, list(8));
     assert_eq!(offer(&mut b, 200, 10 * MS, 400 * MS), 0);
@@ -52,8 +52,8 @@
 
 #[test]
 fn what_a_tenant_sends_beyond_its_share_is_shed_first() {
-    let mut s = settings(Effect::Once);
-    s.over_share_worth = 0.1;
+    let mut s = settings(Idempotency::NonIdempotent);
+    s.over_quota_weight_ratio = 0.1;
     s.tenants = vec![Tenant { quota_per_s: 100.0, share: 0.9 }, Tenant { quota_per_s: 1.0, share: 0.1 }];
     let mut b = Bench::new(s, list(8));
     let (mut out, mut refused) = (Vec::<(Nanos, RequestId, EndpointId)>::new(), [0, 0]);
@@ -68,7 +68,7 @@
         let tenant = (n % 2) as usize;
         let request =
             Request { tenant: Some(TenantId(tenant as u16)), ..Request::new(RequestId(n), ClassId(0), S) };
-        let actions = b.tell(Event::Request(request));
+        let actions = b.tell(Event::RequestArrived(request));
         match sent(&actions) {
             Some(at) => out.push((b.now + 180 * MS, RequestId(n), at)),
             None => refused[tenant] += 1,
@@ -79,14 +79,14 @@
 
 #[test]
 fn a_hanging_endpoint_whose_checks_pass_is_held_back_until_a_trial_call_passes() {
-    let mut b = Bench::new(settings(Effect::Repeatable), list(4));
+    let mut b = Bench::new(settings(Idempotency::Idempotent), list(4));
     let favourite = (0..20).map(|_| b.serve(10 * MS)).last().expect("served");
     let (id, actions) = b.request(S);
     assert_eq!(sent(&actions), Some(favourite));
     let (at, timer) = *timers(&actions).iter().find(|(_, t)| *t == Timer::Request(id)).expect("a timer");
     b.now = at;
-    let overdue = b.tell(Event::Timer(timer));
-    assert!(overdue.contains(&Action::Check(favourite)), "its check is brought forward");
+    let overdue = b.tell(Event::TimerFired(timer));
+    assert!(overdue.contains(&Action::StartHealthCheck(favourite)), "its check is brought forward");
     b.end(id, 0, favourite, Outcome::Cancelled, 100 * MS);
     b.check(favourite, Outcome::Ok);
     assert_ne!(b.serve(10 * MS), favourite, "a passing check alone does not bring it back");
@@ -97,8 +97,8 @@
 
 #[test]
 fn no_trial_call_is_one_that_must_not_be_repeated() {
-    let mut s = settings(Effect::Repeatable);
-    s.classes.push(class(Effect::Once));
+    let mut s = settings(Idempotency::Idempotent);
+    s.classes.push(class(Idempotency::NonIdempotent));
     let mut b = Bench::new(s, list(8));
     let favourite = (0..20).map(|_| b.serve(10 * MS)).last().expect("served");
     for _ in 0..2 {
@@ -107,14 +107,14 @@
         b.end(id, 0, at, Outcome::Error, MS);
     }
     b.now += 60 * S;
-    let once = b.tell(Event::Request(Request::new(RequestId(9_000), ClassId(1), S)));
+    let once = b.tell(Event::RequestArrived(Request::new(RequestId(9_000), ClassId(1), S)));
     assert_ne!(sent(&once), Some(favourite));
     assert_eq!(b.serve(10 * MS), favourite);
 }
 
 #[test]
 fn errors_at_every_endpoint_alike_hold_nobody_back() {
-    let mut b = Bench::new(settings(Effect::Once), list(4));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..80 {
         let (id, actions) = b.request(S);
@@ -128,7 +128,7 @@
 
 #[test]
 fn when_most_of_the_list_is_down_marks_are_not_believed() {
-    let mut b = Bench::new(settings(Effect::Once), list(9));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(9));
     (0..7).for_each(|i| _ = b.check(EndpointId(i), Outcome::Timeout));
     let targets: std::collections::BTreeSet<_> = (0..9).filter_map(|_| sent(&b.request(S).1)).collect();
     assert!(targets.len() > 2, "two survivors do not carry the load of nine: {targets:?}");
@@ -136,7 +136,7 @@
 
 #[test]
 fn retries_spend_a_budget() {
-    let mut b = Bench::new(settings(Effect::Repeatable), list(8));
+    let mut b = Bench::new(settings(Idempotency::Idempotent), list(8));
     let mut retried = 0;
     for _ in 0..200 {
         let (id, actions) = b.request(S);
@@ -151,25 +151,25 @@
 
 #[test]
 fn a_refused_connection_to_an_endpoint_that_answers_is_not_a_death() {
-    let mut b = Bench::new(settings(Effect::Once), list(4));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
     let favourite = (0..20).map(|_| b.serve(10 * MS)).last().expect("served");
     let (id, _) = b.request(S);
     let after = b.end(id, 0, favourite, Outcome::ConnectFailed, MS);
-    assert!(!after.contains(&Action::Check(favourite)), "not suspected");
+    assert!(!after.contains(&Action::StartHealthCheck(favourite)), "not suspected");
     b.now += 100 * MS;
     assert_eq!(b.serve(10 * MS), favourite, "only passed over for a moment");
 }
 
 #[test]
 fn idle_connections_are_let_go_once_a_whole_check_period_did_not_need_them() {
-    let mut b = Bench::new(settings(Effect::Once), list(1));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(1));
     let mut closes_of = |calls: usize| {
         let open: Vec<_> = (0..calls).map(|_| b.request(S).0).collect();
         let mut all: Vec<_> =
             open.iter().flat_map(|id| b.end(*id, 0, EndpointId(0), Outcome::Ok, 10 * MS)).collect();
         b.now += 40 * S; // longer than any check period
-        all.extend(b.tell(Event::Timer(Timer::Check(EndpointId(0)))));
-        all.iter().filter(|a| **a == Action::Close(EndpointId(0))).count()
+        all.extend(b.tell(Event::TimerFired(Timer::HealthCheck(EndpointId(0)))));
+        all.iter().filter(|a| **a == Action::CloseIdleConnections(EndpointId(0))).count()
     };
     // Ups and downs within a period, cost no connection...
     assert_eq!([closes_of(6), closes_of(6), closes_of(4)], [0, 0, 0]);
@@ -179,55 +179,58 @@
 
 #[test]
 fn a_heavy_request_does_not_shut_itself_or_others_out() {
-    let mut b = Bench::new(settings(Effect::Once), list(8));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(8));
     for n in 0..200 {
         b.now += 100 * MS;
-        let request = Request { cost: Some(10 * MS), ..Request::new(RequestId(n), ClassId(0), S) };
-        let actions = b.tell(Event::Request(request));
+        let request = Request { estimated_work: Some(10 * MS), ..Request::new(RequestId(n), ClassId(0), S) };
+        let actions = b.tell(Event::RequestArrived(request));
         if let Some(at) = sent(&actions) {
             b.end(RequestId(n), 0, at, Outcome::Ok, 180 * MS);
         }
     }
-    let heavy = Request { cost: Some(500 * MS), ..Request::new(RequestId(1000), ClassId(0), S) };
-    assert!(sent(&b.tell(Event::Request(heavy))).is_some(), "refused for its own weight");
-    let light = Request { cost: Some(10 * MS), ..Request::new(RequestId(1001), ClassId(0), S) };
-    assert!(sent(&b.tell(Event::Request(light))).is_some(), "refused for another's weight");
+    let heavy = Request { estimated_work: Some(500 * MS), ..Request::new(RequestId(1000), ClassId(0), S) };
+    assert!(sent(&b.tell(Event::RequestArrived(heavy))).is_some(), "refused for its own weight");
+    let light = Request { estimated_work: Some(10 * MS), ..Request::new(RequestId(1001), ClassId(0), S) };
+    assert!(sent(&b.tell(Event::RequestArrived(light))).is_some(), "refused for another's weight");
 }
 
 #[test]
 fn a_request_with_nowhere_to_go_is_refused_while_its_client_has_time_left_and_told_when_to_come_back() {
-    let mut settings = settings(Effect::Repeatable);
+    let mut settings = settings(Idempotency::Idempotent);
     settings.limits.max_retry_after = 2 * S;
     let mut b = Bench::new(settings, Vec::new());
     let began = b.now;
     let (_, mut actions) = b.request(4 * S);
     while let Some(&(at, timer)) = timers(&actions).first() {
         b.now = at;
-        actions = b.tell(Event::Timer(timer));
+        actions = b.tell(Event::TimerFired(timer));
     }
-    assert!(actions.iter().any(|a| matches!(a, Action::Shed { come_back: 1.., .. })), "{actions:?}");
+    assert!(actions.iter().any(|a| matches!(a, Action::Shed { retry_after: 1.., .. })), "{actions:?}");
     assert!((S..=2 * S).contains(&(b.now - began)), "held for {} ns of 4 s", b.now - began);
 }
 
 #[test]
 fn an_endpoint_has_out_what_it_answers_in_time_and_the_rest_waits_a_little() {
-    let mut b = Bench::new(settings(Effect::Repeatable), list(1));
+    let mut b = Bench::new(settings(Idempotency::Idempotent), list(1));
     let asked: Vec<_> = (0..10).map(|_| b.request(S)).collect();
     let out: Vec<_> =
         asked.iter().filter(|(_, actions)| sent(actions).is_some()).map(|(id, _)| *id).collect();
     assert_eq!(out.len(), 6, "as many as any endpoint may have out");
     // What waits goes as soon as an answer makes room, the oldest first.
     let after = b.end(out[0], 0, EndpointId(0), Outcome::Ok, 10 * MS);
-    assert!(matches!(after[..], [.., Action::Send { request, .. }, _] if request == asked[6].0), "{after:?}");
+    assert!(
+        matches!(after[..], [.., Action::StartAttempt { request, .. }, _] if request == asked[6].0),
+        "{after:?}"
+    );
     // The others are refused a quarter of their aim after they came, and not later.
     let due: Vec<_> = asked[7..].iter().flat_map(|(_, actions)| timers(actions)).collect();
     for (at, timer) in due {
         b.now = at;
-        assert!(shed(&b.tell(Event::Timer(timer))), "refused in time");
+        assert!(shed(&b.tell(Event::TimerFired(timer))), "refused in time");
         assert!((40 * MS..=50 * MS).contains(&(at - 1000 * S)), "after {} ns", at - 1000 * S);
     }
     // One that is quick may have more out: what it answers in half the aim.
-    let mut b = Bench::new(settings(Effect::Repeatable), list(1));
+    let mut b = Bench::new(settings(Idempotency::Idempotent), list(1));
     for _ in 0..600 {
         b.serve(MS);
     }
@@ -237,7 +240,7 @@
 
 #[test]
 fn one_connection_that_breaks_is_not_a_death_and_several_are() {
-    let mut b = Bench::new(settings(Effect::Repeatable), list(4));
+    let mut b = Bench::new(settings(Idempotency::Idempotent), list(4));
     (0..20).for_each(|_| _ = b.serve(10 * MS));
     let broken = |b: &mut Bench| {
         let (id, actions) = b.request(S);
@@ -245,17 +248,17 @@
         (at, b.end(id, 0, at, Outcome::Reset, MS))
     };
     let (first, after) = broken(&mut b);
-    assert!(!after.contains(&Action::Check(first)), "held back for one");
+    assert!(!after.contains(&Action::StartHealthCheck(first)), "held back for one");
     let checked = (0..10).any(|_| {
         let (at, after) = broken(&mut b);
-        after.contains(&Action::Check(at))
+        after.contains(&Action::StartHealthCheck(at))
     });
     assert!(checked, "never held back");
 }
 
 #[test]
 fn a_hiccup_of_milliseconds_is_not_a_hang_where_answers_take_microseconds() {
-    let mut b = Bench::new(settings(Effect::Repeatable), list(1));
+    let mut b = Bench::new(settings(Idempotency::Idempotent), list(1));
     (0..50).for_each(|_| _ = b.serve(MS / 10));
     let (id, actions) = b.request(4 * S);
     let (at, _) = *timers(&actions).iter().find(|(_, t)| *t == Timer::Request(id)).expect("a timer");
@@ -265,12 +268,15 @@
 #[test]
 fn a_cold_endpoint_may_be_sent_again_what_it_has_answered_and_no_more() {
     let entries = list(2);
-    let mut b = Bench::new(settings(Effect::Once), entries.clone());
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), entries.clone());
     for _ in 0..200 {
         b.serve(10 * MS);
     }
-    let cold = Entry { started: Some(b.now), ..entries[0].clone() };
-    b.list(ListChange::Delta(vec![cold, Entry { state: State::Gone, ..entries[1].clone() }]));
+    let cold = EndpointEntry { started: Some(b.now), ..entries[0].clone() };
+    b.list(EndpointUpdate::Delta(vec![
+        cold,
+        EndpointEntry { state: EndpointState::Removed, ..entries[1].clone() },
+    ]));
     b.now += 500 * MS;
     // Answered one by one, each makes room for the next...
     let answered = (0..100).filter(|_| {
@@ -288,8 +294,8 @@
 
 #[test]
 fn a_heavy_request_is_not_called_off_each_time_it_is_sent() {
-    let mut settings = settings(Effect::Repeatable);
-    settings.limits.second_copies = false;
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging_enabled = false;
     let mut b = Bench::new(settings, list(4));
     (0..50).for_each(|_| _ = b.serve(10 * MS));
     let (id, mut actions) = b.request(10 * S);
@@ -299,8 +305,8 @@
         let (at, timer) = *timers(&actions).iter().find(|(_, t)| *t == Timer::Request(id)).expect("a timer");
         waits.push(at - b.now);
         b.now = at;
-        let overdue = b.tell(Event::Timer(timer));
-        assert!(overdue.contains(&Action::Cancel { request: id, attempt }), "{overdue:?}");
+        let overdue = b.tell(Event::TimerFired(timer));
+        assert!(overdue.contains(&Action::CancelAttempt { request: id, attempt }), "{overdue:?}");
         actions = b.end(id, attempt, endpoint, Outcome::Cancelled, waits[attempt as usize]);
     }
     assert_eq!([waits[1] / waits[0], waits[2] / waits[1]], [2, 2], "{waits:?}");
@@ -310,7 +316,8 @@
 fn out_at_each(copies: u32, endpoints: u32, calls: usize, warm_up: u64) -> Vec<u32> {
     let mut out = vec![0; endpoints as usize];
     for me in 0..copies {
-        let settings = Settings { me, group_size: copies, ..settings(Effect::Repeatable) };
+        let settings =
+            Settings { replica_index: me, replica_count: copies, ..settings(Idempotency::Idempotent) };
         let mut b = Bench::new(settings, list(endpoints));
         for _ in 0..warm_up {
             b.now += 70 * MS;
@@ -339,7 +346,7 @@
 #[test]
 fn an_endpoint_that_says_that_it_is_full_is_let_be_even_while_marks_are_ignored() {
     for down in [false, true] {
-        let mut b = Bench::new(settings(Effect::Repeatable), list(4));
+        let mut b = Bench::new(settings(Idempotency::Idempotent), list(4));
         for _ in 0..20 {
             b.serve(100 * MS);
         }
@@ -351,7 +358,7 @@
                 let Some(at) = sent(&actions) else { break };
                 tries += 1;
                 b.now += MS;
-                actions = b.end(id, attempt, at, Outcome::Full, MS);
+                actions = b.end(id, attempt, at, Outcome::Overloaded, MS);
             }
         }
         assert_eq!(tries, 4, "each is asked once, all marked down: {down}");
@@ -362,12 +369,12 @@
 
 #[test]
 fn a_repeat_is_not_pushed_in_where_there_is_no_room() {
-    let mut b = Bench::new(Settings { group_size: 4, ..settings(Effect::Repeatable) }, list(2));
+    let mut b = Bench::new(Settings { replica_count: 4, ..settings(Idempotency::Idempotent) }, list(2));
     let out: Vec<_> = (0..6).filter_map(|_| Some(b.request(S)).filter(|r| sent(&r.1).is_some())).collect();
     assert_eq!(out.len(), 6, "three at each");
     let (id, actions) = &out[0];
     let at = sent(actions).expect("sent");
-    let after = b.end(*id, 0, at, Outcome::Full, MS);
+    let after = b.end(*id, 0, at, Outcome::Overloaded, MS);
     assert!(sent(&after).is_none(), "a fourth call at the other: {after:?}");
     assert!(shed(&after), "it is answered at once: {after:?}");
 }
@@ -375,7 +382,7 @@
 #[test]
 fn one_of_very_many_copies_goes_on_where_those_near_it_are_gone() {
     // Its part of each endpoint's room is small and lies with those first in its order; they refuse connections.
-    let mut settings = Settings { me: 7, group_size: 200, ..settings(Effect::Repeatable) };
+    let mut settings = Settings { replica_index: 7, replica_count: 200, ..settings(Idempotency::Idempotent) };
     settings.limits.max_attempts = 1;
     let mut b = Bench::new(settings, list(24));
     b.now += S; // what refuses a connection right after it answered counts as full for a moment
@@ -405,8 +412,8 @@
             let overdue = actions.iter().find_map(due).filter(|due| *due < ends);
             if let Some(due) = overdue {
                 b.now = due;
-                let calls_off = Action::Cancel { request: id, attempt };
-                if b.tell(Event::Timer(Timer::Request(id))).contains(&calls_off) {
+                let calls_off = Action::CancelAttempt { request: id, attempt };
+                if b.tell(Event::TimerFired(Timer::Request(id))).contains(&calls_off) {
                     called_off += 1;
                     actions = b.end(id, attempt, at, Outcome::Cancelled, due - began);
                     continue;
@@ -425,9 +432,9 @@
     // One of many copies: it has no other answer from an endpoint while a call is out there, so that each slow one
     // looks like one that hangs. Each that is called off wastes its work and is sent again, on a new connection; and
     // if only what was answered counted, calls would look quick for ever.
-    let mut s = settings(Effect::Repeatable);
-    s.limits.second_copies = false;
-    s.classes[0].aim = 4 * S;
+    let mut s = settings(Idempotency::Idempotent);
+    s.limits.hedging_enabled = false;
+    s.classes[0].latency_objective = 4 * S;
     let mut b = Bench::new(s, list(40));
     called_off(&mut b, 200, 400 * MS);
     called_off(&mut b, 200, 900 * MS);
@@ -439,12 +446,12 @@
 fn where_the_only_endpoint_is_cold_a_rare_request_is_sent_once_its_call_is_saved_up() {
     let sent_of = |every: Nanos| {
         let entries = list(1);
-        let mut b = Bench::new(settings(Effect::Repeatable), entries.clone());
+        let mut b = Bench::new(settings(Idempotency::Idempotent), entries.clone());
         for _ in 0..20 {
             b.now += 100 * MS;
             b.serve(50 * MS);
         }
-        b.list(ListChange::Delta(vec![Entry { started: Some(b.now), ..entries[0].clone() }]));
+        b.list(EndpointUpdate::Delta(vec![EndpointEntry { started: Some(b.now), ..entries[0].clone() }]));
         let mut sent_in_all = 0;
         for _ in 0..30 {
             b.now += every;
@@ -455,7 +462,7 @@
                 let due = timers(&actions).into_iter().find(|(_, t)| *t == Timer::Request(id));
                 let (at, timer) = due.expect("it waits for something");
                 b.now = at;
-                actions = b.tell(Event::Timer(timer));
+                actions = b.tell(Event::TimerFired(timer));
             }
             if sent(&actions).is_some() {
                 b.now += 50 * MS;
--- a/crates/decisions/tests/invariants.rs
+++ b/crates/decisions/tests/invariants.rs
@@ -14,15 +14,20 @@
     Arrive { class: u16, left_ms: u64 },
     End { pick: usize, outcome: Outcome },
     Abort(usize),
-    State { endpoint: u32, state: State, restarted: bool },
+    State { endpoint: u32, state: EndpointState, restarted: bool },
     Check { endpoint: u32, ok: bool },
     ListFails,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     use Outcome::*;
-    let outcome = prop::sample::select(vec![Ok, Ok, Ok, Error, Full, Timeout, ConnectFailed, Reset]);
-    let state = prop::sample::select(vec![State::Ready, State::Ready, State::Draining, State::Gone]);
+    let outcome = prop::sample::select(vec![Ok, Ok, Ok, Error, Overloaded, Timeout, ConnectFailed, Reset]);
+    let state = prop::sample::select(vec![
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Removed,
+    ]);
     let step = prop_oneof![
         3 => (1..200u64).prop_map(Step::Wait),
         6 => (0..3u16, 0..1200u64).prop_map(|(class, left_ms)| Step::Arrive { class, left_ms }),
@@ -55,7 +60,7 @@
     balancer: Balancer,
     settings: Settings,
     now: Nanos,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     accounts: BTreeMap<RequestId, Account>,
     timers: BTreeSet<(Nanos, Timer)>,
     actions: Vec<Action>,
@@ -74,25 +79,32 @@
 
     fn act(&mut self, action: &Action) -> Result<(), TestCaseError> {
         match action {
-            Action::Send { request, endpoint, cap, .. } => {
+            Action::StartAttempt { request, endpoint, timeout: cap, .. } => {
                 let entry = &self.entries[endpoint.0 as usize];
-                prop_assert_eq!(entry.state, State::Ready, "sent to an endpoint that does not take requests");
+                prop_assert_eq!(
+                    entry.state,
+                    EndpointState::Ready,
+                    "sent to an endpoint that does not take requests"
+                );
                 let account = self.accounts.get_mut(request).expect("known");
                 prop_assert!(!account.ended, "sent for a request that has ended");
                 prop_assert!(account.attempts.len() < self.settings.limits.max_attempts as usize);
-                let ran = account.attempts.iter().filter(|a| !a.done.is_some_and(Outcome::never_ran));
+                let ran =
+                    account.attempts.iter().filter(|a| !a.done.is_some_and(Outcome::was_never_executed));
                 for earlier in ran.clone() {
-                    match self.settings.classes[account.class].effect {
-                        Effect::Repeatable => {}
-                        Effect::Once => prop_assert!(false, "an unsafe request was sent again"),
-                        Effect::ByKey { group, window } => {
-                            prop_assert!(group.joins(&self.entries[earlier.endpoint.0 as usize], entry));
+                    match self.settings.classes[account.class].idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => prop_assert!(false, "an unsafe request was sent again"),
+                        Idempotency::Keyed { scope: group, window } => {
+                            prop_assert!(
+                                group.is_shared_by(&self.entries[earlier.endpoint.0 as usize], entry)
+                            );
                             prop_assert!(self.now - earlier.sent < window);
                         }
                     }
                 }
                 let out = account.attempts.iter().any(|a| a.done.is_none());
-                prop_assert!(self.settings.limits.second_copies || !out, "two attempts out at once");
+                prop_assert!(self.settings.limits.hedging_enabled || !out, "two attempts out at once");
                 let due = if *cap == 0 { account.deadline } else { account.deadline.min(self.now + cap) };
                 account.attempts.push(Attempt { endpoint: *endpoint, sent: self.now, due, done: None });
             }
@@ -100,22 +112,24 @@
                 let account = self.accounts.get_mut(request).expect("known");
                 prop_assert!(!account.ended, "answered twice");
                 account.ended = true;
-                let ran = account.attempts.iter().any(|a| !a.done.is_some_and(Outcome::never_ran));
-                let effect = self.settings.classes[account.class].effect;
+                let ran = account.attempts.iter().any(|a| !a.done.is_some_and(Outcome::was_never_executed));
+                let effect = self.settings.classes[account.class].idempotency;
                 let harmless = match effect {
-                    Effect::Repeatable | Effect::ByKey { group: Group::All, .. } => true,
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
+                        true
+                    }
                     _ => !ran,
                 };
                 prop_assert!(harmless || matches!(action, Action::Fail(_)), "refused what may have run");
             }
-            Action::Cancel { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 prop_assert!((*attempt as usize) < self.accounts[request].attempts.len());
             }
             Action::SetTimer { at, timer } => {
                 prop_assert!(*at > self.now);
                 self.timers.insert((*at, *timer));
             }
-            Action::Check(_) | Action::Close(_) | Action::Watch(_) => {}
+            Action::StartHealthCheck(_) | Action::CloseIdleConnections(_) | Action::WatchEndpoints(_) => {}
             other => prop_assert!(false, "unexpected {:?}", other),
         }
         Ok(())
@@ -128,13 +142,13 @@
         account.ended |= outcome == Outcome::Ok;
         let (endpoint, took, over) = (attempt.endpoint, self.now - attempt.sent, account.ended);
         let attempt = n as u32;
-        self.tell(Event::Outcome(AttemptEnd {
+        self.tell(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             endpoint,
             outcome,
-            took,
-            over,
+            duration: took,
+            request_completed: over,
             load: None,
         }))
     }
@@ -154,7 +168,7 @@
                 (Some((due, id, n)), _) if due == next => self.end(id, n, Outcome::Timeout)?,
                 (_, Some(timer)) => {
                     self.timers.remove(&timer);
-                    self.tell(Event::Timer(timer.1))?;
+                    self.tell(Event::TimerFired(timer.1))?;
                 }
                 _ => unreachable!("one of the two is due"),
             }
@@ -174,7 +188,7 @@
                 let (class, deadline) = (*class, self.now + left);
                 let account = Account { class: class as usize, deadline, ended, attempts: Vec::new() };
                 self.accounts.insert(id, account);
-                self.tell(Event::Request(Request::new(id, ClassId(class), left)))?;
+                self.tell(Event::RequestArrived(Request::new(id, ClassId(class), left)))?;
             }
             Step::End { pick, outcome } => {
                 let open = self.accounts.iter().flat_map(|(id, a)| {
@@ -193,7 +207,7 @@
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
                     self.accounts.get_mut(&id).expect("known").ended = true;
-                    self.tell(Event::Aborted(id))?;
+                    self.tell(Event::RequestAborted(id))?;
                 }
             }
             Step::State { endpoint, state, restarted } => {
@@ -201,24 +215,24 @@
                 entry.state = *state;
                 entry.started = if *restarted { Some(self.now) } else { entry.started };
                 let entry = entry.clone();
-                self.tell(Event::List(ListChange::Delta(vec![entry])))?;
+                self.tell(Event::Endpoints(EndpointUpdate::Delta(vec![entry])))?;
             }
             Step::Check { endpoint, ok } => {
                 let outcome = if *ok { Outcome::Ok } else { Outcome::Timeout };
                 let endpoint = EndpointId(*endpoint);
-                self.tell(Event::Checked { endpoint, outcome, took: MS, load: None })?;
+                self.tell(Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None })?;
             }
-            Step::ListFails => self.tell(Event::List(ListChange::Failed))?,
+            Step::ListFails => self.tell(Event::Endpoints(EndpointUpdate::Failed))?,
         }
         Ok(())
     }
 }
 
 fn play(steps: &[Step], second_copies: bool, seed: u64) -> Result<Vec<Action>, TestCaseError> {
-    let mut settings = settings(Effect::Repeatable);
+    let mut settings = settings(Idempotency::Idempotent);
     settings.classes.push(class(cell(300 * MS)));
-    settings.classes.push(class(Effect::Once));
-    settings.limits.second_copies = second_copies;
+    settings.classes.push(class(Idempotency::NonIdempotent));
+    settings.limits.hedging_enabled = second_copies;
     let now = 1000 * S;
     let mut checker = Checker {
         balancer: Balancer::new(settings.clone(), seed, now),
@@ -229,7 +243,7 @@
         timers: BTreeSet::new(),
         actions: Vec::new(),
     };
-    checker.tell(Event::List(ListChange::Cached(list(8))))?;
+    checker.tell(Event::Endpoints(EndpointUpdate::Cached(list(8))))?;
     for (number, step) in steps.iter().enumerate() {
         checker.step(step, number as u64)?;
     }
--- a/crates/decisions/tests/ramp.rs
+++ b/crates/decisions/tests/ramp.rs
@@ -69,7 +69,7 @@
     queue: BTreeMap<(Nanos, u64), Happens>,
     count: u64,
     copies: Vec<Copy>,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     out: BTreeMap<(usize, u32, u64, u32), Attempt>,
     work: BTreeMap<(usize, u32, u64), f64>,
     /// Work that reached each endpoint, with its moment.
@@ -77,15 +77,19 @@
 }
 
 fn rules(mut s: Settings) -> Settings {
-    (s.rules.cold, s.rules.must_ask_in) = (10 * S, 4 * S);
+    (s.rules.slow_start_window, s.rules.poll_interval) = (10 * S, 4 * S);
     s
 }
 
 impl Fleet {
     fn new(day: Day) -> Fleet {
-        let mut settings = rules(settings(Effect::Repeatable));
+        let mut settings = rules(settings(Idempotency::Idempotent));
         if day.classes {
-            settings.classes.push(Class { aim: 2 * S, give_up: 6 * S, ..class(Effect::Repeatable) });
+            settings.classes.push(Class {
+                latency_objective: 2 * S,
+                client_deadline: 6 * S,
+                ..class(Idempotency::Idempotent)
+            });
         }
         let weight = |me: u32| if day.uneven && me.is_multiple_of(5) { 10.0 } else { 1.0 };
         let all: f64 = (0..day.copies).map(weight).sum();
@@ -107,13 +111,13 @@
             fleet.copies.push(Copy { balancer, life: 0, per_s: PER_S * weight(me) / all });
         }
         for copy in 0..fleet.copies.len() {
-            fleet.tell(copy, Event::List(ListChange::Cached(fleet.entries.clone())));
+            fleet.tell(copy, Event::Endpoints(EndpointUpdate::Cached(fleet.entries.clone())));
             fleet.next_arrival(copy);
         }
         let cold = START + WARM_UP;
         fleet.at(cold, Happens::EndpointsStart);
         if day.copies_restart {
-            let every = fleet.settings.rules.cold / u64::from(day.copies);
+            let every = fleet.settings.rules.slow_start_window / u64::from(day.copies);
             for copy in 0..day.copies {
                 let at = cold + u64::from(copy) * every + fleet.rng.u64(0..every);
                 fleet.at(at, Happens::CopyRestarts(copy as usize));
@@ -135,7 +139,8 @@
     }
 
     fn balancer(&self, me: u32, life: u32) -> Balancer {
-        let settings = Settings { me, group_size: self.day.copies, ..self.settings.clone() };
+        let settings =
+            Settings { replica_index: me, replica_count: self.day.copies, ..self.settings.clone() };
         let seed = self.day.seed * 100_003 + u64::from(me) * 101 + u64::from(life);
         Balancer::new(settings, seed, self.now)
     }
@@ -156,12 +161,12 @@
         let life = self.copies[copy].life;
         for action in actions {
             match action {
-                Action::Send { request, endpoint, .. } => self.send(copy, request.0, endpoint),
-                Action::Cancel { request, attempt } => {
+                Action::StartAttempt { request, endpoint, .. } => self.send(copy, request.0, endpoint),
+                Action::CancelAttempt { request, attempt } => {
                     let (request, outcome) = (request.0, Outcome::Cancelled);
                     self.at(self.now, Happens::Ends { copy, life, request, attempt, outcome });
                 }
-                Action::Check(endpoint) => self.came[endpoint.0 as usize].push((self.now, CHECK)),
+                Action::StartHealthCheck(endpoint) => self.came[endpoint.0 as usize].push((self.now, CHECK)),
                 Action::SetTimer { at, timer } => self.at(at, Happens::Timer { copy, life, timer }),
                 Action::Shed { request, .. } | Action::Fail(request) => {
                     self.work.remove(&(copy, life, request.0));
@@ -187,7 +192,7 @@
         let life = self.copies[copy].life + 1;
         self.copies[copy].balancer = self.balancer(copy as u32, life);
         self.copies[copy].life = life;
-        self.tell(copy, Event::List(ListChange::Cached(self.entries.clone())));
+        self.tell(copy, Event::Endpoints(EndpointUpdate::Cached(self.entries.clone())));
     }
 
     fn happen(&mut self, what: Happens) {
@@ -204,8 +209,9 @@
                     _ => (0, None, 1.0),
                 };
                 self.work.insert((copy, self.copies[copy].life, request), work);
-                let r = Request { cost, ..Request::new(RequestId(request), ClassId(class), S) };
-                self.tell(copy, Event::Request(r));
+                let r =
+                    Request { estimated_work: cost, ..Request::new(RequestId(request), ClassId(class), S) };
+                self.tell(copy, Event::RequestArrived(r));
             }
             Happens::Ends { copy, life, request, attempt, outcome } if life == self.copies[copy].life => {
                 let Some((endpoint, since, work)) = self.out.get(&(copy, life, request, attempt)).copied()
@@ -218,11 +224,19 @@
                 self.out.insert((copy, life, request, attempt), (endpoint, since, -1.0));
                 let (took, over) = (self.now - since, outcome == Outcome::Ok);
                 let (request, load) = (RequestId(request), None);
-                let end = AttemptEnd { request, attempt, endpoint, outcome, took, over, load };
-                self.tell(copy, Event::Outcome(end));
+                let end = AttemptEnd {
+                    request,
+                    attempt,
+                    endpoint,
+                    outcome,
+                    duration: took,
+                    request_completed: over,
+                    load,
+                };
+                self.tell(copy, Event::AttemptEnded(end));
             }
             Happens::Timer { copy, life, timer } if life == self.copies[copy].life => {
-                self.tell(copy, Event::Timer(timer));
+                self.tell(copy, Event::TimerFired(timer));
             }
             Happens::Ends { .. } | Happens::Timer { .. } => {} // of a copy that is no more
             Happens::EndpointsStart => {
@@ -231,14 +245,17 @@
                 }
                 let changed = self.entries[..self.day.restarts as usize].to_vec();
                 for copy in 0..self.copies.len() {
-                    self.tell(copy, Event::List(ListChange::Delta(changed.clone())));
+                    self.tell(copy, Event::Endpoints(EndpointUpdate::Delta(changed.clone())));
                 }
             }
             Happens::Checks { pass } => {
                 let outcome = if pass { Outcome::Ok } else { Outcome::Timeout };
                 for copy in 0..self.copies.len() {
                     for endpoint in (0..self.day.restarts).map(EndpointId) {
-                        self.tell(copy, Event::Checked { endpoint, outcome, took: MS, load: None });
+                        self.tell(
+                            copy,
+                            Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None },
+                        );
                     }
                 }
             }
@@ -250,7 +267,7 @@
     }
 
     fn play(mut self) -> Vec<Ramp> {
-        let end = START + WARM_UP + self.settings.rules.cold;
+        let end = START + WARM_UP + self.settings.rules.slow_start_window;
         while let Some(((at, _), what)) = self.queue.pop_first().filter(|((at, _), _)| *at < end) {
             self.now = at;
             self.happen(what);
@@ -275,16 +292,19 @@
     fn of(came: &[(Nanos, f64)], rules: &Rules) -> Ramp {
         let began = START + WARM_UP;
         let allowed = |at: Nanos| {
-            let age = (at - began) as f64 / rules.cold as f64;
-            let share = rules.cold_share + (1.0 - rules.cold_share) * age;
-            rules.fall_multiple * share * PER_S / f64::from(ENDPOINTS) * rules.fall as f64 / 1e9
+            let age = (at - began) as f64 / rules.slow_start_window as f64;
+            let share = rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age;
+            rules.overload_multiple * share * PER_S / f64::from(ENDPOINTS) * rules.overload_window as f64
+                / 1e9
         };
         let (mut window, mut sum, mut all) = (VecDeque::new(), 0.0, 0.0);
         let mut worst = (0.0, 0.0, allowed(began));
         for &(at, work) in came.iter().filter(|(at, _)| *at >= began) {
             window.push_back((at, work));
             (sum, all) = (sum + work, all + work);
-            while let Some((_, old)) = window.front().copied().filter(|(t, _)| t + rules.fall <= at) {
+            while let Some((_, old)) =
+                window.front().copied().filter(|(t, _)| t + rules.overload_window <= at)
+            {
                 window.pop_front();
                 sum -= old;
             }
@@ -293,8 +313,8 @@
                 worst = ((at - began) as f64 / 1e9, sum, n);
             }
         }
-        let middle = allowed(began + rules.cold / 2);
-        Ramp { worst, used: all / (middle * rules.cold as f64 / rules.fall as f64) }
+        let middle = allowed(began + rules.slow_start_window / 2);
+        Ramp { worst, used: all / (middle * rules.slow_start_window as f64 / rules.overload_window as f64) }
     }
 }
 
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn calls_go_to_the_same_preferred_endpoint_and_back_to_it_after_a_passing_check() {
-    let mut b = Bench::new(settings(Effect::Repeatable), list(6));
+    let mut b = Bench::new(settings(Idempotency::Idempotent), list(6));
     let favourite = b.serve(10 * MS);
     assert_eq!(b.serve(10 * MS), favourite);
     b.check(favourite, Outcome::Timeout);
@@ -20,7 +20,7 @@
 
 #[test]
 fn an_endpoint_over_the_allowance_is_skipped() {
-    let mut b = Bench::new(settings(Effect::Once), list(4));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
     let targets: Vec<_> = (0..4).map(|_| sent(&b.request(S).1).expect("sent")).collect();
     let mut distinct = targets.clone();
     distinct.sort();
@@ -32,8 +32,8 @@
 fn instances_prefer_different_endpoints() {
     let mut firsts: Vec<_> = (0..8)
         .map(|me| {
-            let mut s = settings(Effect::Once);
-            (s.me, s.group_size) = (me, 8);
+            let mut s = settings(Idempotency::NonIdempotent);
+            (s.replica_index, s.replica_count) = (me, 8);
             Bench::new(s, list(8)).serve(MS)
         })
         .collect();
@@ -44,11 +44,11 @@
 
 #[test]
 fn every_endpoint_is_checked_within_a_few_periods_at_spread_times() {
-    let s = settings(Effect::Once);
-    let longest = 4 * s.rules.must_ask_in;
+    let s = settings(Idempotency::NonIdempotent);
+    let longest = 4 * s.rules.poll_interval;
     let mut b = Balancer::new(s, 1, 0);
     let mut out = Vec::new();
-    b.handle(0, Event::List(ListChange::Cached(list(20))), &mut out);
+    b.handle(0, Event::Endpoints(EndpointUpdate::Cached(list(20))), &mut out);
     let due: Vec<_> = timers(&out);
     assert_eq!(due.len(), 20);
     assert!(due.iter().all(|(at, _)| *at <= longest));
@@ -56,8 +56,8 @@
     assert!(due.iter().filter(|(at, _)| Some(*at) == first).count() < 3, "checks start together");
     for (at, timer) in due {
         let mut out = Vec::new();
-        b.handle(at, Event::Timer(timer), &mut out);
-        let checks = out.iter().filter(|a| matches!(a, Action::Check(_))).count();
+        b.handle(at, Event::TimerFired(timer), &mut out);
+        let checks = out.iter().filter(|a| matches!(a, Action::StartHealthCheck(_))).count();
         assert_eq!((checks, timers(&out).len()), (1, 1), "one check and the next one's timer");
     }
 }
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_request_with_nowhere_to_go_is_refused_before_its_deadline() {
-    let mut b = Bench::new(settings(Effect::Once), Vec::new());
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), Vec::new());
     let (id, mut actions) = b.request(900 * MS);
     let deadline = b.now + 900 * MS;
     while !shed(&actions) {
@@ -74,22 +74,22 @@
         assert_eq!(timer, Timer::Request(id));
         assert!(at < deadline);
         b.now = at;
-        actions = b.tell(Event::Timer(timer));
+        actions = b.tell(Event::TimerFired(timer));
     }
 }
 
 #[test]
 fn a_held_request_goes_out_when_an_endpoint_appears() {
-    let mut b = Bench::new(settings(Effect::Once), Vec::new());
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), Vec::new());
     let (id, _) = b.request(S);
-    let actions = b.list(ListChange::Full(list(1)));
-    assert!(matches!(actions.iter().find(|a| matches!(a, Action::Send { .. })),
-        Some(Action::Send { request, .. }) if *request == id));
+    let actions = b.list(EndpointUpdate::Snapshot(list(1)));
+    assert!(matches!(actions.iter().find(|a| matches!(a, Action::StartAttempt { .. })),
+        Some(Action::StartAttempt { request, .. }) if *request == id));
 }
 
 #[test]
 fn the_time_out_at_the_deadline_is_answered_once_and_then_forgotten() {
-    let mut b = Bench::new(settings(Effect::Once), list(3));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(3));
     let (id, actions) = b.request(S);
     let at = sent(&actions).expect("sent");
     b.now += S;
@@ -97,24 +97,24 @@
     assert!(
         b.end(id, 0, at, Outcome::Timeout, S)
             .iter()
-            .all(|a| !matches!(a, Action::Fail(_) | Action::Send { .. }))
+            .all(|a| !matches!(a, Action::Fail(_) | Action::StartAttempt { .. }))
     );
-    assert!(sent(&b.tell(Event::Timer(Timer::Request(id)))).is_none());
+    assert!(sent(&b.tell(Event::TimerFired(Timer::Request(id)))).is_none());
 }
 
 #[test]
 fn an_aborted_request_is_owed_nothing_and_its_attempt_is_called_off() {
-    let mut b = Bench::new(settings(Effect::Repeatable), list(3));
+    let mut b = Bench::new(settings(Idempotency::Idempotent), list(3));
     let (id, actions) = b.request(S);
     let at = sent(&actions).expect("sent");
-    assert_eq!(b.tell(Event::Aborted(id)), vec![Action::Cancel { request: id, attempt: 0 }]);
+    assert_eq!(b.tell(Event::RequestAborted(id)), vec![Action::CancelAttempt { request: id, attempt: 0 }]);
     let after = b.end(id, 0, at, Outcome::Cancelled, MS);
     assert!(sent(&after).is_none() && !shed(&after) && !failed(&after));
 }
 
 #[test]
 fn a_deadline_already_past_is_refused_at_once() {
-    let mut b = Bench::new(settings(Effect::Once), list(3));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(3));
     assert!(shed(&b.request(0).1));
 }
 
@@ -123,7 +123,7 @@
 #[test]
 fn a_call_that_may_have_run_and_must_not_again_ends_as_failed() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
-        let mut b = Bench::new(settings(Effect::Once), list(4));
+        let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
         let (id, actions) = b.request(S);
         let after = b.end(id, 0, sent(&actions).expect("sent"), outcome, MS);
         assert!(failed(&after) && sent(&after).is_none() && !shed(&after), "{outcome:?}");
@@ -132,8 +132,8 @@
 
 #[test]
 fn a_call_that_never_ran_goes_to_the_next_endpoint() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut b = Bench::new(settings(Effect::Once), list(4));
+    for outcome in [Outcome::Overloaded, Outcome::ConnectFailed] {
+        let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
         let (id, actions) = b.request(S);
         let first = sent(&actions).expect("sent");
         let second = sent(&b.end(id, 0, first, outcome, MS)).expect("sent on");
@@ -145,8 +145,8 @@
 fn a_keyed_call_that_may_have_run_stays_in_its_cell_and_window() {
     for n in 0..4 {
         let mut s = settings(cell(400 * MS));
-        s.me = n;
-        s.group_size = 4;
+        s.replica_index = n;
+        s.replica_count = 4;
         let mut b = Bench::new(s, list(8));
         let (id, actions) = b.request(S);
         let first = sent(&actions).expect("sent");
@@ -164,47 +164,49 @@
 
 #[test]
 fn an_overdue_call_is_hedged_only_where_a_repeat_is_harmless() {
-    for (effect, hedged) in [(Effect::Repeatable, true), (cell(S), true), (Effect::Once, false)] {
+    for (effect, hedged) in
+        [(Idempotency::Idempotent, true), (cell(S), true), (Idempotency::NonIdempotent, false)]
+    {
         let mut b = Bench::new(settings(effect), list(8));
         (0..20).for_each(|_| _ = b.serve(10 * MS));
         let (id, actions) = b.request(S);
         let (at, timer) = *timers(&actions).iter().find(|(_, t)| *t == Timer::Request(id)).expect("a timer");
         b.now = at;
-        assert_eq!(sent(&b.tell(Event::Timer(timer))).is_some(), hedged, "{effect:?}");
+        assert_eq!(sent(&b.tell(Event::TimerFired(timer))).is_some(), hedged, "{effect:?}");
     }
 }
 
 #[test]
 fn without_second_copies_no_two_attempts_are_out_at_once() {
-    let mut s = settings(Effect::Repeatable);
-    s.limits.second_copies = false;
+    let mut s = settings(Idempotency::Idempotent);
+    s.limits.hedging_enabled = false;
     let mut b = Bench::new(s.clone(), list(1));
     (0..20).for_each(|_| _ = b.serve(10 * MS));
     let (slow, _) = b.request(S);
     b.now += 10 * MS;
     b.serve(5 * MS);
     b.now += 300 * MS;
-    assert_eq!(b.tell(Event::Timer(Timer::Request(slow))), [], "it answered since, so it is waited for");
+    assert_eq!(b.tell(Event::TimerFired(Timer::Request(slow))), [], "it answered since, so it is waited for");
 
     let mut b = Bench::new(s, list(8));
     (0..20).for_each(|_| _ = b.serve(10 * MS));
     let (hung, actions) = b.request(S);
     let at = sent(&actions).expect("sent");
     b.now += 300 * MS;
-    let overdue = b.tell(Event::Timer(Timer::Request(hung)));
+    let overdue = b.tell(Event::TimerFired(Timer::Request(hung)));
     assert!(sent(&overdue).is_none());
-    assert!(overdue.contains(&Action::Cancel { request: hung, attempt: 0 }), "called off first");
+    assert!(overdue.contains(&Action::CancelAttempt { request: hung, attempt: 0 }), "called off first");
     let again = sent(&b.end(hung, 0, at, Outcome::Cancelled, 300 * MS)).expect("then tried elsewhere");
     assert_ne!(again, at);
 }
 
 #[test]
 fn attempts_stop_at_the_limit() {
-    let mut b = Bench::new(settings(Effect::Once), list(8));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(8));
     let (id, mut actions) = b.request(S);
     let mut attempts = 0;
     while let Some(at) = sent(&actions) {
-        actions = b.end(id, attempts, at, Outcome::Full, MS);
+        actions = b.end(id, attempts, at, Outcome::Overloaded, MS);
         attempts += 1;
     }
     assert_eq!(attempts, 3);
@@ -215,14 +217,14 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_endpoint_not_even_a_retry() {
-    for state in [State::Draining, State::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let entries = list(2);
-        let mut b = Bench::new(settings(Effect::Once), entries.clone());
+        let mut b = Bench::new(settings(Idempotency::NonIdempotent), entries.clone());
         let (id, actions) = b.request(S);
         let first = sent(&actions).expect("sent");
         let other = entries.iter().find(|e| e.id != first).expect("two");
         b.state(other, state);
-        assert!(sent(&b.end(id, 0, first, Outcome::Full, MS)).is_none());
+        assert!(sent(&b.end(id, 0, first, Outcome::Overloaded, MS)).is_none());
         assert!((0..5).all(|_| sent(&b.request(S).1).is_none_or(|at| at == first)));
     }
 }
@@ -230,31 +232,31 @@
 #[test]
 fn an_endpoint_missing_from_a_whole_list_is_gone_and_may_come_back() {
     let entries = list(2);
-    let mut b = Bench::new(settings(Effect::Once), entries.clone());
-    b.list(ListChange::Full(entries[..1].to_vec()));
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), entries.clone());
+    b.list(EndpointUpdate::Snapshot(entries[..1].to_vec()));
     assert!((0..3).all(|_| sent(&b.request(S).1) == Some(entries[0].id)));
-    let back = b.list(ListChange::Full(entries.clone()));
-    assert!(timers(&back).iter().any(|(_, t)| *t == Timer::Check(entries[1].id)), "checked again");
+    let back = b.list(EndpointUpdate::Snapshot(entries.clone()));
+    assert!(timers(&back).iter().any(|(_, t)| *t == Timer::HealthCheck(entries[1].id)), "checked again");
     assert_eq!(sent(&b.request(S).1), Some(entries[1].id));
 }
 
 #[test]
 fn a_subscription_is_asked_for_and_renewed_inside_the_time_it_must_be() {
-    let mut s = settings(Effect::Once);
+    let mut s = settings(Idempotency::NonIdempotent);
     s.discovery = Discovery::Subscribe;
-    let must = s.rules.must_ask_in;
+    let must = s.rules.poll_interval;
     let mut b = Balancer::new(s, 3, 0);
     let mut out = Vec::new();
-    b.handle(0, Event::List(ListChange::Cached(list(2))), &mut out);
+    b.handle(0, Event::Endpoints(EndpointUpdate::Cached(list(2))), &mut out);
     let asks = |out: &[Action]| timers(out).into_iter().find(|(_, t)| *t == Timer::Discovery);
     let (mut at, timer) = asks(&out).expect("asks");
     assert!(at < must);
     for _ in 0..6 {
         out.clear();
-        b.handle(at, Event::Timer(timer), &mut out);
-        assert_eq!(out, [Action::Watch(true)]);
+        b.handle(at, Event::TimerFired(timer), &mut out);
+        assert_eq!(out, [Action::WatchEndpoints(true)]);
         out.clear();
-        b.handle(at, Event::List(ListChange::Failed), &mut out);
+        b.handle(at, Event::Endpoints(EndpointUpdate::Failed), &mut out);
         let next = asks(&out).expect("asks again").0;
         assert!(next > at && next < at + 4 * must, "apart, but inside four times the interval");
         at = next;
@@ -270,7 +272,7 @@
     let at = sent(&actions).expect("sent");
     b.now += MS;
     if silent == Some(at) {
-        b.tell(Event::Aborted(id));
+        b.tell(Event::RequestAborted(id));
         b.end(id, 0, at, Outcome::Cancelled, MS);
     } else {
         b.end(id, 0, at, Outcome::Ok, MS);
@@ -283,8 +285,8 @@
 fn sent_to_cold(instances: u32, per_s: u64, age: Nanos, seconds: u64) -> u64 {
     let mut total = 0;
     for me in 0..instances {
-        let mut s = settings(Effect::Once);
-        (s.me, s.group_size) = (me, instances);
+        let mut s = settings(Idempotency::NonIdempotent);
+        (s.replica_index, s.replica_count) = (me, instances);
         let mut b = Bench::seeded(u64::from(me), s, list(10));
         let call = |b: &mut Bench, silent| {
             b.now += S / per_s - MS;
@@ -292,7 +294,10 @@
         };
         let favourite = (0..20 * per_s).map(|_| call(&mut b, None)).last().expect("served");
         let started = Some(b.now - age);
-        b.list(ListChange::Delta(vec![Entry { started, ..list(10)[favourite.0 as usize].clone() }]));
+        b.list(EndpointUpdate::Delta(vec![EndpointEntry {
+            started,
+            ..list(10)[favourite.0 as usize].clone()
+        }]));
         total += (0..seconds * per_s).filter(|_| call(&mut b, Some(favourite)) == favourite).count() as u64;
     }
     total
@@ -318,7 +323,7 @@
 fn an_instance_that_knows_no_rate_sends_a_cold_endpoint_next_to_nothing() {
     let mut entries = list(4);
     entries[0].started = Some(1000 * S);
-    let mut b = Bench::new(settings(Effect::Once), entries.clone());
+    let mut b = Bench::new(settings(Idempotency::NonIdempotent), entries.clone());
     let to_cold = (0..20).filter(|_| sent(&b.request(S).1) == Some(entries[0].id)).count();
     assert!(to_cold <= 1, "{to_cold} calls");
 }
@@ -326,14 +331,14 @@
 #[test]
 fn a_cold_endpoint_smaller_than_the_mean_is_loaded_less() {
     let got = |size: f64| {
-        let mut b = Bench::new(settings(Effect::Once), list(10));
+        let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(10));
         let call = |b: &mut Bench, silent| {
             b.now += 4 * MS;
             call_to(b, silent)
         };
         let favourite = (0..4000).map(|_| call(&mut b, None)).last().expect("served");
-        let entry = Entry { started: Some(b.now), size, ..list(10)[favourite.0 as usize].clone() };
-        b.list(ListChange::Delta(vec![entry]));
+        let entry = EndpointEntry { started: Some(b.now), size, ..list(10)[favourite.0 as usize].clone() };
+        b.list(EndpointUpdate::Delta(vec![entry]));
         (0..1000).filter(|_| call(&mut b, Some(favourite)) == favourite).count()
     };
     let (small, ordinary, large) = (got(0.25), got(1.0), got(4.0));
--- a/crates/lab/benches/decisions.rs
+++ b/crates/lab/benches/decisions.rs
@@ -27,7 +27,7 @@
 /// A proxy under steady load.
 struct Bench {
     policy: Box<dyn Policy>,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     now: Nanos,
     step: Nanos,
     next: u64,
@@ -41,7 +41,8 @@
         let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
         let place = Place { settings, seed: 1, now: 1000 * S, sight: Rc::new(Blind) };
         let policy = policy::named(name).expect("an ordinary name")(place);
-        let entries: Vec<_> = (0..n).map(|i| Entry::ready(EndpointId(i), &format!("endpoint-{i}"))).collect();
+        let entries: Vec<_> =
+            (0..n).map(|i| EndpointEntry::ready(EndpointId(i), &format!("endpoint-{i}"))).collect();
         let mut bench = Bench {
             policy,
             entries: entries.clone(),
@@ -52,7 +53,7 @@
             refused: 0,
             out: Vec::new(),
         };
-        bench.tell(Event::List(ListChange::Cached(entries)));
+        bench.tell(Event::Endpoints(EndpointUpdate::Cached(entries)));
         (0..(n / 4).max(1)).for_each(|_| bench.arrive());
         (0..(10 * n).min(2_000)).for_each(|_| bench.request());
         bench
@@ -67,9 +68,9 @@
         self.now += self.step;
         let id = RequestId(self.next);
         self.next += 1;
-        self.tell(Event::Request(Request::new(id, ClassId(0), S)));
+        self.tell(Event::RequestArrived(Request::new(id, ClassId(0), S)));
         match self.out.first() {
-            Some(Action::Send { endpoint, .. }) => self.open.push_back((id, *endpoint, self.now)),
+            Some(Action::StartAttempt { endpoint, .. }) => self.open.push_back((id, *endpoint, self.now)),
             _ => self.refused += 1,
         }
     }
@@ -79,17 +80,25 @@
         self.arrive();
         let Some((request, endpoint, sent)) = self.open.pop_front() else { return };
         let (took, outcome) = (self.now - sent, Outcome::Ok);
-        let end = AttemptEnd { request, attempt: 0, endpoint, outcome, took, over: true, load: None };
-        self.tell(Event::Outcome(end));
+        let end = AttemptEnd {
+            request,
+            attempt: 0,
+            endpoint,
+            outcome,
+            duration: took,
+            request_completed: true,
+            load: None,
+        };
+        self.tell(Event::AttemptEnded(end));
     }
 
     /// One endpoint after another drains and comes back.
     fn change(&mut self) {
         let at = (self.next / 2) as usize % self.entries.len();
-        let state = if self.next.is_multiple_of(2) { State::Draining } else { State::Ready };
+        let state = if self.next.is_multiple_of(2) { EndpointState::Draining } else { EndpointState::Ready };
         self.next += 1;
-        let entry = Entry { state, ..self.entries[at].clone() };
-        self.tell(Event::List(ListChange::Delta(vec![entry])));
+        let entry = EndpointEntry { state, ..self.entries[at].clone() };
+        self.tell(Event::Endpoints(EndpointUpdate::Delta(vec![entry])));
     }
 }
 
--- a/crates/lab/src/fleet_log/mod.rs
+++ b/crates/lab/src/fleet_log/mod.rs
@@ -175,7 +175,7 @@
     #[test]
     fn what_each_proxy_does_a_little_is_added_up_by_the_names_that_all_share() {
         let (named, send) = ("endpoint, endpoint: 0, name: s", "send, request: 1, endpoint: 0");
-        let a = log("a", &[(0, named), (1, send), (900, "outcome, outcome: Full, endpoint: 0")]);
+        let a = log("a", &[(0, named), (1, send), (900, "outcome, outcome: Overloaded, endpoint: 0")]);
         // The same endpoint has another number at another proxy, and a tier of its own elsewhere.
         let b = log(
             "b",
@@ -189,7 +189,7 @@
         let fleet = count([a, b, c]).expect("readable");
         let [first, second] = &fleet.tiers[..] else { panic!("{fleet:?}") };
         assert_eq!((first.proxies.len(), second.proxies.len()), (2, 1));
-        assert_eq!((first.total("send"), second.total("send"), first.total("outcome Full")), (2, 1, 1));
+        assert_eq!((first.total("send"), second.total("send"), first.total("outcome Overloaded")), (2, 1, 1));
         assert_eq!(first.endpoints["s"].most_out, 2);
         assert_eq!(first.seconds[&1], Counts::from([("connect".into(), 1)]));
         assert_eq!(fleet.unread, 0);
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -7,7 +7,7 @@
 use super::tally::End;
 use super::world::{NOBODY, World};
 use crate::scenario::Shape;
-use olivecart_decisions::{Effect, Group, Nanos};
+use olivecart_decisions::{DeduplicationScope, Idempotency, Nanos};
 use rand::Rng;
 use rand_distr::Exp1;
 use rustc_hash::FxHashMap;
@@ -219,7 +219,7 @@
         let proxy = self.proxy(ctx);
         let (node, patience) = (self.node, ctx.world.scenario.clients.patience);
         let Some(request) = self.get(logical) else { return };
-        let whole = ctx.world.classes[request.class as usize].told.give_up;
+        let whole = ctx.world.classes[request.class as usize].told.client_deadline;
         let ends = (request.arrived + whole).min(ctx.now + (whole as f64 * patience) as Nanos);
         request.proxy = proxy;
         let call = Call {
@@ -312,9 +312,11 @@
         let honours = ctx.rng.random::<f64>() < clients.honours_retry_after;
         let request = self.get(logical)?;
         let class = &ctx.world.classes[request.class as usize].told;
-        let harmless = match (verdict, class.effect) {
-            (Verdict::Refused(_) | Verdict::Unreachable, _) | (_, Effect::Repeatable) => true,
-            (_, Effect::ByKey { group: Group::All, window }) => ctx.now < request.arrived + window,
+        let harmless = match (verdict, class.idempotency) {
+            (Verdict::Refused(_) | Verdict::Unreachable, _) | (_, Idempotency::Idempotent) => true,
+            (_, Idempotency::Keyed { scope: DeduplicationScope::All, window }) => {
+                ctx.now < request.arrived + window
+            }
             _ => false,
         };
         let tries = storm.unwrap_or(clients.retries).min(200);
@@ -325,7 +327,7 @@
             }
             _ => clients.backoff.nanos(),
         };
-        let ends = request.arrived + class.give_up;
+        let ends = request.arrived + class.client_deadline;
         (harmless && u32::from(request.attempt) < tries && ctx.now + wait < ends).then_some(wait)
     }
 
@@ -339,7 +341,7 @@
         let part = if request.over_share { ctx.world.scenario.over_share_worth } else { 1.0 };
         let worth = |worth: u64| (worth as f64 * part).round() as u64;
         let served = match verdict {
-            Verdict::Served(_) if took <= class.told.aim => worth(class.worth),
+            Verdict::Served(_) if took <= class.told.latency_objective => worth(class.worth),
             Verdict::Served(_) => worth(class.late_worth),
             _ => 0,
         };
@@ -349,7 +351,7 @@
             arrived: request.arrived,
             took,
             verdict,
-            in_time: took <= class.told.aim,
+            in_time: took <= class.told.latency_objective,
             asked: worth(class.worth),
             served,
             // What its tenant sends beyond its share counts for the whole, not for the tenant.
@@ -367,9 +369,9 @@
             self.executed.remove(&old);
         }
         let classes = &ctx.world.classes;
-        let longest = classes.iter().map(|c| c.told.give_up).max().unwrap_or(0);
-        let window = |effect| if let Effect::ByKey { window, .. } = effect { window } else { 0 };
-        let widest = classes.iter().map(|c| window(c.told.effect)).max().unwrap_or(0);
+        let longest = classes.iter().map(|c| c.told.client_deadline).max().unwrap_or(0);
+        let window = |effect| if let Idempotency::Keyed { window, .. } = effect { window } else { 0 };
+        let widest = classes.iter().map(|c| window(c.told.idempotency)).max().unwrap_or(0);
         let Some(first) = self.executed.get_mut(&logical) else {
             self.executed.insert(logical, Executed { group, at: ctx.now, counted: false });
             self.expiring.push_back((ctx.now + 2 * (longest + widest), logical));
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -6,7 +6,7 @@
 use super::net;
 use super::world::World;
 use crate::scenario::DiscoveryMode;
-use olivecart_decisions::{Nanos, State};
+use olivecart_decisions::{EndpointState, Nanos};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -26,16 +26,16 @@
 
 fn first_lines(world: &World, tier: u8) -> Vec<Line> {
     let servers = (0..).zip(&world.tiers[tier as usize].servers);
-    let ready = |(slot, _)| Line { slot, state: State::Ready, started: 0 };
+    let ready = |(slot, _)| Line { slot, state: EndpointState::Ready, started: 0 };
     servers.filter(|(_, spec)| spec.first).map(ready).collect()
 }
 
 /// A line that replaces an older one of its server; what is gone is no longer listed.
 fn enter(lines: &mut Vec<Line>, line: Line) {
     match (lines.binary_search_by_key(&line.slot, |l| l.slot), line.state) {
-        (Ok(at), State::Gone) => _ = lines.remove(at),
+        (Ok(at), EndpointState::Removed) => _ = lines.remove(at),
         (Ok(at), _) => lines[at] = line,
-        (Err(_), State::Gone) => {}
+        (Err(_), EndpointState::Removed) => {}
         (Err(at), _) => lines.insert(at, line),
     }
 }
--- a/crates/lab/src/model/faults.rs
+++ b/crates/lab/src/model/faults.rs
@@ -5,7 +5,7 @@
 use super::world::{Like, World};
 use crate::run::result::Window;
 use crate::scenario::{Fault, FaultKind};
-use olivecart_decisions::{Nanos, State};
+use olivecart_decisions::{EndpointState, Nanos};
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
@@ -180,8 +180,8 @@
             self.dark[machine].push(time);
         }
         let line = |state, started| Line { slot, state, started };
-        self.facts.push((time.from, tier as u8, line(State::Gone, 0)));
-        self.facts.push((time.to, tier as u8, line(State::Ready, time.to)));
+        self.facts.push((time.from, tier as u8, line(EndpointState::Removed, 0)));
+        self.facts.push((time.to, tier as u8, line(EndpointState::Ready, time.to)));
     }
 
     fn lose_zone(&mut self, world: &World, zone: usize, time: Stretch) -> String {
@@ -248,9 +248,9 @@
         self.changes[successor].push((replaced, Change::Start));
         self.proxies_down[successor].push(Stretch { from: 0, to: replaced });
         let line = |slot, state, started| Line { slot, state, started };
-        self.facts.push((drained, tier as u8, line(slot, State::Draining, 0)));
-        self.facts.push((replaced, tier as u8, line(slot, State::Gone, 0)));
-        self.facts.push((replaced, tier as u8, line(new, State::Ready, replaced)));
+        self.facts.push((drained, tier as u8, line(slot, EndpointState::Draining, 0)));
+        self.facts.push((replaced, tier as u8, line(slot, EndpointState::Removed, 0)));
+        self.facts.push((replaced, tier as u8, line(new, EndpointState::Ready, replaced)));
     }
 
     /// Whether two zones can reach each other.
--- a/crates/lab/src/model/machine.rs
+++ b/crates/lab/src/model/machine.rs
@@ -149,7 +149,7 @@
             }
             Effect::Call { job, run, attempt } => {
                 let class = &ctx.world.classes[attempt.class as usize];
-                let whole = ctx.now + class.told.give_up;
+                let whole = ctx.now + class.told.client_deadline;
                 let passes = ctx.world.scenario.limits.passes_deadline;
                 let call = Call {
                     logical: attempt.logical,
@@ -168,8 +168,8 @@
             Effect::Hangup { request } => _ = self.proxy.as_mut().map(|p| p.abort(ctx, request)),
             Effect::Executed(attempt) => {
                 let first_tier = self.server_tier(ctx.world) == Some(0);
-                let effect = ctx.world.classes[attempt.class as usize].told.effect;
-                if first_tier && effect != decisions::Effect::Repeatable {
+                let effect = ctx.world.classes[attempt.class as usize].told.idempotency;
+                if first_tier && effect != decisions::Idempotency::Idempotent {
                     let at = ctx.now + net::client(ctx.world, ctx.rng);
                     let group = self.group(ctx.world, effect);
                     ctx.out.send(attempt.logical.node, at, Message::Executed(attempt.logical, group));
@@ -183,12 +183,14 @@
     }
 
     /// The group of servers within which a repeat of this effect is dropped, as a number.
-    fn group(&self, world: &World, effect: decisions::Effect) -> u64 {
+    fn group(&self, world: &World, effect: decisions::Idempotency) -> u64 {
         let Some((tier, slot)) = world.machines[self.number as usize].server else { return 0 };
         let spec = &world.tiers[tier as usize].servers[slot as usize];
         match effect {
-            decisions::Effect::ByKey { group: decisions::Group::Zone, .. } => u64::from(spec.zone),
-            decisions::Effect::ByKey { group: decisions::Group::Cell, .. } => spec.cell,
+            decisions::Idempotency::Keyed { scope: decisions::DeduplicationScope::Zone, .. } => {
+                u64::from(spec.zone)
+            }
+            decisions::Idempotency::Keyed { scope: decisions::DeduplicationScope::Cell, .. } => spec.cell,
             _ => 0,
         }
     }
--- a/crates/lab/src/model/message.rs
+++ b/crates/lab/src/model/message.rs
@@ -1,7 +1,7 @@
 //! What the nodes of the model tell each other and themselves.
 
 use crate::engine;
-use olivecart_decisions::{Load, Nanos, Outcome, State, Timer};
+use olivecart_decisions::{EndpointState, LoadReport, Nanos, Outcome, Timer};
 use std::sync::Arc;
 
 /// A client's request over all its tries: the node that holds it, its place there, and a number that tells
@@ -105,7 +105,7 @@
     /// Work done for it over all tiers.
     pub work: u64,
     /// The load report.
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// One line of the list.
@@ -114,7 +114,7 @@
     /// The server's place in its tier.
     pub slot: u32,
     /// Whether it takes requests.
-    pub state: State,
+    pub state: EndpointState,
     /// When it last started; 0: long ago.
     pub started: Nanos,
 }
@@ -221,7 +221,7 @@
     /// To a server: a probe, by which proxy, which one.
     Probe(u32, u64),
     /// To a proxy: which probe, how it ended, with what report.
-    Probed(u64, Outcome, Option<Load>),
+    Probed(u64, Outcome, Option<LoadReport>),
     /// To discovery: by whom, and whether to watch from now on.
     Ask(u32, bool),
     /// To a proxy.
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -280,7 +280,7 @@
 fn timer_number(timer: olivecart_decisions::Timer) -> u64 {
     use olivecart_decisions::Timer;
     match timer {
-        Timer::Check(e) => u64::from(e.0) << 2,
+        Timer::HealthCheck(e) => u64::from(e.0) << 2,
         Timer::Request(r) => r.0 << 2 | 1,
         Timer::Discovery => 2,
     }
--- a/crates/lab/src/model/monitor.rs
+++ b/crates/lab/src/model/monitor.rs
@@ -3,7 +3,7 @@
 //! What a rule forbids is told from what the proxy was told and did, never from what its policy believes.
 
 use crate::run::result::Breach;
-use olivecart_decisions::{Nanos, Outcome, State};
+use olivecart_decisions::{EndpointState, Nanos, Outcome};
 use std::collections::VecDeque;
 use std::fmt;
 
@@ -62,7 +62,7 @@
     /// A request's deadline passed.
     Expired(u64),
     /// The list told of a server, which started then.
-    Told(u32, State, Nanos),
+    Told(u32, EndpointState, Nanos),
 }
 
 impl Note {
--- a/crates/lab/src/model/proxy.rs
+++ b/crates/lab/src/model/proxy.rs
@@ -9,8 +9,8 @@
 use crate::policy::{Place, Policy, Standing};
 use crate::run::result::Held;
 use olivecart_decisions::{
-    Action, AttemptEnd, ClassId, Effect, EndpointId, Event, Group, ListChange, Nanos, Outcome, Request,
-    RequestId, Settings, State, TenantId, Timer,
+    Action, AttemptEnd, ClassId, DeduplicationScope, EndpointId, EndpointState, EndpointUpdate, Event,
+    Idempotency, Nanos, Outcome, Request, RequestId, Settings, TenantId, Timer,
 };
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
@@ -74,7 +74,7 @@
     /// By server: idle connections, as since when and to which of its lives; the last one used is the last.
     idle: BTreeMap<u32, Vec<(Nanos, u32)>>,
     /// By server that takes no requests: its state, and when this proxy was told.
-    unready: FxHashMap<u32, (State, Nanos)>,
+    unready: FxHashMap<u32, (EndpointState, Nanos)>,
     /// By server that started during the run: when, as this proxy was told.
     started: FxHashMap<u32, Nanos>,
     probes: FxHashMap<u64, (u32, Nanos)>,
@@ -159,7 +159,7 @@
         let place = Place { settings: self.settings.clone(), seed, now: ctx.now, sight };
         self.policy = Some((world.maker)(place));
         let known: Vec<Line> = world.list_as_of(self.tier, ctx.now);
-        self.listen(ctx, &known, true, ListChange::Cached);
+        self.listen(ctx, &known, true, EndpointUpdate::Cached);
         ctx.out.wake(ctx.now + self.sweep_every(ctx.world), Message::Sweep(self.life));
         if self.number < LOOKING_PROXIES && world.tiers[self.tier as usize].servers.len() <= LOOKED_AT {
             ctx.out.wake(ctx.now + LOOK, Message::Look);
@@ -223,8 +223,8 @@
         ctx.out.wake(call.deadline.max(ctx.now), Message::Expired(number));
         let tenant = (call.tenant != super::world::NOBODY).then_some(TenantId(call.tenant));
         let left = call.deadline.saturating_sub(ctx.now);
-        let request = Request { tenant, retry: call.retry, ..Request::new(id, ClassId(call.class), left) };
-        self.tell(ctx, Event::Request(request));
+        let request = Request { tenant, is_retry: call.retry, ..Request::new(id, ClassId(call.class), left) };
+        self.tell(ctx, Event::RequestArrived(request));
         Some(number)
     }
 
@@ -241,7 +241,7 @@
         open.ended = true;
         self.ended += 1;
         self.monitor.note(ctx.now, Note::Left(number));
-        self.tell(ctx, Event::Aborted(RequestId(number)));
+        self.tell(ctx, Event::RequestAborted(RequestId(number)));
         self.settle(number);
     }
 
@@ -294,7 +294,7 @@
     /// A timer of this life's policy.
     pub fn timer(&mut self, ctx: &mut Ctx, timer: Timer, life: u32) {
         if life == self.life {
-            self.tell(ctx, Event::Timer(timer));
+            self.tell(ctx, Event::TimerFired(timer));
         }
     }
 
@@ -304,11 +304,11 @@
         ctx: &mut Ctx,
         probe: u64,
         outcome: Outcome,
-        load: Option<olivecart_decisions::Load>,
+        load: Option<olivecart_decisions::LoadReport>,
     ) {
         let Some((endpoint, sent)) = self.probes.remove(&probe) else { return };
         let (endpoint, took) = (EndpointId(endpoint), ctx.now - sent);
-        self.tell(ctx, Event::Checked { endpoint, outcome, took, load });
+        self.tell(ctx, Event::HealthCheckCompleted { endpoint, outcome, duration: took, load });
     }
 
     /// News of the list.
@@ -318,11 +318,11 @@
         }
         self.unheard = 0;
         match news {
-            News::Full(lines) => self.listen(ctx, &lines, true, ListChange::Full),
-            News::Delta(lines) => self.listen(ctx, &lines, false, ListChange::Delta),
+            News::Full(lines) => self.listen(ctx, &lines, true, EndpointUpdate::Snapshot),
+            News::Delta(lines) => self.listen(ctx, &lines, false, EndpointUpdate::Delta),
             News::Failed => {
                 self.watching = false;
-                self.tell(ctx, Event::List(ListChange::Failed));
+                self.tell(ctx, Event::Endpoints(EndpointUpdate::Failed));
             }
         }
     }
@@ -332,14 +332,14 @@
         ctx: &mut Ctx,
         lines: &[Line],
         whole: bool,
-        change: impl Fn(Vec<olivecart_decisions::Entry>) -> ListChange,
+        change: impl Fn(Vec<olivecart_decisions::EndpointEntry>) -> EndpointUpdate,
     ) {
         let listed: Vec<u32> = if whole { lines.iter().map(|l| l.slot).collect() } else { Vec::new() };
         if whole {
             // What a whole list does not name is gone.
             for slot in 0..ctx.world.tiers[self.tier as usize].servers.len() as u32 {
                 if listed.binary_search(&slot).is_err() {
-                    self.unready.entry(slot).or_insert((State::Gone, ctx.now));
+                    self.unready.entry(slot).or_insert((EndpointState::Removed, ctx.now));
                 }
             }
         }
@@ -348,13 +348,13 @@
                 self.monitor.note(ctx.now, Note::Told(line.slot, line.state, line.started));
             }
             match line.state {
-                State::Ready => _ = self.unready.remove(&line.slot),
+                EndpointState::Ready => _ = self.unready.remove(&line.slot),
                 state => _ = self.unready.entry(line.slot).or_insert((state, ctx.now)),
             }
             if line.started > 0 {
                 self.started.insert(line.slot, line.started);
             }
-            if line.state != State::Ready
+            if line.state != EndpointState::Ready
                 && let Some(idle) = self.idle.remove(&line.slot)
             {
                 self.close(ctx, line.slot, idle);
@@ -363,7 +363,7 @@
         let names = &ctx.local.names[self.tier as usize];
         let entry = |l: &Line| ctx.world.entry(self.tier, *l, names[l.slot as usize].clone());
         let entries = lines.iter().map(entry).collect();
-        self.tell(ctx, Event::List(change(entries)));
+        self.tell(ctx, Event::Endpoints(change(entries)));
     }
 
     /// Closes connections that were idle for long, and notices a watch that says nothing.
@@ -389,7 +389,7 @@
             if self.unheard >= SILENCE {
                 self.unheard = 0;
                 self.watching = false;
-                self.tell(ctx, Event::List(ListChange::Failed));
+                self.tell(ctx, Event::Endpoints(EndpointUpdate::Failed));
             }
         }
         ctx.out.wake(ctx.now + every, Message::Sweep(self.life));
@@ -424,29 +424,31 @@
 
     fn perform(&mut self, ctx: &mut Ctx, action: Action) {
         match action {
-            Action::Send { request, endpoint, cap, .. } => self.send(ctx, request.0, endpoint.0, cap),
-            Action::Cancel { request, attempt } => {
+            Action::StartAttempt { request, endpoint, timeout: cap, .. } => {
+                self.send(ctx, request.0, endpoint.0, cap)
+            }
+            Action::CancelAttempt { request, attempt } => {
                 self.monitor.note(ctx.now, Note::Cancelled(request.0, attempt));
                 self.give_up(ctx, request.0, attempt, Outcome::Cancelled);
             }
-            Action::Shed { request, come_back } => self.refuse(ctx, request.0, come_back),
+            Action::Shed { request, retry_after: come_back } => self.refuse(ctx, request.0, come_back),
             Action::Fail(request) => {
                 self.monitor.note(ctx.now, Note::Failed(request.0));
                 self.finish(ctx, request.0, Verdict::Failed);
             }
-            Action::Check(endpoint) => self.check(ctx, endpoint.0),
+            Action::StartHealthCheck(endpoint) => self.check(ctx, endpoint.0),
             Action::SetTimer { at, timer } => {
                 ctx.out.wake(at.max(ctx.now + 1), Message::Timer(timer, self.life));
             }
-            Action::Watch(on) => self.ask(ctx, on, on),
-            Action::Refresh => self.ask(ctx, true, false),
-            Action::Close(endpoint) => {
+            Action::WatchEndpoints(on) => self.ask(ctx, on, on),
+            Action::RefreshEndpoints => self.ask(ctx, true, false),
+            Action::CloseIdleConnections(endpoint) => {
                 if let Some(idle) = self.idle.remove(&endpoint.0) {
                     self.close(ctx, endpoint.0, idle);
                 }
             }
             // Copies have no way to talk to each other.
-            Action::Publish { .. } | Action::Remark(_) => {}
+            Action::Publish { .. } | Action::Log(_) => {}
         }
     }
 
@@ -485,7 +487,7 @@
         let deadline = if cap > 0 { open.call.deadline.min(ctx.now + cap) } else { open.call.deadline };
         open.tries.push(Try { endpoint, sent: ctx.now, arrives: ctx.now, done: None });
         if moot {
-            return self.attempt_ended(ctx, request, number, Outcome::Moot, 0, None);
+            return self.attempt_ended(ctx, request, number, Outcome::NotSent, 0, None);
         }
         let call = open.call;
         if deadline < call.deadline {
@@ -544,18 +546,18 @@
 
     /// Why an attempt at a server is against the rule on effects, if it is.
     fn forbids(&self, world: &World, now: Nanos, open: &Open, endpoint: u32) -> Option<String> {
-        let ran = |t: &&Try| !t.done.is_some_and(Outcome::never_ran);
+        let ran = |t: &&Try| !t.done.is_some_and(Outcome::was_never_executed);
         let first = open.tries.iter().find(ran)?;
-        match world.classes[open.call.class as usize].told.effect {
-            Effect::Repeatable => None,
-            Effect::Once => Some("its effect is `once`".into()),
-            Effect::ByKey { group, window } => {
+        match world.classes[open.call.class as usize].told.idempotency {
+            Idempotency::Idempotent => None,
+            Idempotency::NonIdempotent => Some("its effect is `once`".into()),
+            Idempotency::Keyed { scope: group, window } => {
                 let servers = &world.tiers[self.tier as usize].servers;
                 let (a, b) = (&servers[first.endpoint as usize], &servers[endpoint as usize]);
                 let joined = match group {
-                    Group::All => true,
-                    Group::Zone => a.zone == b.zone,
-                    Group::Cell => a.cell == b.cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => a.zone == b.zone,
+                    DeduplicationScope::Cell => a.cell == b.cell,
                 };
                 if !joined {
                     return Some(format!(
@@ -570,11 +572,11 @@
 
     fn refuse(&mut self, ctx: &mut Ctx, request: u64, come_back: Nanos) {
         self.monitor.note(ctx.now, Note::Refused(request));
-        let ran = |t: &Try| !t.done.is_some_and(Outcome::never_ran);
+        let ran = |t: &Try| !t.done.is_some_and(Outcome::was_never_executed);
         let harmful = self.open.get(&request).filter(|o| !o.ended && o.tries.iter().any(ran)).map(|o| {
-            match ctx.world.classes[o.call.class as usize].told.effect {
-                Effect::Repeatable | Effect::ByKey { group: Group::All, .. } => false,
-                Effect::Once | Effect::ByKey { .. } => true,
+            match ctx.world.classes[o.call.class as usize].told.idempotency {
+                Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => false,
+                Idempotency::NonIdempotent | Idempotency::Keyed { .. } => true,
             }
         });
         if harmful == Some(true) {
@@ -635,7 +637,7 @@
         number: u32,
         outcome: Outcome,
         work: u64,
-        load: Option<olivecart_decisions::Load>,
+        load: Option<olivecart_decisions::LoadReport>,
     ) {
         let Some(t) = self.open.get_mut(&request).and_then(|o| o.tries.get_mut(number as usize)) else {
             return;
@@ -649,9 +651,16 @@
         }
         let over = self.open.get(&request).is_none_or(|o| o.ended);
         self.settle(request);
-        let end =
-            AttemptEnd { request: RequestId(request), attempt: number, endpoint, outcome, took, over, load };
-        self.tell(ctx, Event::Outcome(end));
+        let end = AttemptEnd {
+            request: RequestId(request),
+            attempt: number,
+            endpoint,
+            outcome,
+            duration: took,
+            request_completed: over,
+            load,
+        };
+        self.tell(ctx, Event::AttemptEnded(end));
     }
 
     /// Forgets a request that has ended and of which nothing is out.
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -12,7 +12,7 @@
 use super::world::World;
 use crate::policy::Truth;
 use crate::scenario::{Cancel, Kind};
-use olivecart_decisions::{Load, Nanos, Outcome};
+use olivecart_decisions::{LoadReport, Nanos, Outcome};
 use rand::Rng;
 use rand_distr::{Exp1, StandardNormal};
 use rand_pcg::Pcg64Mcg;
@@ -144,7 +144,7 @@
     crowded: bool,
     connections: u32,
     /// Load reports, oldest first: when made, and what.
-    reports: VecDeque<(Nanos, Load)>,
+    reports: VecDeque<(Nanos, LoadReport)>,
     served_since: u64,
     busy_since: u64,
     pressure: Pressure,
@@ -278,7 +278,7 @@
             || self.waiting.len() >= kind.queue as usize && self.slots_used >= kind.slots
         {
             self.counts.turned_away += 1;
-            return turned_away(Outcome::Full, kept, effects);
+            return turned_away(Outcome::Overloaded, kept, effects);
         }
         if ctx.rng.random::<f64>() < kind.error_rate.max(self.errors) {
             self.counts.answered += 1;
@@ -363,7 +363,7 @@
 
     /// A probe has come: how it ends, and when it is answered. It is answered beside the queue, so that a
     /// server that hangs passes it.
-    pub fn probe(&mut self, world: &World, now: Nanos) -> (Outcome, Nanos, Option<Load>) {
+    pub fn probe(&mut self, world: &World, now: Nanos) -> (Outcome, Nanos, Option<LoadReport>) {
         self.counts.probes += 1;
         match self.state {
             State::Down => (Outcome::ConnectFailed, now, None),
@@ -582,12 +582,12 @@
         if now / period > last / period {
             let (span, cores) = ((now - last).max(1) as f64, f64::from(self.kind(world).cores));
             let busy = (self.counts.busy - self.busy_since.min(self.counts.busy)) as f64;
-            let load = Load {
+            let load = LoadReport {
                 active: Some(f64::from(self.slots_used)),
                 waiting: Some(self.waiting.len() as f64),
                 cpu: Some((busy / span / cores).min(1.0)),
                 rate: Some(self.served_since as f64 * 1e9 / span),
-                ..Load::default()
+                ..LoadReport::default()
             };
             (self.busy_since, self.served_since) = (self.counts.busy, 0);
             self.reports.push_back((now, load));
@@ -598,7 +598,7 @@
         }
     }
 
-    fn report(&self, world: &World, now: Nanos) -> Option<Load> {
+    fn report(&self, world: &World, now: Nanos) -> Option<LoadReport> {
         let delay = self.kind(world).report.map_or(0, |r| r.delay.nanos());
         let told = now.saturating_sub(delay + self.late);
         self.reports.iter().rev().find(|(at, _)| *at <= told).map(|(_, load)| *load)
@@ -716,14 +716,14 @@
 }
 
 /// A factor on a report's figures.
-pub fn noisy(load: Option<Load>, noise: f64, rng: &mut Pcg64Mcg) -> Option<Load> {
+pub fn noisy(load: Option<LoadReport>, noise: f64, rng: &mut Pcg64Mcg) -> Option<LoadReport> {
     if noise <= 0.0 {
         return load;
     }
     let mut factor = |value: Option<f64>| {
         value.map(|v| (v * (1.0 + noise * rng.sample::<f64, _>(StandardNormal))).max(0.0))
     };
-    load.map(|l| Load {
+    load.map(|l| LoadReport {
         active: factor(l.active),
         waiting: factor(l.waiting),
         cpu: factor(l.cpu),
--- a/crates/lab/src/model/world.rs
+++ b/crates/lab/src/model/world.rs
@@ -184,44 +184,44 @@
         let quota = |t: &scenario::Tenant| t.share * self.capacity;
         let tenant = |t| decisions::Tenant { quota_per_s: quota(t), share: t.share };
         decisions::Settings {
-            me: number,
-            group_size: self.tiers[tier as usize].callers.len() as u32,
+            replica_index: number,
+            replica_count: self.tiers[tier as usize].callers.len() as u32,
             tier: u32::from(tier),
             zone: ZoneId(zone),
-            tick: 1_000_000,
+            clock_granularity: 1_000_000,
             classes: self.classes.iter().map(|c| c.told.clone()).collect(),
             tenants: self.scenario.tenant.iter().map(tenant).collect(),
-            over_share_worth: self.scenario.over_share_worth,
-            worth_by_work: false,
-            passes_deadline: limits.passes_deadline,
+            over_quota_weight_ratio: self.scenario.over_share_worth,
+            weight_by_work: false,
+            propagates_deadline: limits.passes_deadline,
             discovery: match self.scenario.discovery.mode {
                 DiscoveryMode::Push => decisions::Discovery::Automatic,
                 DiscoveryMode::Watch => decisions::Discovery::Subscribe,
             },
             limits: decisions::Limits {
                 max_attempts: limits.max_attempts,
-                second_copies: false,
-                cancel: limits.cancel,
-                probes: limits.probes,
+                hedging_enabled: false,
+                cancellation_enabled: limits.cancel,
+                health_checks_enabled: limits.probes,
                 max_retry_after: limits.max_retry_after.nanos(),
                 connect_timeout: limits.connect_timeout.nanos(),
             },
             rules: decisions::Rules {
-                cold_share: rules.cold_share,
-                cold: rules.cold_time.nanos(),
-                fall_multiple: rules.fall_multiple,
-                fall: rules.fall_window.nanos(),
+                slow_start_initial_share: rules.cold_share,
+                slow_start_window: rules.cold_time.nanos(),
+                overload_multiple: rules.fall_multiple,
+                overload_window: rules.fall_window.nanos(),
                 drain_grace: rules.drain_grace.nanos(),
-                must_ask_in: rules.must_ask_in.nanos(),
+                poll_interval: rules.must_ask_in.nanos(),
             },
-            prices: decisions::Prices::default(),
+            cost_weights: decisions::CostWeights::default(),
         }
     }
 
     /// A line of the list as the decisions read it.
-    pub fn entry(&self, tier: u8, line: super::message::Line, name: Rc<str>) -> decisions::Entry {
+    pub fn entry(&self, tier: u8, line: super::message::Line, name: Rc<str>) -> decisions::EndpointEntry {
         let spec = &self.tiers[tier as usize].servers[line.slot as usize];
-        decisions::Entry {
+        decisions::EndpointEntry {
             id: decisions::EndpointId(line.slot),
             name,
             state: line.state,
@@ -290,25 +290,25 @@
 
 fn class(class: &scenario::Class) -> Class {
     let group = match class.group {
-        scenario::Group::All => decisions::Group::All,
-        scenario::Group::Zone => decisions::Group::Zone,
-        scenario::Group::Cell => decisions::Group::Cell,
+        scenario::Group::All => decisions::DeduplicationScope::All,
+        scenario::Group::Zone => decisions::DeduplicationScope::Zone,
+        scenario::Group::Cell => decisions::DeduplicationScope::Cell,
     };
     let effect = match class.effect {
-        scenario::Effect::Repeatable => decisions::Effect::Repeatable,
+        scenario::Effect::Repeatable => decisions::Idempotency::Idempotent,
         scenario::Effect::ByKey => {
-            decisions::Effect::ByKey { group, window: class.window.unwrap_or_default().nanos() }
+            decisions::Idempotency::Keyed { scope: group, window: class.window.unwrap_or_default().nanos() }
         }
-        scenario::Effect::Once => decisions::Effect::Once,
+        scenario::Effect::Once => decisions::Idempotency::NonIdempotent,
     };
     Class {
         told: decisions::Class {
-            aim: class.aim.nanos(),
-            give_up: class.deadline.nanos(),
-            effect,
-            worth: class.worth,
-            late_worth: class.late_worth,
-            stream: false,
+            latency_objective: class.aim.nanos(),
+            client_deadline: class.deadline.nanos(),
+            idempotency: effect,
+            priority_weight: class.worth,
+            late_weight_ratio: class.late_worth,
+            streaming: false,
         },
         worth: (class.worth * WORTH).round() as u64,
         late_worth: (class.worth * class.late_worth * WORTH).round() as u64,
--- a/crates/lab/src/policy/broken.rs
+++ b/crates/lab/src/policy/broken.rs
@@ -22,8 +22,8 @@
 use super::pool::{Ask, Pool};
 use super::{Place, Policy, Standing};
 use olivecart_decisions::{
-    Action, AttemptEnd, Balancer, ClassId, Effect, EndpointId, Entry, Event, Group, ListChange, Nanos,
-    Outcome, Request, RequestId, Settings, State, Timer,
+    Action, AttemptEnd, Balancer, ClassId, DeduplicationScope, EndpointEntry, EndpointId, EndpointState,
+    EndpointUpdate, Event, Idempotency, Nanos, Outcome, Request, RequestId, Settings, Timer,
 };
 use rand::{Rng, SeedableRng};
 use rustc_hash::FxHashMap;
@@ -104,14 +104,15 @@
 
     // ---- events, on their way in ----
 
-    fn follow_list(&mut self, change: ListChange) {
+    fn follow_list(&mut self, change: EndpointUpdate) {
         let entries = match &change {
-            ListChange::Delta(entries) | ListChange::Full(entries) | ListChange::Cached(entries) => {
-                &entries[..]
-            }
-            ListChange::Failed => &[],
+            EndpointUpdate::Delta(entries)
+            | EndpointUpdate::Snapshot(entries)
+            | EndpointUpdate::Cached(entries) => &entries[..],
+            EndpointUpdate::Failed => &[],
         };
-        let started = |e: &Entry| e.started.filter(|_| e.state == State::Ready).map(|at| (at, e.id));
+        let started =
+            |e: &EndpointEntry| e.started.filter(|_| e.state == EndpointState::Ready).map(|at| (at, e.id));
         self.started = entries.iter().filter_map(started).max().max(self.started);
         let (now, withdrawn) = (self.now, &mut self.withdrawn);
         self.pool.follow(change, |pool, id, _| match pool.is_ready(id) {
@@ -123,7 +124,7 @@
     fn take(&mut self, request: &Request) {
         let track = Track {
             class: request.class,
-            deadline: self.now.saturating_add(request.left),
+            deadline: self.now.saturating_add(request.time_left),
             made: 0,
             out: 0,
             foreign: Vec::new(),
@@ -147,8 +148,8 @@
         let own = self.own(end.request, end.attempt);
         if let Some(track) = self.tracks.get_mut(&end.request) {
             track.out = track.out.saturating_sub(1);
-            track.over |= end.over;
-            if !end.outcome.never_ran() && !end.over {
+            track.over |= end.request_completed;
+            if !end.outcome.was_never_executed() && !end.request_completed {
                 track.ran = track.ran.or(Some(end.endpoint));
             }
             if let Some((_, thought)) = track.astray.iter().find(|(n, _)| *n == end.attempt) {
@@ -156,8 +157,8 @@
             }
         }
         match own {
-            Some(attempt) => Some(Event::Outcome(AttemptEnd { attempt, ..end })),
-            None if end.over => Some(Event::Aborted(end.request)), // answered by what they do not know of
+            Some(attempt) => Some(Event::AttemptEnded(AttemptEnd { attempt, ..end })),
+            None if end.request_completed => Some(Event::RequestAborted(end.request)), // answered by what they do not know of
             None => None,
         }
     }
@@ -165,13 +166,13 @@
     /// Notes an event, and gives it as the decisions are to be told it.
     fn translate(&mut self, event: Event) -> Option<Event> {
         match event {
-            Event::Outcome(end) => return self.attempt_ended(end),
-            Event::Begun { request, attempt } => {
-                return self.own(request, attempt).map(|attempt| Event::Begun { request, attempt });
+            Event::AttemptEnded(end) => return self.attempt_ended(end),
+            Event::ResponseStarted { request, attempt } => {
+                return self.own(request, attempt).map(|attempt| Event::ResponseStarted { request, attempt });
             }
-            Event::List(ref change) => self.follow_list(change.clone()),
-            Event::Request(ref request) => self.take(request),
-            Event::Aborted(id) => {
+            Event::Endpoints(ref change) => self.follow_list(change.clone()),
+            Event::RequestArrived(ref request) => self.take(request),
+            Event::RequestAborted(id) => {
                 self.tracks.entry(id).and_modify(|t| t.over = true);
             }
             _ => {}
@@ -199,16 +200,16 @@
 
     fn act(&mut self, action: Action, out: &mut Vec<Action>) {
         let id = match &action {
-            Action::Send { request, .. } | Action::Cancel { request, .. } | Action::Shed { request, .. } => {
-                *request
-            }
+            Action::StartAttempt { request, .. }
+            | Action::CancelAttempt { request, .. }
+            | Action::Shed { request, .. } => *request,
             Action::Fail(request) => *request,
             _ => return out.push(action),
         };
         match action {
             _ if !self.tracks.contains_key(&id) => out.push(action),
-            Action::Send { endpoint, cap, .. } => self.send(id, endpoint, cap, out),
-            Action::Cancel { attempt, .. } => out.push(self.cancel(id, attempt)),
+            Action::StartAttempt { endpoint, timeout: cap, .. } => self.send(id, endpoint, cap, out),
+            Action::CancelAttempt { attempt, .. } => out.push(self.cancel(id, attempt)),
             answer => self.answer(id, answer, out),
         }
     }
@@ -227,7 +228,7 @@
             return self.lose(id, endpoint, deadline, out);
         }
         if self.bug == Bug::AnswersTwice && first && self.seldom() {
-            out.push(Action::Shed { request: id, come_back: 0 });
+            out.push(Action::Shed { request: id, retry_after: 0 });
             self.tracks.entry(id).and_modify(|t| t.owes = true);
         }
         let number = self.attempt(id, target.unwrap_or(endpoint), cap, out);
@@ -250,13 +251,21 @@
         } else {
             self.tracks.remove(&id);
         }
-        let (request, attempt, outcome, took, over) = (id, 0, Outcome::Moot, 0, true);
-        let end = AttemptEnd { request, attempt, endpoint, outcome, took, over, load: None };
-        self.untold.push(Event::Outcome(end));
+        let (request, attempt, outcome, took, over) = (id, 0, Outcome::NotSent, 0, true);
+        let end = AttemptEnd {
+            request,
+            attempt,
+            endpoint,
+            outcome,
+            duration: took,
+            request_completed: over,
+            load: None,
+        };
+        self.untold.push(Event::AttemptEnded(end));
     }
 
     fn attempt(&mut self, id: RequestId, endpoint: EndpointId, cap: Nanos, out: &mut Vec<Action>) -> u32 {
-        out.push(Action::Send { request: id, endpoint, cap, start_by: Nanos::MAX });
+        out.push(Action::StartAttempt { request: id, endpoint, timeout: cap, start_by: Nanos::MAX });
         let Some(track) = self.tracks.get_mut(&id) else { return 0 };
         (track.made, track.out) = (track.made + 1, track.out + 1);
         track.made - 1
@@ -272,7 +281,7 @@
     fn cancel(&self, request: RequestId, attempt: u32) -> Action {
         let foreign = self.tracks.get(&request).map_or(&[][..], |t| &t.foreign);
         let own = (0..).filter(|n| !foreign.contains(n)).nth(attempt as usize);
-        Action::Cancel { request, attempt: own.unwrap_or(attempt) }
+        Action::CancelAttempt { request, attempt: own.unwrap_or(attempt) }
     }
 
     /// The decisions give a request's final answer.
@@ -304,8 +313,11 @@
     /// Whether a repeat has to go to the group of the first attempt, about which the decisions must then know
     /// the truth.
     fn confined(&self, class: ClassId) -> bool {
-        let effect = self.settings.classes.get(class.0 as usize).map(|c| c.effect);
-        matches!(effect, Some(Effect::ByKey { group: Group::Cell | Group::Zone, .. }))
+        let effect = self.settings.classes.get(class.0 as usize).map(|c| c.idempotency);
+        matches!(
+            effect,
+            Some(Idempotency::Keyed { scope: DeduplicationScope::Cell | DeduplicationScope::Zone, .. })
+        )
     }
 
     fn long_withdrawn(&mut self) -> Option<EndpointId> {
@@ -318,14 +330,19 @@
     fn cold(&self) -> Option<EndpointId> {
         let rules = &self.settings.rules;
         let (at, id) = self.started?;
-        let cold = self.now < at.saturating_add(rules.cold.min(4 * rules.fall));
+        let cold = self.now < at.saturating_add(rules.slow_start_window.min(4 * rules.overload_window));
         (cold && self.pool.is_ready(id)).then_some(id)
     }
 
     /// An endpoint outside of the group that a keyed request has to stay in.
     fn outside(&mut self, class: ClassId, like: EndpointId) -> Option<EndpointId> {
-        let effect = self.settings.classes.get(class.0 as usize)?.effect;
-        let Effect::ByKey { group: group @ (Group::Cell | Group::Zone), .. } = effect else { return None };
+        let effect = self.settings.classes.get(class.0 as usize)?.idempotency;
+        let Idempotency::Keyed {
+            scope: group @ (DeduplicationScope::Cell | DeduplicationScope::Zone), ..
+        } = effect
+        else {
+            return None;
+        };
         let ask = Ask { now: self.now, key: 0, work: 0, not: None, within: Some((group, like)) };
         self.any(|pool, id| !pool.allows(&ask, id))
     }
@@ -335,8 +352,8 @@
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         self.now = now.max(self.now);
         let about = match &event {
-            Event::Outcome(end) => Some(end.request),
-            Event::Aborted(id) | Event::Timer(Timer::Request(id)) => Some(*id),
+            Event::AttemptEnded(end) => Some(end.request),
+            Event::RequestAborted(id) | Event::TimerFired(Timer::Request(id)) => Some(*id),
             _ => None,
         };
         self.untold = self.translate(event).into_iter().collect();
--- a/crates/lab/src/policy/chassis.rs
+++ b/crates/lab/src/policy/chassis.rs
@@ -11,8 +11,8 @@
 use super::pool::{Ask, Pool};
 use super::{Place, Policy};
 use olivecart_decisions::{
-    Action, AttemptEnd, ClassId, Discovery, Effect, EndpointId, Event, Group, ListChange, Nanos, Outcome,
-    Request, RequestId, Settings, Timer,
+    Action, AttemptEnd, ClassId, DeduplicationScope, Discovery, EndpointId, EndpointUpdate, Event,
+    Idempotency, Nanos, Outcome, Request, RequestId, Settings, Timer,
 };
 use rand::{Rng, SeedableRng};
 use rustc_hash::FxHashMap;
@@ -41,7 +41,7 @@
 /// endpoint; and whether it may be refused.
 struct Permit {
     until: Nanos,
-    within: Option<(Group, EndpointId)>,
+    within: Option<(DeduplicationScope, EndpointId)>,
     shed: bool,
 }
 
@@ -62,9 +62,10 @@
     /// One that knows nothing yet.
     pub fn new(place: Place, pick: P) -> Textbook<P> {
         let settings = place.settings;
-        let by_cell = |e: &Effect| matches!(e, Effect::ByKey { group: Group::Cell, .. });
+        let by_cell =
+            |e: &Idempotency| matches!(e, Idempotency::Keyed { scope: DeduplicationScope::Cell, .. });
         Textbook {
-            pool: Pool::new(settings.classes.iter().any(|c| by_cell(&c.effect))),
+            pool: Pool::new(settings.classes.iter().any(|c| by_cell(&c.idempotency))),
             settings,
             pick,
             open: FxHashMap::default(),
@@ -77,11 +78,11 @@
 
     // ---- the list ----
 
-    fn follow_list(&mut self, change: ListChange, out: &mut Vec<Action>) {
-        if matches!(change, ListChange::Failed) {
+    fn follow_list(&mut self, change: EndpointUpdate, out: &mut Vec<Action>) {
+        if matches!(change, EndpointUpdate::Failed) {
             // Discovery is one small service for all: ask again spread out, and further apart each time.
             self.watch_failures = (self.watch_failures + 1).min(3);
-            return self.ask_within((self.settings.rules.must_ask_in / 16) << self.watch_failures, out);
+            return self.ask_within((self.settings.rules.poll_interval / 16) << self.watch_failures, out);
         }
         self.watch_failures = 0;
         let pick = &mut self.pick;
@@ -104,7 +105,7 @@
 
     fn take(&mut self, request: Request, out: &mut Vec<Action>) {
         let key = request.key.unwrap_or(request.id.0);
-        let aim = self.settings.classes.get(request.class.0 as usize).map_or(0, |c| c.aim);
+        let aim = self.settings.classes.get(request.class.0 as usize).map_or(0, |c| c.latency_objective);
         let open = Open {
             class: request.class,
             last: false,
@@ -112,10 +113,10 @@
             at: EndpointId(0),
             sent: self.now,
             ran: None,
-            deadline: self.now.saturating_add(request.left),
+            deadline: self.now.saturating_add(request.time_left),
             key: xxh3_64(&key.to_le_bytes()),
             // Without a hint, what the decisions take a class to need before they have seen any of it.
-            work: request.cost.unwrap_or(aim / 4),
+            work: request.estimated_work.unwrap_or(aim / 4),
         };
         let permit = self.permit(&open);
         self.dispatch(request.id, open, &permit, out);
@@ -133,22 +134,24 @@
         self.pool.sent(endpoint);
         self.pick.sent(&self.pool, endpoint, &ask);
         self.open.insert(id, open);
-        out.push(Action::Send { request: id, endpoint, cap: 0, start_by: Nanos::MAX });
+        out.push(Action::StartAttempt { request: id, endpoint, timeout: 0, start_by: Nanos::MAX });
     }
 
     fn attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         if self.pool.ended(end.endpoint) {
             self.pick.ended(&self.pool, end.endpoint);
         }
-        let current = |open: &Open| end.over || open.attempts == end.attempt + 1;
+        let current = |open: &Open| end.request_completed || open.attempts == end.attempt + 1;
         if !self.open.get(&end.request).is_some_and(current) {
             return;
         }
-        let Some(mut open) = self.open.remove(&end.request).filter(|_| !end.over) else { return };
-        if !end.outcome.never_ran() {
+        let Some(mut open) = self.open.remove(&end.request).filter(|_| !end.request_completed) else {
+            return;
+        };
+        if !end.outcome.was_never_executed() {
             open.ran = open.ran.or(Some((open.at, open.sent)));
         }
-        open.last |= end.outcome == Outcome::Moot;
+        open.last |= end.outcome == Outcome::NotSent;
         let permit = self.permit(&open);
         self.dispatch(end.request, open, &permit, out);
     }
@@ -157,27 +160,31 @@
     fn permit(&self, open: &Open) -> Permit {
         let anything = Permit { until: Nanos::MAX, within: None, shed: true };
         let Some((first, sent)) = open.ran else { return anything };
-        match self.settings.classes.get(open.class.0 as usize).map(|c| c.effect) {
-            Some(Effect::Repeatable) => anything,
-            Some(Effect::ByKey { group, window }) => Permit {
+        match self.settings.classes.get(open.class.0 as usize).map(|c| c.idempotency) {
+            Some(Idempotency::Idempotent) => anything,
+            Some(Idempotency::Keyed { scope: group, window }) => Permit {
                 until: sent.saturating_add(window - window / 8), // it has to arrive inside the window too
                 within: Some((group, first)),
-                shed: group == Group::All,
+                shed: group == DeduplicationScope::All,
             },
-            Some(Effect::Once) | None => Permit { until: 0, within: None, shed: false },
+            Some(Idempotency::NonIdempotent) | None => Permit { until: 0, within: None, shed: false },
         }
     }
 
     /// A refusal where it is true that trying again is harmless, else a failure.
     fn finish(&mut self, request: RequestId, permit: &Permit, out: &mut Vec<Action>) {
-        let come_back = (self.settings.rules.must_ask_in / 8).min(self.settings.limits.max_retry_after);
-        out.push(if permit.shed { Action::Shed { request, come_back } } else { Action::Fail(request) });
+        let come_back = (self.settings.rules.poll_interval / 8).min(self.settings.limits.max_retry_after);
+        out.push(if permit.shed {
+            Action::Shed { request, retry_after: come_back }
+        } else {
+            Action::Fail(request)
+        });
     }
 
     fn client_left(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.remove(&request) else { return };
-        if self.settings.limits.cancel {
-            out.push(Action::Cancel { request, attempt: open.attempts.saturating_sub(1) });
+        if self.settings.limits.cancellation_enabled {
+            out.push(Action::CancelAttempt { request, attempt: open.attempts.saturating_sub(1) });
         }
     }
 }
@@ -188,20 +195,20 @@
         if !self.asked {
             // Spread, or all proxies that start together would ask together.
             self.asked = true;
-            let most = self.settings.rules.must_ask_in / 2;
+            let most = self.settings.rules.poll_interval / 2;
             let least = self.chance.random_range(0..=most / 2);
             self.ask_within(least, out);
         }
         match event {
-            Event::List(change) => self.follow_list(change, out),
-            Event::Request(request) => self.take(request, out),
-            Event::Begun { request, .. } => {
+            Event::Endpoints(change) => self.follow_list(change, out),
+            Event::RequestArrived(request) => self.take(request, out),
+            Event::ResponseStarted { request, .. } => {
                 self.open.entry(request).and_modify(|open| open.last = true);
             }
-            Event::Outcome(end) => self.attempt_ended(end, out),
-            Event::Aborted(request) => self.client_left(request, out),
-            Event::Timer(Timer::Discovery) => out.push(Action::Watch(true)),
-            Event::Timer(_) | Event::Checked { .. } | Event::Peer { .. } => {}
+            Event::AttemptEnded(end) => self.attempt_ended(end, out),
+            Event::RequestAborted(request) => self.client_left(request, out),
+            Event::TimerFired(Timer::Discovery) => out.push(Action::WatchEndpoints(true)),
+            Event::TimerFired(_) | Event::HealthCheckCompleted { .. } | Event::PeerMessage { .. } => {}
         }
     }
 }
--- a/crates/lab/src/policy/mod.rs
+++ b/crates/lab/src/policy/mod.rs
@@ -77,13 +77,13 @@
     }
 
     fn standing(&self, endpoint: EndpointId) -> Option<Standing> {
-        use olivecart_decisions::Standing as Seen;
-        match Balancer::standing(self, endpoint) {
-            Seen::Unknown | Seen::Withdrawn => None,
-            Seen::Down => Some(Standing::Down),
-            Seen::Held { .. } => Some(Standing::Held),
+        use olivecart_decisions::EndpointStatus as Seen;
+        match Balancer::endpoint_status(self, endpoint) {
+            Seen::Unknown | Seen::DrainingOrRemoved => None,
+            Seen::Unhealthy => Some(Standing::Down),
+            Seen::Ejected { .. } => Some(Standing::Held),
             // Left alone for a moment, or within a budget: nobody holds those back.
-            Seen::Full { .. } | Seen::Cold { .. } | Seen::Good => Some(Standing::Good),
+            Seen::Overloaded { .. } | Seen::SlowStart { .. } | Seen::Healthy => Some(Standing::Good),
         }
     }
 }
--- a/crates/lab/src/policy/pool.rs
+++ b/crates/lab/src/policy/pool.rs
@@ -2,7 +2,9 @@
 //! own each has out. Some 30 bytes for each, and nothing here walks the list for a request, but
 //! [`Pool::candidates`] on a list restricted to a zone.
 
-use olivecart_decisions::{CellId, EndpointId, Entry, Group, ListChange, Nanos, State, ZoneId};
+use olivecart_decisions::{
+    CellId, DeduplicationScope, EndpointEntry, EndpointId, EndpointState, EndpointUpdate, Nanos, ZoneId,
+};
 use std::collections::BTreeSet;
 
 /// Place of an endpoint that is not among the ready ones.
@@ -32,7 +34,7 @@
     /// Where it was tried before.
     pub not: Option<EndpointId>,
     /// The only group it may still be sent to: that of this endpoint.
-    pub within: Option<(Group, EndpointId)>,
+    pub within: Option<(DeduplicationScope, EndpointId)>,
 }
 
 /// The endpoints of one proxy.
@@ -67,23 +69,23 @@
     /// Whether a ready endpoint may be chosen for `ask`.
     pub fn allows(&self, ask: &Ask, id: EndpointId) -> bool {
         let joins = |(group, like)| match group {
-            Group::All => true,
-            Group::Zone => self.slot(like).zone == self.slot(id).zone,
-            Group::Cell => self.slot(like).cell == self.slot(id).cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => self.slot(like).zone == self.slot(id).zone,
+            DeduplicationScope::Cell => self.slot(like).cell == self.slot(id).cell,
         };
         ask.not != Some(id) && ask.within.is_none_or(joins)
     }
 
     /// Whether only a handful of the ready endpoints can be chosen, so that trying some at random is no use.
     pub fn confines(&self, ask: &Ask) -> bool {
-        self.cells.is_some() && matches!(ask.within, Some((Group::Cell, _)))
+        self.cells.is_some() && matches!(ask.within, Some((DeduplicationScope::Cell, _)))
     }
 
     /// All that may be chosen for `ask`. Walks a cell where that is what the request is confined to, else the
     /// whole list: for short lists, and for the rare repeat for which trying some at random found none.
     pub fn candidates(&self, ask: &Ask) -> impl Iterator<Item = EndpointId> {
         let cell = match (&self.cells, ask.within) {
-            (Some(cells), Some((Group::Cell, like))) => Some((cells, self.slot(like).cell)),
+            (Some(cells), Some((DeduplicationScope::Cell, like))) => Some((cells, self.slot(like).cell)),
             _ => None,
         };
         let in_cell = cell.map(|(cells, cell)| {
@@ -120,17 +122,17 @@
     /// with its entry where there is one.
     pub(super) fn follow(
         &mut self,
-        change: ListChange,
-        mut moved: impl FnMut(&Pool, EndpointId, Option<&Entry>),
+        change: EndpointUpdate,
+        mut moved: impl FnMut(&Pool, EndpointId, Option<&EndpointEntry>),
     ) {
         let (entries, whole) = match change {
-            ListChange::Failed => return,
-            ListChange::Delta(entries) => (entries, false),
-            ListChange::Full(entries) | ListChange::Cached(entries) => (entries, true),
+            EndpointUpdate::Failed => return,
+            EndpointUpdate::Delta(entries) => (entries, false),
+            EndpointUpdate::Snapshot(entries) | EndpointUpdate::Cached(entries) => (entries, true),
         };
         if whole {
             let mut named = vec![false; self.slots.len()];
-            for entry in entries.iter().filter(|e| e.state == State::Ready) {
+            for entry in entries.iter().filter(|e| e.state == EndpointState::Ready) {
                 if let Some(mark) = named.get_mut(entry.id.0 as usize) {
                     *mark = true;
                 }
@@ -150,19 +152,19 @@
         }
     }
 
-    fn list(&mut self, entry: &Entry) {
+    fn list(&mut self, entry: &EndpointEntry) {
         let at = entry.id.0 as usize;
         if self.slots.len() <= at {
             self.slots.resize(at + 1, UNHEARD);
         }
         let ready = self.is_ready(entry.id);
         let moves = ready && self.slots[at].cell != entry.cell;
-        if moves || ready && entry.state != State::Ready {
+        if moves || ready && entry.state != EndpointState::Ready {
             self.leave(entry.id);
         }
         self.slots[at].cell = entry.cell;
         self.slots[at].zone = entry.zone;
-        if entry.state == State::Ready && !self.is_ready(entry.id) {
+        if entry.state == EndpointState::Ready && !self.is_ready(entry.id) {
             self.slots[at].place = self.ready.len() as u32;
             self.ready.push(entry.id);
             if let Some(cells) = &mut self.cells {
--- a/crates/lab/src/sidecars/sidecar.rs
+++ b/crates/lab/src/sidecars/sidecar.rs
@@ -6,8 +6,8 @@
 use crate::engine::Outbox;
 use crate::model::mix;
 use olivecart_decisions::{
-    Action, AttemptEnd, Balancer, Class, ClassId, EndpointId, Entry, Event, ListChange, Nanos, Outcome,
-    Request, RequestId, Settings, State,
+    Action, AttemptEnd, Balancer, Class, ClassId, EndpointEntry, EndpointId, EndpointState, EndpointUpdate,
+    Event, Nanos, Outcome, Request, RequestId, Settings,
 };
 use olivecart_membership::xds::conversation::{
     self, Config, Conversation, Input, Node, Output, Response, Variant,
@@ -77,9 +77,13 @@
         // The only figure that differs from the defaults is in its range.
         let catalog = Catalog::new(policy, [source]).unwrap_or_else(|bad| unreachable!("{bad}"));
         let settings = Settings {
-            me: id - 1,
-            group_size: plan.sidecars,
-            classes: vec![Class { aim: PATIENCE / 10, give_up: PATIENCE, ..Class::default() }],
+            replica_index: id - 1,
+            replica_count: plan.sidecars,
+            classes: vec![Class {
+                latency_objective: PATIENCE / 10,
+                client_deadline: PATIENCE,
+                ..Class::default()
+            }],
             ..Settings::default()
         };
         let balancer =
@@ -141,10 +145,12 @@
                 self.read(world, rng, now, out);
             }
             Message::Arrival => self.arrival(world, rng, now, out),
-            Message::Timer(cluster, timer) => self.decide(world, rng, now, cluster, Event::Timer(timer), out),
+            Message::Timer(cluster, timer) => {
+                self.decide(world, rng, now, cluster, Event::TimerFired(timer), out)
+            }
             Message::Attempt(cluster, attempt) => self.attempt(world, rng, now, (cluster, attempt), out),
             Message::Checked(cluster, endpoint, outcome, took) => {
-                let event = Event::Checked { endpoint, outcome, took, load: None };
+                let event = Event::HealthCheckCompleted { endpoint, outcome, duration: took, load: None };
                 self.decide(world, rng, now, cluster, event, out);
             }
             _ => {}
@@ -224,20 +230,21 @@
                     let cluster = (0..world.plan.clusters).find(|at| name(*at) == change.cluster.as_str());
                     let Some(cluster) = cluster else { continue };
                     let mut entries = Vec::new();
-                    for (id, state) in
-                        change.removed.iter().map(|id| (id, State::Gone)).chain(
-                            change.upserted.iter().map(|upserted| (&upserted.endpoint.name, State::Ready)),
-                        )
-                    {
+                    for (id, state) in change.removed.iter().map(|id| (id, EndpointState::Removed)).chain(
+                        change
+                            .upserted
+                            .iter()
+                            .map(|upserted| (&upserted.endpoint.name, EndpointState::Ready)),
+                    ) {
                         let Some(&number) = self.known.get(id.as_str()) else { continue };
                         let endpoint = EndpointId(number - world.fleet.first[cluster as usize]);
-                        let is_new = state == State::Ready;
+                        let is_new = state == EndpointState::Ready;
                         let mark = mark(number);
                         self.held =
                             if is_new { self.held.wrapping_add(mark) } else { self.held.wrapping_sub(mark) };
-                        entries.push(Entry { state, ..Entry::ready(endpoint, id.as_str()) });
+                        entries.push(EndpointEntry { state, ..EndpointEntry::ready(endpoint, id.as_str()) });
                     }
-                    let event = Event::List(ListChange::Delta(entries));
+                    let event = Event::Endpoints(EndpointUpdate::Delta(entries));
                     self.decide(world, rng, now, cluster, event, out);
                 }
                 Told::AskAgain { cluster, .. } => asks.push(cluster),
@@ -262,7 +269,7 @@
         self.requests[when].taken += 1;
         self.open.insert(id, Open { when, deadline: now + PATIENCE, attempts: 0 });
         let request = Request::new(RequestId(id), ClassId(0), PATIENCE);
-        self.decide(world, rng, now, cluster, Event::Request(request), out);
+        self.decide(world, rng, now, cluster, Event::RequestArrived(request), out);
     }
 
     fn attempt(
@@ -280,8 +287,16 @@
             self.end(request, outcome == Outcome::Ok);
         }
         let (request, took) = (RequestId(request), now - sent);
-        let end = AttemptEnd { request, attempt, endpoint, outcome, took, over, load: None };
-        self.decide(world, rng, now, cluster, Event::Outcome(end), out);
+        let end = AttemptEnd {
+            request,
+            attempt,
+            endpoint,
+            outcome,
+            duration: took,
+            request_completed: over,
+            load: None,
+        };
+        self.decide(world, rng, now, cluster, Event::AttemptEnded(end), out);
     }
 
     fn end(&mut self, request: u64, answered: bool) {
@@ -307,7 +322,7 @@
         balancer.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, endpoint, cap, .. } => {
+                Action::StartAttempt { request, endpoint, timeout: cap, .. } => {
                     let Some(open) = self.open.get_mut(&request.0) else { continue };
                     let attempt = open.attempts;
                     open.attempts += 1;
@@ -326,7 +341,7 @@
                     let attempt = Attempt { request: request.0, attempt, endpoint, outcome, sent: now };
                     out.wake(at, Message::Attempt(cluster, attempt));
                 }
-                Action::Check(endpoint) => {
+                Action::StartHealthCheck(endpoint) => {
                     let server = world.fleet.server(cluster, endpoint);
                     let outcome = if lives(server, now) { Outcome::Ok } else { Outcome::ConnectFailed };
                     let took = 2 * LATENCY;
--- a/crates/lab/src/sockets/load/request.rs
+++ b/crates/lab/src/sockets/load/request.rs
@@ -160,9 +160,9 @@
     fn ended(&self, planned: &Planned, verdict: Verdict, at: u64) {
         let class = &self.world.classes[planned.class];
         let took = at.saturating_sub(planned.due);
-        let in_time = took <= class.told.aim;
+        let in_time = took <= class.told.latency_objective;
         let verdict = match verdict {
-            Verdict::Served(_) if took > class.told.give_up => Verdict::Failed, // nobody waited any more
+            Verdict::Served(_) if took > class.told.client_deadline => Verdict::Failed, // nobody waited any more
             other => other,
         };
         let part = if planned.over_share { self.world.scenario.over_share_worth } else { 1.0 };
--- a/crates/lab/tests/policies/broken.rs
+++ b/crates/lab/tests/policies/broken.rs
@@ -15,9 +15,9 @@
         checker.arrive((step % 4) as u16, 300 * MS);
         let one = step / 3000 % 8;
         match step % 3000 {
-            1500 => checker.list_state(one, State::Draining, false),
-            2000 => checker.list_state(one, State::Gone, false),
-            2500 => checker.list_state(one, State::Ready, true),
+            1500 => checker.list_state(one, EndpointState::Draining, false),
+            2000 => checker.list_state(one, EndpointState::Removed, false),
+            2500 => checker.list_state(one, EndpointState::Ready, true),
             _ => {}
         }
     }
--- a/crates/lab/tests/policies/chassis.rs
+++ b/crates/lab/tests/policies/chassis.rs
@@ -31,7 +31,7 @@
                 let id = checker.arrive(class, S);
                 checker.end(id, 0, outcome);
                 if checker.went(id).len() > 1 {
-                    checker.end(id, 1, Outcome::Full);
+                    checker.end(id, 1, Outcome::Overloaded);
                 }
                 let refused = matches!(answers(&checker, id)[..], [Action::Shed { .. }]);
                 (checker.went(id), refused)
@@ -69,7 +69,7 @@
         let mut checker = Checker::new(name, settings(), list(8), 1);
         let (past, silent, never_issued) =
             (checker.arrive(ONCE, 0), checker.arrive(REPEATABLE, 10 * MS), checker.arrive(REPEATABLE, S));
-        checker.end(never_issued, 0, Outcome::Moot);
+        checker.end(never_issued, 0, Outcome::NotSent);
         checker.advance(checker.now + 10 * MS);
         let made =
             [past, silent, never_issued].map(|id| (checker.went(id).len(), answers(&checker, id).len()));
@@ -84,8 +84,8 @@
         for entry in &mut checker.entries {
             entry.cell = CellId(u64::from(entry.id.0 % 2));
         }
-        checker.tell(Event::List(ListChange::Delta(checker.entries.clone())));
-        checker.list_state(2, State::Gone, false);
+        checker.tell(Event::Endpoints(EndpointUpdate::Delta(checker.entries.clone())));
+        checker.list_state(2, EndpointState::Removed, false);
         for _ in 0..20 {
             let id = checker.arrive(BY_CELL, S);
             checker.end(id, 0, Outcome::Error);
@@ -100,7 +100,7 @@
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, settings(), Vec::new(), 1);
         let id = checker.arrive(ONCE, S);
-        let refusal = Action::Shed { request: id, come_back: checker.settings.rules.must_ask_in / 8 };
+        let refusal = Action::Shed { request: id, retry_after: checker.settings.rules.poll_interval / 8 };
         assert_eq!(answers(&checker, id), [&refusal], "{name}");
     }
 }
@@ -111,7 +111,11 @@
         let mut checker = Checker::new(name, settings(), list(2), 1);
         let id = checker.arrive(REPEATABLE, S);
         checker.abort_some(0);
-        assert_eq!(checker.actions.last(), Some(&Action::Cancel { request: id, attempt: 0 }), "{name}");
+        assert_eq!(
+            checker.actions.last(),
+            Some(&Action::CancelAttempt { request: id, attempt: 0 }),
+            "{name}"
+        );
         checker.end(id, 0, Outcome::Cancelled);
         assert!(checker.went(id).len() == 1 && answers(&checker, id).is_empty(), "{name}");
     }
@@ -121,8 +125,8 @@
 fn a_full_list_withdraws_what_it_does_not_name() {
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, settings(), list(8), 1);
-        checker.tell(Event::List(ListChange::Full(list(8).split_off(6))));
-        checker.tell(Event::List(ListChange::Failed));
+        checker.tell(Event::Endpoints(EndpointUpdate::Snapshot(list(8).split_off(6))));
+        checker.tell(Event::Endpoints(EndpointUpdate::Failed));
         (0..100).for_each(|_| {
             checker.arrive(REPEATABLE, S);
         });
@@ -137,16 +141,16 @@
     subscribe.discovery = Discovery::Subscribe;
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, subscribe.clone(), list(2), 1);
-        let base = subscribe.rules.must_ask_in;
+        let base = subscribe.rules.poll_interval;
         let timer = |checker: &Checker| match checker.actions.last() {
             Some(Action::SetTimer { at, timer: Timer::Discovery }) => at - checker.now,
             other => panic!("{name}: {other:?}"),
         };
         assert!(timer(&checker) <= base / 2);
         checker.advance(checker.now + base / 2);
-        assert_eq!(checker.actions.last(), Some(&Action::Watch(true)), "{name}");
+        assert_eq!(checker.actions.last(), Some(&Action::WatchEndpoints(true)), "{name}");
         for least in [base / 8, base / 4, base / 2, base / 2] {
-            checker.tell(Event::List(ListChange::Failed));
+            checker.tell(Event::Endpoints(EndpointUpdate::Failed));
             let wait = timer(&checker);
             assert!((least..=2 * least).contains(&wait), "{name}: {wait}");
         }
@@ -165,9 +169,10 @@
     let make = |name| {
         let place = Place { settings: settings(), seed: 1, now: S, sight: Rc::new(Seen::default()) };
         let mut policy = policy::named(name).expect("known")(place);
-        policy.handle(S, Event::List(ListChange::Cached(list(2))), &mut Vec::new());
+        policy.handle(S, Event::Endpoints(EndpointUpdate::Cached(list(2))), &mut Vec::new());
         let outcome = Outcome::ConnectFailed;
-        let failed = Event::Checked { endpoint: EndpointId(1), outcome, took: MS, load: None };
+        let failed =
+            Event::HealthCheckCompleted { endpoint: EndpointId(1), outcome, duration: MS, load: None };
         policy.handle(S, failed, &mut Vec::new());
         [0, 1, 2].map(|id| policy.standing(EndpointId(id)))
     };
