--- a/crates/lab/tests/policies/checker.rs
+++ b/crates/lab/tests/policies/checker.rs
@@ -74,7 +74,7 @@
         0..2 => (took, Error),
         2..4 => (took, Reset),
         4 => (MS, ConnectFailed),
-        5 => (MS, Full),
+        5 => (MS, Overloaded),
         6 => (Nanos::MAX, Timeout),
         _ => (took, Ok),
     }
@@ -84,7 +84,7 @@
     policy: Box<dyn Policy>,
     pub settings: Settings,
     pub now: Nanos,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
     /// Since when an endpoint takes no requests.
     withdrawn: BTreeMap<EndpointId, Nanos>,
     accounts: BTreeMap<RequestId, Account>,
@@ -102,32 +102,48 @@
 
 /// A class for each effect: repeatable, by key in a cell, by key in a zone, once.
 pub fn settings() -> Settings {
-    let keyed = |group| Effect::ByKey { group, window: 300 * MS };
-    let effects = [Effect::Repeatable, keyed(Group::Cell), keyed(Group::Zone), Effect::Once];
-    let class = |effect| Class { aim: 200 * MS, give_up: 1000 * MS, effect, ..Class::default() };
+    let keyed = |group| Idempotency::Keyed { scope: group, window: 300 * MS };
+    let effects = [
+        Idempotency::Idempotent,
+        keyed(DeduplicationScope::Cell),
+        keyed(DeduplicationScope::Zone),
+        Idempotency::NonIdempotent,
+    ];
+    let class = |effect| Class {
+        latency_objective: 200 * MS,
+        client_deadline: 1000 * MS,
+        idempotency: effect,
+        ..Class::default()
+    };
     let mut settings = Settings { classes: effects.into_iter().map(class).collect(), ..Settings::default() };
     settings.limits.max_retry_after = 2 * S;
-    settings.limits.cancel = true;
+    settings.limits.cancellation_enabled = true;
     settings
 }
 
 /// `n` warm endpoints, two to a cell, spread over two zones cell by cell.
-pub fn list(n: u32) -> Vec<Entry> {
-    let entry = |i: u32| Entry {
+pub fn list(n: u32) -> Vec<EndpointEntry> {
+    let entry = |i: u32| EndpointEntry {
         cell: CellId(u64::from(i / 2)),
         zone: ZoneId((i / 2 % 2) as u16),
-        ..Entry::ready(EndpointId(i), &format!("e{i}"))
+        ..EndpointEntry::ready(EndpointId(i), &format!("e{i}"))
     };
     (0..n).map(entry).collect()
 }
 
 impl Checker {
     /// A policy that was just told of its endpoints.
-    pub fn new(name: &str, settings: Settings, entries: Vec<Entry>, seed: u64) -> Checker {
+    pub fn new(name: &str, settings: Settings, entries: Vec<EndpointEntry>, seed: u64) -> Checker {
         Checker::with_sight(name, settings, entries, seed, Seen::default())
     }
 
-    pub fn with_sight(name: &str, settings: Settings, entries: Vec<Entry>, seed: u64, seen: Seen) -> Checker {
+    pub fn with_sight(
+        name: &str,
+        settings: Settings,
+        entries: Vec<EndpointEntry>,
+        seed: u64,
+        seen: Seen,
+    ) -> Checker {
         let now = 1000 * S;
         let make = policy::named(name).expect("known");
         let place = Place { settings: settings.clone(), seed, now, sight: Rc::new(seen) };
@@ -147,7 +163,7 @@
             actions: Vec::new(),
             breaches: Vec::new(),
         };
-        checker.tell(Event::List(ListChange::Cached(entries)));
+        checker.tell(Event::Endpoints(EndpointUpdate::Cached(entries)));
         checker
     }
 
@@ -166,16 +182,20 @@
 
     fn act(&mut self, action: &Action) {
         match action {
-            Action::Send { request, endpoint, cap, .. } => self.send(*request, *endpoint, *cap),
+            Action::StartAttempt { request, endpoint, timeout: cap, .. } => {
+                self.send(*request, *endpoint, *cap)
+            }
             Action::Shed { request, .. } | Action::Fail(request) => {
                 let Some(account) = self.accounts.get_mut(request) else {
                     return self.breach(Rule::Limits, "answered a request that it was not given");
                 };
                 let twice = std::mem::replace(&mut account.ended, true);
-                let ran = account.attempts.iter().any(|a| !a.done.is_some_and(Outcome::never_ran));
-                let effect = self.settings.classes[account.class].effect;
+                let ran = account.attempts.iter().any(|a| !a.done.is_some_and(Outcome::was_never_executed));
+                let effect = self.settings.classes[account.class].idempotency;
                 let harmless = match effect {
-                    Effect::Repeatable | Effect::ByKey { group: Group::All, .. } => true,
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
+                        true
+                    }
                     _ => !ran,
                 };
                 if twice {
@@ -184,7 +204,7 @@
                     self.breach(Rule::Effect, "refused what may have run");
                 }
             }
-            Action::Cancel { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 let made = self.accounts.get(request).map_or(0, |a| a.attempts.len());
                 if *attempt as usize >= made {
                     self.breach(Rule::Limits, "called off an attempt that was never made");
@@ -196,10 +216,10 @@
             Action::SetTimer { at, timer } => {
                 self.due.insert((*at, Due::Timer(*timer)));
             }
-            Action::Check(endpoint) => {
+            Action::StartHealthCheck(endpoint) => {
                 self.due.insert((self.now + MS, Due::Checked(*endpoint)));
             }
-            Action::Close(_) | Action::Watch(_) => {}
+            Action::CloseIdleConnections(_) | Action::WatchEndpoints(_) => {}
             other => self.breach(Rule::Limits, &format!("unexpected {other:?}")),
         }
     }
@@ -215,15 +235,15 @@
             return self.breach(Rule::Limits, "sent a request that it was not given");
         };
         let entry = |id: EndpointId| &self.entries[id.0 as usize];
-        let effect = self.settings.classes[account.class].effect;
+        let effect = self.settings.classes[account.class].idempotency;
         let harmful = |earlier: &&Attempt| match effect {
-            Effect::Repeatable => false,
-            Effect::Once => true,
-            Effect::ByKey { group, window } => {
-                !group.joins(entry(earlier.endpoint), entry(endpoint)) || now - earlier.sent >= window
+            Idempotency::Idempotent => false,
+            Idempotency::NonIdempotent => true,
+            Idempotency::Keyed { scope: group, window } => {
+                !group.is_shared_by(entry(earlier.endpoint), entry(endpoint)) || now - earlier.sent >= window
             }
         };
-        let ran = |a: &&Attempt| !a.done.is_some_and(Outcome::never_ran);
+        let ran = |a: &&Attempt| !a.done.is_some_and(Outcome::was_never_executed);
         let second = account.attempts.iter().filter(ran).any(|a| harmful(&a));
         let out = account.attempts.iter().any(|a| a.done.is_none());
         let (ended, deadline) = (account.ended, account.deadline);
@@ -232,7 +252,7 @@
         let took = self.queued(endpoint, took);
         let left = deadline.saturating_sub(now).min(if cap == 0 { Nanos::MAX } else { cap });
         let (took, planned) = match took > left {
-            _ if ended => (0, Outcome::Moot),
+            _ if ended => (0, Outcome::NotSent),
             true => (left, Outcome::Timeout),
             false => (took, outcome),
         };
@@ -240,7 +260,7 @@
             self.breach(Rule::Answer, "sent a request that has ended");
         } else if second {
             self.breach(Rule::Effect, "sent again what may have run");
-        } else if out && !self.settings.limits.second_copies {
+        } else if out && !self.settings.limits.hedging_enabled {
             self.breach(Rule::Effect, "two attempts out at once");
         } else if many {
             self.breach(Rule::Limits, "too many attempts");
@@ -263,8 +283,8 @@
     fn cold_capacity(&self, endpoint: EndpointId) -> Option<f64> {
         let (now, rules) = (self.now, &self.settings.rules);
         let started = self.entries.get(endpoint.0 as usize).and_then(|e| e.started)?;
-        let age = (now - started) as f64 / rules.cold as f64;
-        (age < 1.0).then_some(rules.cold_share + (1.0 - rules.cold_share) * age)
+        let age = (now - started) as f64 / rules.slow_start_window as f64;
+        (age < 1.0).then_some(rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age)
     }
 
     /// The cold rule on the sender's side: work sent in a window against what a server that warms up evenly
@@ -274,10 +294,10 @@
         let Some(capacity) = self.cold_capacity(endpoint) else { return };
         let window = self.to_cold.entry(endpoint).or_default();
         window.push_back(now);
-        while window.front().is_some_and(|sent| sent + rules.fall < now) {
+        while window.front().is_some_and(|sent| sent + rules.overload_window < now) {
             window.pop_front();
         }
-        let most = rules.fall_multiple * capacity * rules.fall as f64 + 3.0 * WORK as f64;
+        let most = rules.overload_multiple * capacity * rules.overload_window as f64 + 3.0 * WORK as f64;
         if window.len() as f64 * WORK as f64 > most {
             self.breach(Rule::Cold, "pushed a cold server over");
         }
@@ -295,8 +315,8 @@
         let account = Account { class: class as usize, deadline, ended: false, attempts: Vec::new() };
         self.accounts.insert(id, account);
         self.due.insert((deadline + ANSWER_GRACE + 1, Due::Deadline(id)));
-        let request = Request { key, cost: Some(WORK), ..Request::new(id, ClassId(class), left) };
-        self.tell(Event::Request(request));
+        let request = Request { key, estimated_work: Some(WORK), ..Request::new(id, ClassId(class), left) };
+        self.tell(Event::RequestArrived(request));
         id
     }
 
@@ -318,7 +338,15 @@
         account.ended |= outcome == Outcome::Ok;
         let (endpoint, took, over) = (attempt.endpoint, self.now - attempt.sent, account.ended);
         let attempt = n as u32;
-        self.tell(Event::Outcome(AttemptEnd { request, attempt, endpoint, outcome, took, over, load: None }));
+        self.tell(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            endpoint,
+            outcome,
+            duration: took,
+            request_completed: over,
+            load: None,
+        }));
     }
 
     /// The client of one of the requests that have not ended leaves.
@@ -326,12 +354,12 @@
         let open: Vec<_> = self.accounts.iter().filter(|(_, a)| !a.ended).map(|(id, _)| *id).collect();
         if let Some(id) = open.get(pick % open.len().max(1)) {
             self.accounts.get_mut(id).expect("known").ended = true;
-            self.tell(Event::Aborted(*id));
+            self.tell(Event::RequestAborted(*id));
         }
     }
 
     /// An endpoint changes; all are told at once.
-    pub fn list_state(&mut self, endpoint: u32, state: State, restarted: bool) {
+    pub fn list_state(&mut self, endpoint: u32, state: EndpointState, restarted: bool) {
         let entry = &mut self.entries[endpoint as usize];
         entry.state = state;
         if restarted {
@@ -340,11 +368,11 @@
             self.free_at.remove(&entry.id);
         }
         match state {
-            State::Ready => self.withdrawn.remove(&entry.id),
+            EndpointState::Ready => self.withdrawn.remove(&entry.id),
             _ => Some(*self.withdrawn.entry(entry.id).or_insert(self.now)),
         };
         let entry = entry.clone();
-        self.tell(Event::List(ListChange::Delta(vec![entry])));
+        self.tell(Event::Endpoints(EndpointUpdate::Delta(vec![entry])));
     }
 
     /// Lets time pass, with all that falls due at its moment.
@@ -364,9 +392,9 @@
                         true => Outcome::ConnectFailed,
                         false => Outcome::Ok,
                     };
-                    self.tell(Event::Checked { endpoint, outcome, took: MS, load: None });
+                    self.tell(Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None });
                 }
-                Due::Timer(timer) => self.tell(Event::Timer(timer)),
+                Due::Timer(timer) => self.tell(Event::TimerFired(timer)),
                 Due::Deadline(id) => {
                     if !self.accounts[&id].ended {
                         self.breach(Rule::Answer, "no answer by the deadline");
--- a/crates/lab/tests/policies/choices.rs
+++ b/crates/lab/tests/policies/choices.rs
@@ -86,9 +86,9 @@
     let mut checker = Checker::new("least_outstanding", settings(), list(2), 1);
     let ids: Vec<_> = (0..8).map(|_| checker.arrive(0, 10 * S)).collect();
     let at_first: Vec<_> = ids.iter().filter(|id| checker.went(**id)[0] == EndpointId(0)).collect();
-    checker.list_state(0, State::Draining, false);
+    checker.list_state(0, EndpointState::Draining, false);
     checker.end(*at_first[0], 0, Outcome::Ok);
-    checker.list_state(0, State::Ready, false);
+    checker.list_state(0, EndpointState::Ready, false);
     checker.arrive(0, 10 * S);
     assert_eq!(checker.out(), [4, 4], "three were out at the one that came back");
 }
@@ -109,12 +109,12 @@
     let elsewhere = keyed(&mut Checker::new("ring_hash", settings(), list(20), 99));
     assert_eq!(before, elsewhere, "all proxies agree, whatever their seed");
 
-    checker.list_state(3, State::Gone, false);
+    checker.list_state(3, EndpointState::Removed, false);
     let without = keyed(&mut checker);
     let moved = |(a, b): &(&EndpointId, &EndpointId)| a != b;
     assert!(before.iter().zip(&without).filter(moved).all(|(a, _)| *a == EndpointId(3)));
     assert!(!without.contains(&EndpointId(3)));
-    checker.list_state(3, State::Ready, false);
+    checker.list_state(3, EndpointState::Ready, false);
     assert_eq!(before, keyed(&mut checker), "and they come back with it");
 
     // Arcs of 128 points each differ by some 9%, and 100 keys each by 10%: within four deviations of both.
--- a/crates/lab/tests/policies/rules.rs
+++ b/crates/lab/tests/policies/rules.rs
@@ -12,15 +12,20 @@
     Arrive { class: u16, left_ms: u64 },
     End { pick: usize, outcome: Outcome },
     Abort(usize),
-    State { endpoint: u32, state: State, restarted: bool },
+    State { endpoint: u32, state: EndpointState, restarted: bool },
     ListFails,
     Full,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     use Outcome::*;
-    let outcome = prop::sample::select(vec![Ok, Ok, Error, Full, Timeout, ConnectFailed, Reset]);
-    let state = prop::sample::select(vec![State::Ready, State::Ready, State::Draining, State::Gone]);
+    let outcome = prop::sample::select(vec![Ok, Ok, Error, Overloaded, Timeout, ConnectFailed, Reset]);
+    let state = prop::sample::select(vec![
+        EndpointState::Ready,
+        EndpointState::Ready,
+        EndpointState::Draining,
+        EndpointState::Removed,
+    ]);
     let step = prop_oneof![
         3 => (1..200u64).prop_map(Step::Wait),
         6 => (0..4u16, 0..1200u64).prop_map(|(class, left_ms)| Step::Arrive { class, left_ms }),
@@ -46,10 +51,11 @@
             Step::End { pick, outcome } => checker.end_some(pick, outcome),
             Step::Abort(pick) => checker.abort_some(pick),
             Step::State { endpoint, state, restarted } => checker.list_state(endpoint, state, restarted),
-            Step::ListFails => checker.tell(Event::List(ListChange::Failed)),
+            Step::ListFails => checker.tell(Event::Endpoints(EndpointUpdate::Failed)),
             Step::Full => {
-                let ready = checker.entries.iter().filter(|e| e.state == State::Ready).cloned().collect();
-                checker.tell(Event::List(ListChange::Full(ready)));
+                let ready =
+                    checker.entries.iter().filter(|e| e.state == EndpointState::Ready).cloned().collect();
+                checker.tell(Event::Endpoints(EndpointUpdate::Snapshot(ready)));
             }
         }
     }
--- a/crates/proxy/src/catalog/members.rs
+++ b/crates/proxy/src/catalog/members.rs
@@ -1,7 +1,7 @@
 //! The endpoints of one cluster in numbers, as the decisions know them: what a change of the catalog's comes to.
 //! Without I/O.
 
-use olivecart_decisions::State;
+use olivecart_decisions::EndpointState;
 use olivecart_membership::{Arrival, Endpoint, EndpointName, Upserted};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     /// The decisions' number for it.
     pub number: u32,
     /// Whether requests go to it.
-    pub state: State,
+    pub state: EndpointState,
     /// What it is, or was.
     pub endpoint: Arc<Endpoint>,
 }
@@ -54,7 +54,7 @@
             if let Some(endpoint) = self.listed.get_mut(number as usize).and_then(Option::take) {
                 self.uncount(&endpoint);
                 self.live -= 1;
-                turn.stops.push(Numbered { number, state: State::Gone, endpoint });
+                turn.stops.push(Numbered { number, state: EndpointState::Removed, endpoint });
             }
         }
         for Upserted { endpoint, arrival } in upserted {
@@ -80,8 +80,8 @@
         for number in touched {
             let Some(endpoint) = self.get(number).cloned() else { continue };
             match endpoint.takes_requests() && Some(endpoint.priority) == after {
-                true => turn.takes.push(Numbered { number, state: State::Ready, endpoint }),
-                false => turn.stops.push(Numbered { number, state: State::Draining, endpoint }),
+                true => turn.takes.push(Numbered { number, state: EndpointState::Ready, endpoint }),
+                false => turn.stops.push(Numbered { number, state: EndpointState::Draining, endpoint }),
             }
         }
         turn
@@ -120,7 +120,7 @@
             let endpoint = self.listed.get_mut(number as usize)?.take()?;
             self.uncount(&endpoint);
             self.live -= 1;
-            Some(Numbered { number, state: State::Gone, endpoint })
+            Some(Numbered { number, state: EndpointState::Removed, endpoint })
         });
         let number = self.listed.len() as u32;
         self.listed.push(None);
@@ -165,8 +165,14 @@
     }
 
     fn told(turn: &Turn) -> String {
-        let told =
-            |n: &Numbered| format!("{}{}{}", &format!("{:?}", n.state)[..1], n.number, n.endpoint.name);
+        let told = |n: &Numbered| {
+            let letter = match n.state {
+                EndpointState::Ready => 'R',
+                EndpointState::Draining => 'D',
+                EndpointState::Removed => 'G',
+            };
+            format!("{letter}{}{}", n.number, n.endpoint.name)
+        };
         let stops = turn.stops.iter().map(told).collect::<Vec<_>>().join(" ");
         format!("{stops} | {}", turn.takes.iter().map(told).collect::<Vec<_>>().join(" "))
     }
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -231,7 +231,7 @@
         let budget = Rc::new(Budget::new(bodies));
         let listener = tokio::net::TcpListener::from_std(listener)?;
         info!(log, "listening"; "on" => %listen, "version" => env!("CARGO_PKG_VERSION"));
-        let longest = config.site.settings.classes.iter().map(|class| class.give_up).max();
+        let longest = config.site.settings.classes.iter().map(|class| class.client_deadline).max();
         let times = shutdown::Times::new(Duration::from_nanos(longest.unwrap_or(0)));
         let stats = console.is_some().then(|| Arc::new(Stats::new(config.site.classes.names())));
         let (site, clock) = (Rc::new(RefCell::new(config.site)), Clock::start());
--- a/crates/proxy/src/clusters.rs
+++ b/crates/proxy/src/clusters.rs
@@ -13,7 +13,7 @@
 use crate::platform::registry;
 use crate::stages::choose::Routes;
 use crate::stats::{Pool, Stats};
-use olivecart_decisions::{CellId, Discovery, EndpointId, Entry, KindId, Nanos, Settings, ZoneId};
+use olivecart_decisions::{CellId, Discovery, EndpointEntry, EndpointId, KindId, Nanos, Settings, ZoneId};
 use olivecart_membership::{ClusterName, ClusterSettings};
 use olivecart_settings::Site;
 use rustc_hash::FxBuildHasher;
@@ -247,7 +247,7 @@
             site.connect_timeout = time.as_nanos() as Nanos;
         }
         site.max_attempts = own.max_attempts.map_or(site.max_attempts, |most| site.max_attempts.min(most));
-        site.probes &= own.probes.unwrap_or(true);
+        site.health_checks_enabled &= own.probes.unwrap_or(true);
         settings
     }
 
@@ -287,8 +287,8 @@
 }
 
 /// An endpoint in the words of the decisions.
-fn entry(site: &mut Site, Numbered { number, state, endpoint }: &Numbered) -> Entry {
-    Entry {
+fn entry(site: &mut Site, Numbered { number, state, endpoint }: &Numbered) -> EndpointEntry {
+    EndpointEntry {
         id: EndpointId(*number),
         name: endpoint.name.as_str().into(),
         state: *state,
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -267,7 +267,7 @@
             "sockets    {} for clients, {} for backends",
             self.sockets.clients, self.sockets.backends
         )?;
-        writeln!(f, "tier       {}, copy {} of {}", s.tier, s.me, s.group_size)?;
+        writeln!(f, "tier       {}, copy {} of {}", s.tier, s.replica_index, s.replica_count)?;
         write!(f, "classes    {}, tenants {}", s.classes.len(), s.tenants.len())?;
         self.operators.iter().try_for_each(|operators| write!(f, "\n{operators}"))
     }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -17,8 +17,8 @@
 use crate::stats::{Pool, Stats};
 use crate::trace;
 use olivecart_decisions::{
-    Action, Balancer, Discovery as Mode, Entry, Event, Knowledge, ListChange, Nanos, Settings, Standing,
-    State, Timer,
+    Action, Balancer, Discovery as Mode, EndpointEntry, EndpointState, EndpointStatus, EndpointUpdate, Event,
+    LearnedState, Nanos, Settings, Timer,
 };
 use olivecart_settings::{Listed, Site};
 use slog::{Logger, debug, error, info};
@@ -90,7 +90,7 @@
         let connect_timeout = Duration::from_nanos(settings.limits.connect_timeout);
         let backends =
             Backends::new(connect_timeout, site.idle_close, shared.descriptors.clone(), log.clone());
-        let limits = Limits { open_requests: site.most_held, second_copies: settings.limits.second_copies };
+        let limits = Limits { open_requests: site.most_held, second_copies: settings.limits.hedging_enabled };
         let driver = Rc::new_cyclic(|this: &Weak<Driver>| Driver {
             context: Rc::new(Context::new(
                 this.clone(),
@@ -120,7 +120,7 @@
 
     /// Takes in the list as it was last known, and follows it from there.
     pub fn follow(&self, known: &News) {
-        self.list(known, ListChange::Cached);
+        self.list(known, EndpointUpdate::Cached);
         if self.shared.site.borrow().settings.discovery == Mode::Automatic {
             self.watch(true); // the decisions take for granted that changes come
         }
@@ -128,15 +128,15 @@
 
     /// Takes in the list as another process has it at this moment and what its decisions have learned, and follows it
     /// at once: it is as good as told.
-    pub fn take_over(&self, list: &News, knowledge: Option<&Knowledge>) {
-        self.list(list, ListChange::Full);
-        knowledge.into_iter().for_each(|knowledge| self.balancer.borrow_mut().take_over(knowledge));
+    pub fn take_over(&self, list: &News, knowledge: Option<&LearnedState>) {
+        self.list(list, EndpointUpdate::Snapshot);
+        knowledge.into_iter().for_each(|knowledge| self.balancer.borrow_mut().restore(knowledge));
         self.watch(true);
     }
 
     /// What the decisions have learned.
-    pub fn knowledge(&self) -> Knowledge {
-        self.balancer.borrow().knowledge()
+    pub fn knowledge(&self) -> LearnedState {
+        self.balancer.borrow().learned_state()
     }
 
     /// The list as it is held, in discovery's form.
@@ -170,7 +170,7 @@
     }
 
     /// Takes in a list or a change, and tells the decisions.
-    fn list(&self, news: &News, change: impl Fn(Vec<Entry>) -> ListChange) {
+    fn list(&self, news: &News, change: impl Fn(Vec<EndpointEntry>) -> EndpointUpdate) {
         let (version, named) = (news.version, news.endpoints.len());
         debug!(self.log, "list"; "version" => version, "full" => news.full, "entries" => named);
         if news.full {
@@ -191,23 +191,23 @@
     }
 
     /// Takes in changed endpoints in the numbers of whoever brings them, and tells the decisions.
-    pub fn change(&self, changed: impl Iterator<Item = (Entry, Option<SocketAddr>)>) {
-        let noted = |(entry, addr): (Entry, _)| {
+    pub fn change(&self, changed: impl Iterator<Item = (EndpointEntry, Option<SocketAddr>)>) {
+        let noted = |(entry, addr): (EndpointEntry, _)| {
             let entry = self.overlay.borrow_mut().pass(entry, addr);
             self.place(&entry, addr);
             entry
         };
-        self.tell_list(ListChange::Delta(changed.map(noted).collect()));
+        self.tell_list(EndpointUpdate::Delta(changed.map(noted).collect()));
     }
 
-    fn place(&self, entry: &Entry, addr: Option<SocketAddr>) {
-        self.context.backends.place(entry.id, addr, entry.started, entry.state == State::Ready);
+    fn place(&self, entry: &EndpointEntry, addr: Option<SocketAddr>) {
+        self.context.backends.place(entry.id, addr, entry.started, entry.state == EndpointState::Ready);
     }
 
     /// Tells the decisions of a change of the list, once it is noted here.
-    fn tell_list(&self, change: ListChange) {
+    fn tell_list(&self, change: EndpointUpdate) {
         self.context.set_all_out(self.overlay.borrow().leaves_none());
-        self.tell(Event::List(change));
+        self.tell(Event::Endpoints(change));
     }
 
     /// Leaves an endpoint out by hand; the decisions know of it on return.
@@ -231,20 +231,24 @@
     /// It is not of this cluster.
     pub fn attach(&self, name: &str) -> Result<(), Unknown> {
         let changed = self.overlay.borrow_mut().attach(name, self.shared.clock.now())?;
-        let takes =
-            changed.as_ref().filter(|(entry, _)| entry.state == State::Ready).map(|(entry, _)| entry.id);
+        let takes = changed
+            .as_ref()
+            .filter(|(entry, _)| entry.state == EndpointState::Ready)
+            .map(|(entry, _)| entry.id);
         self.change_one(changed);
-        if let Some(endpoint) = takes.filter(|_| self.shared.site.borrow().settings.limits.probes) {
+        if let Some(endpoint) =
+            takes.filter(|_| self.shared.site.borrow().settings.limits.health_checks_enabled)
+        {
             actix_rt::spawn(send::probe(self.context.clone(), endpoint));
         }
         Ok(())
     }
 
-    fn change_one(&self, changed: Option<(Entry, Option<SocketAddr>)>) {
+    fn change_one(&self, changed: Option<(EndpointEntry, Option<SocketAddr>)>) {
         if let Some((entry, addr)) = changed {
             trace::listed(&self.log, &entry);
             self.place(&entry, addr);
-            self.tell_list(ListChange::Delta(vec![entry]));
+            self.tell_list(EndpointUpdate::Delta(vec![entry]));
         }
     }
 
@@ -253,8 +257,10 @@
         let balancer = self.balancer.borrow();
         let avoids = |endpoint| {
             matches!(
-                balancer.standing(endpoint),
-                Standing::Withdrawn | Standing::Down | Standing::Held { .. }
+                balancer.endpoint_status(endpoint),
+                EndpointStatus::DrainingOrRemoved
+                    | EndpointStatus::Unhealthy
+                    | EndpointStatus::Ejected { .. }
             )
         };
         self.overlay.borrow().pool(avoids)
@@ -264,7 +270,7 @@
     /// own deadline; then the tasks end, and nothing of the cluster is left.
     pub fn retire(&self) {
         self.context.backends.close();
-        self.tell(Event::List(ListChange::Full(Vec::new())));
+        self.tell(Event::Endpoints(EndpointUpdate::Snapshot(Vec::new())));
         self.retired.notify_one();
     }
 
@@ -276,22 +282,24 @@
         trace::action(&self.log, &action);
         let Context { book, backends, .. } = &*self.context;
         match action {
-            Action::Send { request, endpoint, cap, start_by } => {
+            Action::StartAttempt { request, endpoint, timeout: cap, start_by } => {
                 route::route(&self.context, request, endpoint, cap, self.shared.clock.instant(start_by));
             }
-            Action::Cancel { request, attempt } => book.cancel(request, attempt),
-            Action::Shed { request, come_back } => {
+            Action::CancelAttempt { request, attempt } => book.cancel(request, attempt),
+            Action::Shed { request, retry_after: come_back } => {
                 let come_back = Duration::from_nanos(come_back);
                 must(book.finish(request, Verdict::Refused { come_back }), "one verdict a request");
             }
             Action::Fail(request) => must(book.finish(request, Verdict::Failed), "one verdict a request"),
-            Action::Check(endpoint) => drop(actix_rt::spawn(send::probe(self.context.clone(), endpoint))),
+            Action::StartHealthCheck(endpoint) => {
+                drop(actix_rt::spawn(send::probe(self.context.clone(), endpoint)))
+            }
             Action::SetTimer { at, timer } => self.set_timer(at, timer),
-            Action::Watch(on) => self.watch(on),
-            Action::Refresh => self.discovery.iter().for_each(Discovery::refresh),
-            Action::Close(endpoint) => backends.close_idle(endpoint),
+            Action::WatchEndpoints(on) => self.watch(on),
+            Action::RefreshEndpoints => self.discovery.iter().for_each(Discovery::refresh),
+            Action::CloseIdleConnections(endpoint) => backends.close_idle(endpoint),
             Action::Publish { .. } => must(false, "copies have no way to talk to each other"),
-            Action::Remark(text) => info!(self.log, "remark"; "text" => text),
+            Action::Log(text) => info!(self.log, "remark"; "text" => text),
         }
     }
 
@@ -317,7 +325,7 @@
                 }
                 Some(_) => {
                     let timer = self.timers.borrow_mut().pop_first().map(|(_, timer)| timer);
-                    timer.into_iter().for_each(|timer| self.tell(Event::Timer(timer)));
+                    timer.into_iter().for_each(|timer| self.tell(Event::TimerFired(timer)));
                 }
             }
         }
@@ -371,12 +379,12 @@
 
 impl Subscriber for Driver {
     fn news(&self, news: News<'_>) {
-        self.list(&news, if news.full { ListChange::Full } else { ListChange::Delta });
+        self.list(&news, if news.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
     }
 }
 
 /// An endpoint in the module's numbers; what is new gets one.
-fn numbered(site: &mut Site, endpoint: &Endpoint) -> Entry {
+fn numbered(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
     site.entry(&Listed {
         name: &endpoint.name,
         state: endpoint.state,
--- a/crates/proxy/src/handover/message.rs
+++ b/crates/proxy/src/handover/message.rs
@@ -1,7 +1,7 @@
 //! What the two processes say to each other: a JSON object a line.
 
 use super::core::ByHand;
-use olivecart_decisions::Knowledge;
+use olivecart_decisions::LearnedState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +37,7 @@
     /// The list as it is held, in discovery's form.
     pub list: Option<String>,
     /// What the decisions have learned of it.
-    pub knowledge: Option<Knowledge>,
+    pub knowledge: Option<LearnedState>,
     /// Backends out by hand.
     pub out: BTreeSet<String>,
     /// When others were put back, in nanoseconds of Unix time.
--- a/crates/proxy/src/membership.rs
+++ b/crates/proxy/src/membership.rs
@@ -1,7 +1,7 @@
 //! What a list of endpoints is, in the list's own words: names, not the module's numbers. Whoever reads a
 //! list, and whoever acts on one, knows this and not each other.
 
-use olivecart_decisions::{Nanos, State};
+use olivecart_decisions::{EndpointState, Nanos};
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
     /// Its name, the same for everybody.
     pub name: Cow<'a, str>,
     /// Whether it takes requests.
-    pub state: State,
+    pub state: EndpointState,
     /// The zone's name.
     pub zone: Cow<'a, str>,
     /// The machine kind's name.
--- a/crates/proxy/src/overlay.rs
+++ b/crates/proxy/src/overlay.rs
@@ -5,7 +5,7 @@
 //! either as of any change of the list. No I/O and no clock here.
 
 use crate::stats::Pool;
-use olivecart_decisions::{EndpointId, Entry, Nanos, State};
+use olivecart_decisions::{EndpointEntry, EndpointId, EndpointState, Nanos};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 const MOST: usize = 4096;
 
 /// An endpoint as the list describes it, and where it is.
-pub type Place = (Entry, Option<SocketAddr>);
+pub type Place = (EndpointEntry, Option<SocketAddr>);
 
 /// What the list says, and what operators said over it.
 #[derive(Default)]
@@ -38,8 +38,8 @@
     }
 
     /// Takes in what the list says of an endpoint, and says what holds.
-    pub fn pass(&mut self, entry: Entry, addr: Option<SocketAddr>) -> Entry {
-        if entry.state == State::Gone {
+    pub fn pass(&mut self, entry: EndpointEntry, addr: Option<SocketAddr>) -> EndpointEntry {
+        if entry.state == EndpointState::Removed {
             self.listed.remove(&entry.name);
         } else {
             self.listed.insert(entry.name.clone(), (entry.clone(), addr));
@@ -88,14 +88,15 @@
     /// The list's size, and how many of it are avoided: by hand, by the list's own word, or by the decisions.
     pub fn pool(&self, avoids: impl Fn(EndpointId) -> bool) -> Pool {
         let avoided = |(entry, _): &&Place| {
-            entry.state != State::Ready || self.out.contains(&entry.name) || avoids(entry.id)
+            entry.state != EndpointState::Ready || self.out.contains(&entry.name) || avoids(entry.id)
         };
         Pool { size: self.listed.len(), ejected: self.listed.values().filter(avoided).count() }
     }
 
     /// Whether whatever could take requests is out by hand.
     pub fn leaves_none(&self) -> bool {
-        let mut ready = self.listed.values().filter(|(entry, _)| entry.state == State::Ready).peekable();
+        let mut ready =
+            self.listed.values().filter(|(entry, _)| entry.state == EndpointState::Ready).peekable();
         ready.peek().is_some() && ready.all(|(entry, _)| self.out.contains(&entry.name))
     }
 
@@ -118,9 +119,9 @@
         }
     }
 
-    fn amended(&self, mut entry: Entry) -> Entry {
-        if entry.state == State::Ready && self.out.contains(&entry.name) {
-            entry.state = State::Draining;
+    fn amended(&self, mut entry: EndpointEntry) -> EndpointEntry {
+        if entry.state == EndpointState::Ready && self.out.contains(&entry.name) {
+            entry.state = EndpointState::Draining;
         }
         // Danger: each list says anew when it started, and an older time would make it a warm one again.
         entry.started = entry.started.max(self.back.get(&entry.name).copied());
@@ -142,40 +143,47 @@
 mod tests {
     use super::*;
 
-    fn entry(name: &str, state: State, started: Option<Nanos>) -> Entry {
-        Entry { state, started, ..Entry::ready(EndpointId(0), name) }
+    fn entry(name: &str, state: EndpointState, started: Option<Nanos>) -> EndpointEntry {
+        EndpointEntry { state, started, ..EndpointEntry::ready(EndpointId(0), name) }
     }
 
     #[test]
     fn whatever_lists_say_one_that_is_out_drains_until_it_is_put_back_and_is_cold_then() {
         let mut overlay = Overlay::default();
-        overlay.pass(entry("a", State::Ready, Some(5)), None);
+        overlay.pass(entry("a", EndpointState::Ready, Some(5)), None);
         assert!(matches!(overlay.detach("b"), Err(Unknown)));
         let (out, _) = overlay.detach("a").expect("known").expect("a change");
-        assert_eq!(out.state, State::Draining);
+        assert_eq!(out.state, EndpointState::Draining);
         assert!(matches!(overlay.detach("a"), Ok(None)), "once more changes nothing");
         overlay.whole_list_follows();
         let says = |overlay: &mut Overlay, state, started| {
             let entry = overlay.pass(entry("a", state, started), None);
             (entry.state, entry.started)
         };
-        assert_eq!(says(&mut overlay, State::Ready, Some(7)).0, State::Draining, "restarted");
-        assert_eq!(says(&mut overlay, State::Gone, None).0, State::Gone);
+        assert_eq!(says(&mut overlay, EndpointState::Ready, Some(7)).0, EndpointState::Draining, "restarted");
+        assert_eq!(says(&mut overlay, EndpointState::Removed, None).0, EndpointState::Removed);
         assert!(matches!(overlay.attach("a", 100), Ok(None)), "not listed, and yet it may be put back");
         assert!(matches!(overlay.attach("a", 200), Err(Unknown)), "it is back, and nobody lists it");
-        assert_eq!(says(&mut overlay, State::Ready, Some(9)), (State::Ready, Some(100)));
+        assert_eq!(says(&mut overlay, EndpointState::Ready, Some(9)), (EndpointState::Ready, Some(100)));
         assert!(matches!(overlay.attach("a", 200), Ok(None)), "one call back is enough, and no second start");
-        assert_eq!(says(&mut overlay, State::Ready, Some(300)), (State::Ready, Some(300)), "a later start");
-        assert_eq!(says(&mut overlay, State::Draining, None), (State::Draining, Some(100)));
+        assert_eq!(
+            says(&mut overlay, EndpointState::Ready, Some(300)),
+            (EndpointState::Ready, Some(300)),
+            "a later start"
+        );
+        assert_eq!(says(&mut overlay, EndpointState::Draining, None), (EndpointState::Draining, Some(100)));
     }
 
     #[test]
     fn the_pool_is_what_is_listed_and_avoided_is_who_is_out_for_any_reason() {
         let mut overlay = Overlay::default();
-        for (id, name, state) in
-            [(0, "a", State::Ready), (1, "b", State::Ready), (2, "c", State::Draining), (3, "d", State::Gone)]
-        {
-            overlay.pass(Entry { state, ..Entry::ready(EndpointId(id), name) }, None);
+        for (id, name, state) in [
+            (0, "a", EndpointState::Ready),
+            (1, "b", EndpointState::Ready),
+            (2, "c", EndpointState::Draining),
+            (3, "d", EndpointState::Removed),
+        ] {
+            overlay.pass(EndpointEntry { state, ..EndpointEntry::ready(EndpointId(id), name) }, None);
         }
         assert_eq!(overlay.pool(|_| false), Pool { size: 3, ejected: 1 });
         overlay.detach("a").expect("known");
--- a/crates/proxy/src/platform/backend.rs
+++ b/crates/proxy/src/platform/backend.rs
@@ -5,7 +5,7 @@
 use actix_http::header::HeaderMap;
 use actix_http::{Method, StatusCode, Uri};
 use awc::{Client, ClientRequest};
-use olivecart_decisions::{Load, Outcome};
+use olivecart_decisions::{LoadReport, Outcome};
 use olivecart_settings::field;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -39,7 +39,7 @@
         // it, and nothing is gained by asking another.
         status if status.is_client_error() => Outcome::Cancelled,
         // Without the mark it may have run, whatever the status suggests.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::Overloaded,
         _ => Outcome::Error,
     }
 }
@@ -57,9 +57,9 @@
 }
 
 /// The load report of an answer, if it carries a readable one.
-pub fn load(headers: &HeaderMap) -> Option<Load> {
+pub fn load(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(&names::LOAD)?.to_str().ok()?;
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|part| part.split_once('=')) {
         if let Some(field) = field(&mut load, name.trim()) {
             *field = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
@@ -78,8 +78,8 @@
         let mut headers = HeaderMap::new();
         assert_eq!(outcome(StatusCode::SERVICE_UNAVAILABLE, &headers), Outcome::Error);
         headers.insert(names::NOT_RUN, HeaderValue::from_static("1"));
-        assert_eq!(outcome(StatusCode::SERVICE_UNAVAILABLE, &headers), Outcome::Full);
-        assert_eq!(outcome(StatusCode::GATEWAY_TIMEOUT, &headers), Outcome::Full);
+        assert_eq!(outcome(StatusCode::SERVICE_UNAVAILABLE, &headers), Outcome::Overloaded);
+        assert_eq!(outcome(StatusCode::GATEWAY_TIMEOUT, &headers), Outcome::Overloaded);
         assert_eq!(outcome(StatusCode::INTERNAL_SERVER_ERROR, &headers), Outcome::Error);
         assert_eq!(outcome(StatusCode::NOT_FOUND, &headers), Outcome::Cancelled);
     }
--- a/crates/proxy/src/platform/registry.rs
+++ b/crates/proxy/src/platform/registry.rs
@@ -1,7 +1,7 @@
 //! Discovery's form: the paths asked and the lists that come back.
 
 use crate::membership::{Endpoint, News};
-use olivecart_decisions::State;
+use olivecart_decisions::EndpointState;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
@@ -22,9 +22,9 @@
         kind: &e.kind,
         cell: e.cell,
         state: match e.state {
-            State::Ready => "ready",
-            State::Draining => "draining",
-            State::Gone => "gone",
+            EndpointState::Ready => "ready",
+            EndpointState::Draining => "draining",
+            EndpointState::Removed => "gone",
         },
         weight: e.size,
         started_ms: e.started.unwrap_or(0) / 1_000_000,
@@ -89,9 +89,9 @@
 fn endpoint(server: Server<'_>) -> Endpoint<'_> {
     let addr = server.addr.parse().ok();
     let state = match (&*server.state, addr) {
-        ("ready", Some(_)) => State::Ready,
-        ("gone", _) => State::Gone,
-        _ => State::Draining,
+        ("ready", Some(_)) => EndpointState::Ready,
+        ("gone", _) => EndpointState::Removed,
+        _ => EndpointState::Draining,
     };
     Endpoint {
         name: server.id,
@@ -119,7 +119,11 @@
         let states: Vec<_> = news.endpoints.iter().map(|e| (&*e.name, e.state, e.addr.is_some())).collect();
         assert_eq!(
             states,
-            [("s", State::Ready, true), ("t", State::Draining, true), ("s", State::Gone, false)]
+            [
+                ("s", EndpointState::Ready, true),
+                ("t", EndpointState::Draining, true),
+                ("s", EndpointState::Removed, false)
+            ]
         );
         assert_eq!(news.endpoints[0].started, Some(7_000_000));
         assert_eq!(news.endpoints[1].started, None);
@@ -134,7 +138,7 @@
         let [a, b] = &news.endpoints[..] else { panic!("{} endpoints", news.endpoints.len()) };
         assert_eq!((&*a.name, &*a.zone, &*a.kind, a.cell, a.size), ("aé", "z", "k", 4, 2.5));
         assert_eq!((&*b.zone, &*b.kind, b.cell, b.size), ("", "", 0, 1.0));
-        assert_eq!((b.state, b.addr), (State::Draining, None), "ready, but nobody can reach it");
+        assert_eq!((b.state, b.addr), (EndpointState::Draining, None), "ready, but nobody can reach it");
         assert!(read(br#"{"version":1,"servers":[{"id":"a"}]}"#).is_err(), "no state");
         let text = write(&news);
         let again = read(text.as_bytes()).expect("what was written");
--- a/crates/proxy/src/sidecar/application.rs
+++ b/crates/proxy/src/sidecar/application.rs
@@ -2,7 +2,7 @@
 
 use crate::catalog::{Numbered, Step};
 use crate::clusters::Clusters;
-use olivecart_decisions::State;
+use olivecart_decisions::EndpointState;
 use olivecart_membership::{ClusterSettings, Endpoint};
 use slog::{Logger, info, warn};
 use std::cell::Cell;
@@ -112,7 +112,7 @@
         let clusters = &self.limit.clusters;
         clusters.apply(Step::Added(CLUSTER.into(), self.limit.settings())).await;
         let endpoint = Arc::new(Endpoint::ready(CLUSTER, self.address));
-        let takes = vec![Numbered { number: 0, state: State::Ready, endpoint }];
+        let takes = vec![Numbered { number: 0, state: EndpointState::Ready, endpoint }];
         let (cluster, stops) = (CLUSTER.into(), Vec::new());
         clusters.apply(Step::Changed { cluster, limits: None, stops, takes, words: None }).await;
         self.ready.set(true);
--- a/crates/proxy/src/stages/admit.rs
+++ b/crates/proxy/src/stages/admit.rs
@@ -58,9 +58,9 @@
     let (request, verdict) = context.book.open(call.id, call.payload, until).ok_or(NotAdmitted::Twice)?;
     context.enter();
     let account = Account { context: context.clone(), request };
-    context.tell(Event::Request(Request {
+    context.tell(Event::RequestArrived(Request {
         tenant: call.tenant,
-        retry: call.retry,
+        is_retry: call.retry,
         ..Request::new(request, call.class, until.saturating_duration_since(Instant::now()).as_nanos() as u64)
     }));
     Ok(Held { deadline: call.deadline, upload, verdict, _account: account })
@@ -77,7 +77,7 @@
     fn drop(&mut self) {
         self.context.leave();
         if self.context.book.abandon(self.request) {
-            self.context.tell(Event::Aborted(self.request));
+            self.context.tell(Event::RequestAborted(self.request));
         }
     }
 }
@@ -136,7 +136,9 @@
         assert!(context.book.finish(RequestId(1), Verdict::Failed));
         drop((left, answered));
         let told = decisions.0.borrow();
-        let [Event::Request(left), Event::Request(answered), Event::Aborted(gone)] = &told[..] else {
+        let [Event::RequestArrived(left), Event::RequestArrived(answered), Event::RequestAborted(gone)] =
+            &told[..]
+        else {
             panic!("{told:?}")
         };
         assert_eq!((left.id, answered.id, *gone), (RequestId(0), RequestId(1), RequestId(0)));
--- a/crates/proxy/src/stages/intake.rs
+++ b/crates/proxy/src/stages/intake.rs
@@ -25,7 +25,7 @@
     let (class, left) = {
         let site = site.borrow();
         let class = site.classes.get(&fields.class).ok_or_else(client::unknown_class)?;
-        let whole = || Duration::from_nanos(site.settings.classes[class as usize].give_up);
+        let whole = || Duration::from_nanos(site.settings.classes[class as usize].client_deadline);
         (ClassId(class as u16), fields.left.unwrap_or_else(whole))
     };
     let body = body(&mut request, fields.length, left, budget).await?;
--- a/crates/proxy/src/stages/route.rs
+++ b/crates/proxy/src/stages/route.rs
@@ -20,10 +20,10 @@
             };
             actix_rt::spawn(send::attempt(context.clone(), Attempt { until, ..attempt }, endpoint));
         }
-        Ok(attempt) => send::ended(context, request, attempt.number, endpoint, Outcome::Moot),
+        Ok(attempt) => send::ended(context, request, attempt.number, endpoint, Outcome::NotSent),
         Err(number) => {
             must(false, "only open requests are sent");
-            send::ended(context, request, number, endpoint, Outcome::Moot);
+            send::ended(context, request, number, endpoint, Outcome::NotSent);
         }
     }
 }
--- a/crates/proxy/src/stages/send.rs
+++ b/crates/proxy/src/stages/send.rs
@@ -15,7 +15,7 @@
 use awc::error::{ConnectError, PayloadError, SendRequestError};
 use bytes::Bytes;
 use futures_util::StreamExt;
-use olivecart_decisions::{AttemptEnd, EndpointId, Event, Load, Outcome, RequestId};
+use olivecart_decisions::{AttemptEnd, EndpointId, Event, LoadReport, Outcome, RequestId};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep_until, timeout};
@@ -33,7 +33,7 @@
 struct End {
     outcome: Outcome,
     answer: Option<Answer>,
-    load: Option<Load>,
+    load: Option<LoadReport>,
     /// The rest of an answer that has only begun.
     rest: Option<Box<Rest>>,
 }
@@ -78,7 +78,7 @@
                 biased;
                 _ = &mut attempt.cancelled => break match &seen {
                     // Danger: taken for one that may have run, it is the last attempt of a request that must not run twice.
-                    Some(seen) if !seen.written() => Outcome::Moot.into(),
+                    Some(seen) if !seen.written() => Outcome::NotSent.into(),
                     _ => Outcome::Cancelled.into(),
                 },
                 () = let_go(upload.as_deref()), if lets_go => {
@@ -118,14 +118,14 @@
 /// What of a request's body is not held any more can't be sent again: the decisions are not asked what to do, and the
 /// client is told at once. Without its last byte it never ran.
 fn give_up(context: &Context, attempt: &Attempt, end: &End, upload: &Upload) {
-    let never_ran = end.outcome.never_ran() || !upload.is_whole();
+    let never_ran = end.outcome.was_never_executed() || !upload.is_whole();
     let verdict = if never_ran { Verdict::Refused { come_back: Duration::ZERO } } else { Verdict::Failed };
     context.book.finish(attempt.request, verdict);
 }
 
 /// Nothing else may be tried for the request from now on, and no timer runs for it.
 fn begun(context: &Context, attempt: &Attempt) {
-    context.tell(Event::Begun { request: attempt.request, attempt: attempt.number });
+    context.tell(Event::ResponseStarted { request: attempt.request, attempt: attempt.number });
 }
 
 async fn let_go(upload: Option<&Upload>) {
@@ -151,13 +151,13 @@
 
 fn book(context: &Context, attempt: &Attempt, endpoint: EndpointId, took: Duration, end: End) {
     let over = context.book.attempt_ended(attempt.request, end.answer);
-    context.tell(Event::Outcome(AttemptEnd {
+    context.tell(Event::AttemptEnded(AttemptEnd {
         request: attempt.request,
         attempt: attempt.number,
         endpoint,
         outcome: end.outcome,
-        took: took.as_nanos() as u64,
-        over,
+        duration: took.as_nanos() as u64,
+        request_completed: over,
         load: end.load,
     }));
 }
@@ -165,13 +165,21 @@
 /// Books the end of an attempt that never started.
 pub fn ended(context: &Context, request: RequestId, number: u32, endpoint: EndpointId, outcome: Outcome) {
     let over = context.book.attempt_ended(request, None);
-    let end = AttemptEnd { request, attempt: number, endpoint, outcome, took: 0, over, load: None };
-    context.tell(Event::Outcome(end));
+    let end = AttemptEnd {
+        request,
+        attempt: number,
+        endpoint,
+        outcome,
+        duration: 0,
+        request_completed: over,
+        load: None,
+    };
+    context.tell(Event::AttemptEnded(end));
 }
 
 async fn exchange(context: &Context, lease: Option<Lease>, payload: &Payload, until: Instant) -> End {
     // Danger: being out of descriptors is no fault of the backend's, and must not be held against it.
-    let Some(lease) = lease else { return Outcome::Moot.into() };
+    let Some(lease) = lease else { return Outcome::NotSent.into() };
     let (endpoint, left) = (lease.target.endpoint, until.saturating_duration_since(Instant::now()));
     let request = backend::request(&lease.client, lease.target.addr, payload, left);
     lease.seen.bodiless.set(payload.method == Method::HEAD);
@@ -345,7 +353,7 @@
 fn failure(error: &SendRequestError, seen: &Seen) -> Outcome {
     match error {
         _ if seen.spoilt.get() => Outcome::Error,
-        _ if seen.withheld() => Outcome::Moot,
+        _ if seen.withheld() => Outcome::NotSent,
         SendRequestError::Connect(ConnectError::Disconnected) => Outcome::Reset,
         SendRequestError::Connect(_) => Outcome::ConnectFailed,
         SendRequestError::Body(_) => Outcome::Cancelled, // the client's body broke off, and the call with it
@@ -395,5 +403,10 @@
     };
     let end = tokio::time::timeout(PROBE_LIMIT, asked).await.unwrap_or_else(|_| Outcome::Timeout.into());
     let (outcome, load) = (end.outcome, end.load);
-    context.tell(Event::Checked { endpoint, outcome, took: began.elapsed().as_nanos() as u64, load });
+    context.tell(Event::HealthCheckCompleted {
+        endpoint,
+        outcome,
+        duration: began.elapsed().as_nanos() as u64,
+        load,
+    });
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -60,7 +60,7 @@
     /// Its name, the same for everybody.
     pub name: &'a str,
     /// Whether it takes requests.
-    pub state: State,
+    pub state: EndpointState,
     /// The zone's name.
     pub zone: &'a str,
     /// The machine kind's name.
@@ -112,7 +112,7 @@
         for (key, bad) in [
             ("allowed.connect-timeout-ns", settings.limits.connect_timeout == 0),
             ("allowed.most-held", options.allowed.most_held == Some(0)),
-            ("rules.must-ask-in-ns", settings.rules.must_ask_in == 0),
+            ("rules.must-ask-in-ns", settings.rules.poll_interval == 0),
         ] {
             if bad {
                 return Err(SettingsError::Value(key.into(), "must not be 0".into()));
@@ -135,9 +135,9 @@
     }
 
     /// One line of a list in the module's numbers.
-    pub fn entry(&mut self, listed: &Listed) -> Entry {
+    pub fn entry(&mut self, listed: &Listed) -> EndpointEntry {
         let id = self.endpoints.id(listed.name);
-        Entry {
+        EndpointEntry {
             id: EndpointId(id),
             name: self.endpoints.1[id as usize].clone(),
             state: listed.state,
@@ -150,8 +150,8 @@
     }
 
     /// A load report given as a row in the order of the settings.
-    pub fn load_row(&self, row: Vec<Option<f64>>) -> Load {
-        let mut load = Load::default();
+    pub fn load_row(&self, row: Vec<Option<f64>>) -> LoadReport {
+        let mut load = LoadReport::default();
         for (name, value) in self.report.iter().zip(row) {
             if let Some(field) = field(&mut load, name) {
                 *field = value;
@@ -162,7 +162,7 @@
 }
 
 /// The field of a load report by its name in the settings, or as a backend may call it.
-pub fn field<'a>(load: &'a mut Load, name: &str) -> Option<&'a mut Option<f64>> {
+pub fn field<'a>(load: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "active" | "inflight" => &mut load.active,
         "waiting" | "queue" => &mut load.waiting,
@@ -281,34 +281,41 @@
     for (at, g) in o.grades.iter().enumerate() {
         let bad = |key: &str, what: String| Err(SettingsError::Value(format!("grades[{at}].{key}"), what));
         let effect = match (g.effect.as_str(), g.group.as_deref().unwrap_or("all")) {
-            ("repeatable", _) => Effect::Repeatable,
-            ("once", _) => Effect::Once,
+            ("repeatable", _) => Idempotency::Idempotent,
+            ("once", _) => Idempotency::NonIdempotent,
             ("by_key", group) => {
                 let group = match group {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    "cell" => Group::Cell,
+                    "all" => DeduplicationScope::All,
+                    "zone" => DeduplicationScope::Zone,
+                    "cell" => DeduplicationScope::Cell,
                     other => return bad("group", format!("unknown group {other:?}")),
                 };
                 let Some(window) = g.window_ns else {
                     return bad("window-ns", "missing, and the class is by_key".into());
                 };
-                Effect::ByKey { group, window }
+                Idempotency::Keyed { scope: group, window }
             }
             (other, _) => return bad("effect", format!("unknown effect {other:?}")),
         };
         let (aim, give_up, worth, late_worth) = (g.aim_ns, g.give_up_ns, g.worth, g.late_worth);
-        s.classes.push(Class { aim, give_up, effect, worth, late_worth, stream: g.stream });
+        s.classes.push(Class {
+            latency_objective: aim,
+            client_deadline: give_up,
+            idempotency: effect,
+            priority_weight: worth,
+            late_weight_ratio: late_worth,
+            streaming: g.stream,
+        });
     }
     s.tenants = o.accounts.iter().map(|a| Tenant { quota_per_s: a.quota_per_s, share: a.share }).collect();
-    s.me = o.me;
-    s.group_size = o.group_size.unwrap_or(o.me + 1);
+    s.replica_index = o.me;
+    s.replica_count = o.group_size.unwrap_or(o.me + 1);
     s.tier = o.tier;
     s.zone = ZoneId(o.zone.as_deref().map_or(0, |z| zones.id(z)) as u16);
-    s.tick = o.granularity_ns.unwrap_or(s.tick);
-    s.over_share_worth = o.over_share_worth.unwrap_or(s.over_share_worth);
-    s.worth_by_work = o.worth_by.as_deref() == Some("work");
-    s.passes_deadline = o.extra.passes_deadline.unwrap_or(s.passes_deadline);
+    s.clock_granularity = o.granularity_ns.unwrap_or(s.clock_granularity);
+    s.over_quota_weight_ratio = o.over_share_worth.unwrap_or(s.over_quota_weight_ratio);
+    s.weight_by_work = o.worth_by.as_deref() == Some("work");
+    s.propagates_deadline = o.extra.passes_deadline.unwrap_or(s.propagates_deadline);
     s.discovery = match o.registry_mode.as_deref() {
         None | Some("automatic") => Discovery::Automatic,
         Some("subscribe") => Discovery::Subscribe,
@@ -319,18 +326,24 @@
     };
     let (l, a) = (&mut s.limits, &o.allowed);
     l.max_attempts = a.max_attempts.unwrap_or(l.max_attempts);
-    (l.second_copies, l.cancel, l.probes) = (a.second_copies, a.may_cancel, a.probes);
+    (l.hedging_enabled, l.cancellation_enabled, l.health_checks_enabled) =
+        (a.second_copies, a.may_cancel, a.probes);
     l.max_retry_after = if a.retry_after { a.max_retry_after_ns } else { 0 };
     l.connect_timeout = a.connect_timeout_ns.unwrap_or(l.connect_timeout);
     let (r, w) = (&mut s.rules, &o.rules);
-    r.cold_share = w.cold_share.unwrap_or(r.cold_share);
-    r.cold = w.cold_ns.unwrap_or(r.cold);
-    r.fall_multiple = w.fall_multiple.unwrap_or(r.fall_multiple);
-    r.fall = w.fall_ns.unwrap_or(r.fall);
+    r.slow_start_initial_share = w.cold_share.unwrap_or(r.slow_start_initial_share);
+    r.slow_start_window = w.cold_ns.unwrap_or(r.slow_start_window);
+    r.overload_multiple = w.fall_multiple.unwrap_or(r.overload_multiple);
+    r.overload_window = w.fall_ns.unwrap_or(r.overload_window);
     r.drain_grace = w.drain_grace_ns.unwrap_or(r.drain_grace);
-    r.must_ask_in = w.must_ask_in_ns.unwrap_or(r.must_ask_in);
+    r.poll_interval = w.must_ask_in_ns.unwrap_or(r.poll_interval);
     let p = &o.penalties;
-    s.prices = Prices { cross_zone: p.cross_zone, waste: p.waste, probe: p.probe, late_fail: p.late_fail };
+    s.cost_weights = CostWeights {
+        cross_zone: p.cross_zone,
+        wasted_work: p.waste,
+        health_check: p.probe,
+        late_failure: p.late_fail,
+    };
     Ok(s)
 }
 
