--- a/crates/config/src/write.rs
+++ b/crates/config/src/write.rs
@@ -1,6 +1,7 @@
 //! What each proxy reads, written out: everything it has to know, with where each value came from. The same
 //! bytes for the same files.
 
+use crate::atomic_file;
 use crate::document::{Key, Source, top};
 use crate::origin::Origin;
 use crate::resolve::Resolved;
@@ -46,9 +47,8 @@
             continue;
         }
         // Danger: whoever reads it meanwhile must find the old one or the new one, never a part.
-        let beside = directory.join(format!(".{name}.toml.new"));
-        std::fs::write(&beside, text).map_err(failed(&beside))?;
-        std::fs::rename(&beside, &path).map_err(failed(&path))?;
+        atomic_file::replace(&path, text.as_bytes())
+            .map_err(|failed| WriteError::File(path.clone(), failed.error))?;
         written.push(path);
     }
     Ok(written)
--- a/crates/proxy/src/config_tool.rs
+++ b/crates/proxy/src/config_tool.rs
@@ -10,7 +10,7 @@
 use olivecart_config::report::{Findings, json, sarif, text};
 use olivecart_config::resolve::{Environment, Resolved, VARIABLE};
 use olivecart_config::types::Kind;
-use olivecart_config::{graph, schema, write};
+use olivecart_config::{atomic_file, graph, schema, write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::str::FromStr;
@@ -335,8 +335,9 @@
         match self.svg {
             None => Ok(say(&graph::text(&resolved, tries))),
             Some(path) => {
-                let written = std::fs::write(&path, graph::svg(&resolved, tries));
-                written.map(|()| FINE).map_err(|e| Failed::Unusable(format!("{}: {e}", path.display())))
+                let picture = graph::svg(&resolved, tries);
+                let written = atomic_file::replace(&path, picture.as_bytes());
+                written.map(|()| FINE).map_err(|e| Failed::Unusable(e.to_string()))
             }
         }
     }
--- a/crates/proxy/tests/config_tool.rs
+++ b/crates/proxy/tests/config_tool.rs
@@ -146,3 +146,33 @@
     assert_eq!(config(&["graph", example, "--svg", picture.to_str().expect("a path")]).0, Some(0));
     assert!(std::fs::read_to_string(picture).expect("drawn").starts_with("<svg"));
 }
+
+/// Draws the example's graph into a file with a limit of 512 bytes on the size of files; beyond it the process is
+/// killed, or, with the signal ignored, the write fails.
+fn draw_beyond_size_limit(picture: &Path, shell: &str) -> std::process::Output {
+    let (program, example) = (env!("CARGO_BIN_EXE_olivecart"), example());
+    let script = format!("ulimit -c 0; ulimit -f 1; {shell} exec \"$@\"");
+    let mut command = std::process::Command::new("sh");
+    command.args(["-c", &script, "sh", program, "config", "graph"]).arg(example);
+    command.arg("--svg").arg(picture).output().expect("it runs")
+}
+
+#[test]
+fn full_disk_or_kill_while_a_file_is_written_leaves_the_old_one() {
+    use std::os::unix::process::ExitStatusExt;
+    let folder = fresh("");
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let picture = folder.join("graph.svg");
+    std::fs::write(&picture, "the old picture").expect("written");
+
+    let failed = draw_beyond_size_limit(&picture, "trap '' XFSZ;");
+    let said = String::from_utf8_lossy(&failed.stderr).into_owned();
+    assert_eq!(failed.status.code(), Some(2), "{said}");
+    assert!(said.contains(&picture.display().to_string()) && said.contains("File too large"), "{said}");
+    assert_eq!(std::fs::read_to_string(&picture).expect("there"), "the old picture");
+    assert_eq!(std::fs::read_dir(&folder).expect("there").count(), 1, "no remnant");
+
+    let killed = draw_beyond_size_limit(&picture, "");
+    assert!(killed.status.signal().is_some(), "{:?}", killed.status);
+    assert_eq!(std::fs::read_to_string(&picture).expect("there"), "the old picture");
+}
