--- a/crates/membership/src/watch/eyes/tests.rs
+++ b/crates/membership/src/watch/file_watcher/tests.rs
@@ -1,4 +1,4 @@
-use super::super::file_system::LocalFileSystem;
+use super::super::file_system::{ClockReading, FileStatus, LocalFileSystem};
 use super::*;
 use std::cell::Cell;
 use std::io::{self, ErrorKind, Read};
@@ -10,7 +10,7 @@
 }
 
 impl FileSystem for Interrupted {
-    fn status(&self, path: &Path) -> io::Result<super::super::file_system::FileStatus> {
+    fn status(&self, path: &Path) -> io::Result<FileStatus> {
         if self.in_a_row.get() < 100 {
             self.in_a_row.set(self.in_a_row.get() + 1);
             return Err(ErrorKind::Interrupted.into());
@@ -27,7 +27,7 @@
         LocalFileSystem.open(path)
     }
 
-    fn clocks(&self) -> super::super::file_system::ClockReading {
+    fn clocks(&self) -> ClockReading {
         LocalFileSystem.clocks()
     }
 }
@@ -37,11 +37,11 @@
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().to_owned();
     let watch = Watch { source: "files".into(), path, kind: Kind::Directory, poll: std::time::Duration::MAX };
-    let (mut eyes, blind) = Eyes::new(&watch, Arc::new(Notify::new()));
-    assert_eq!(blind, None);
-    eyes.follow(&LocalFileSystem);
-    let watched = eyes.watched;
+    let (mut file_watcher, notice) = FileWatcher::new(&watch, Arc::new(Notify::new()));
+    assert_eq!(notice, None);
+    file_watcher.follow_directory(&LocalFileSystem);
+    let watched = file_watcher.watched;
     assert!(watched.is_some());
-    eyes.follow(&Interrupted::default());
-    assert_eq!(eyes.watched, watched);
+    file_watcher.follow_directory(&Interrupted::default());
+    assert_eq!(file_watcher.watched, watched);
 }
--- a/crates/membership/src/watch/mod.rs
+++ b/crates/membership/src/watch/mod.rs
@@ -1,25 +1,27 @@
 //! Files and directories in the documented form ([`file`](crate::file)) as a source of the catalog.
 //!
-//! What changes is seen by the file system's events, with polling behind them, since network file systems send
-//! none. It is read whole by a thread that may block, and checked before the catalog hears of it; what cannot
-//! be read or is no good changes nothing, and the last good one stands.
+//! A change is seen by the file system's events, with polling behind them, since network file systems send
+//! none. The file is read whole by a thread that may block, and checked before the catalog gets it; what cannot
+//! be read or used changes nothing, and the last good content stands.
 //!
-//! `look` is what a file is at one moment, `judge` what follows from it, and [`run`] the task around both, which
-//! decides nothing.
+//! `snapshot` is what a file is at one moment, `validator` what follows from it, `file_watcher` the file system's
+//! events, and [`run`] the task around them, which decides nothing. The proxy starts that task for each source of
+//! this kind, and reads files through [`read_texts`] for its command line.
 
-mod eyes;
 #[cfg(test)]
 mod fake_file_system;
 mod file_system;
-mod judge;
-mod look;
-mod shell;
+mod file_watcher;
+mod snapshot;
+mod task;
+mod validator;
 
-pub use judge::Notice;
-pub use shell::run;
+pub use task::run;
+pub use validator::Notice;
 
 use crate::endpoint::Cluster;
 use crate::names::SourceId;
+use snapshot::Observation;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -91,10 +93,10 @@
 /// Why it cannot be read, in words.
 pub fn read_texts(path: &Path) -> Result<Vec<(String, String)>, String> {
     let kind = if path.is_dir() { Kind::Directory } else { Kind::File };
-    match look::look(&file_system::LocalFileSystem, path, kind, None) {
-        look::Look::Read(found) => Ok(found.texts),
-        look::Look::Lost(e) => Err(format!("{}: {e}", path.display())),
-        look::Look::Unusable(why) => Err(why),
-        look::Look::Same => Ok(Vec::new()), // compared with nothing, it is never the same
+    match snapshot::observe(&file_system::LocalFileSystem, path, kind, None) {
+        Observation::Read(snapshot) => Ok(snapshot.texts),
+        Observation::Unavailable(error) => Err(format!("{}: {error}", path.display())),
+        Observation::Unusable(reason) => Err(reason),
+        Observation::Unchanged => Ok(Vec::new()), // compared with nothing, it is never unchanged
     }
 }
--- a/crates/membership/src/watch/look/tests.rs
+++ b/crates/membership/src/watch/snapshot/tests.rs
@@ -5,27 +5,27 @@
 const REST: Duration = Duration::from_secs(10);
 const HOUR_S: i64 = 3600;
 
-fn look_at_file(system: &FakeFileSystem, known: Option<&Print>) -> Look {
-    look(system, Path::new(FILE), Kind::File, known)
+fn observe_file(system: &FakeFileSystem, known: Option<&Fingerprint>) -> Observation {
+    observe(system, Path::new(FILE), Kind::File, known)
 }
 
-fn content(look: Look) -> String {
+fn content(look: Observation) -> String {
     match look {
-        Look::Read(found) => found.texts.into_iter().map(|(_, text)| text).collect(),
+        Observation::Read(snapshot) => snapshot.texts.into_iter().map(|(_, text)| text).collect(),
         other => panic!("not read: {other:?}"),
     }
 }
 
 /// A file that was written, has rested for so long, and was read.
-fn print_after(system: &FakeFileSystem, rest: Duration) -> Print {
+fn fingerprint_after(system: &FakeFileSystem, rest: Duration) -> Fingerprint {
     system.write(FILE, "a");
     system.pass(rest);
-    print_after_reading(system)
+    fingerprint_after_reading(system)
 }
 
-fn print_after_reading(system: &FakeFileSystem) -> Print {
-    match look_at_file(system, None) {
-        Look::Read(found) => found.print,
+fn fingerprint_after_reading(system: &FakeFileSystem) -> Fingerprint {
+    match observe_file(system, None) {
+        Observation::Read(snapshot) => snapshot.fingerprint,
         other => panic!("not read: {other:?}"),
     }
 }
@@ -33,9 +33,9 @@
 #[test]
 fn file_at_rest_is_not_read_again() {
     let system = FakeFileSystem::new();
-    let known = print_after(&system, REST);
+    let known = fingerprint_after(&system, REST);
     system.pass(REST);
-    assert!(matches!(look_at_file(&system, Some(&known)), Look::Same));
+    assert!(matches!(observe_file(&system, Some(&known)), Observation::Unchanged));
     assert_eq!(system.reads.get(), 1);
 }
 
@@ -43,11 +43,11 @@
 fn write_with_the_known_times_is_read_after_wall_clock_was_set_back() {
     // Back to the very moment of the first write, so that the second one gets the same times.
     let system = FakeFileSystem::new();
-    let known = print_after(&system, REST);
+    let known = fingerprint_after(&system, REST);
     system.step_wall_clock(-(REST.as_secs() as i64));
     system.write(FILE, "b");
     system.pass(REST);
-    assert_eq!(content(look_at_file(&system, Some(&known))), "b");
+    assert_eq!(content(observe_file(&system, Some(&known))), "b");
 }
 
 #[test]
@@ -56,21 +56,24 @@
     let system = FakeFileSystem::new();
     system.write(FILE, "a");
     system.step_wall_clock(HOUR_S);
-    let known = print_after_reading(&system);
+    let known = fingerprint_after_reading(&system);
     system.step_wall_clock(-HOUR_S);
     system.write(FILE, "b");
     system.pass(REST);
-    assert_eq!(content(look_at_file(&system, Some(&known))), "b");
+    assert_eq!(content(observe_file(&system, Some(&known))), "b");
 }
 
 #[test]
 fn write_is_read_after_wall_clock_was_set_forward() {
     let system = FakeFileSystem::new();
-    let known = print_after(&system, REST);
+    let known = fingerprint_after(&system, REST);
     system.step_wall_clock(HOUR_S);
-    assert!(matches!(look_at_file(&system, Some(&known)), Look::Same), "it is at rest all the same");
+    assert!(
+        matches!(observe_file(&system, Some(&known)), Observation::Unchanged),
+        "it is at rest all the same"
+    );
     system.write(FILE, "b");
-    assert_eq!(content(look_at_file(&system, Some(&known))), "b");
+    assert_eq!(content(observe_file(&system, Some(&known))), "b");
 }
 
 #[test]
@@ -79,9 +82,9 @@
     system.step_wall_clock(HOUR_S);
     system.write(FILE, "a");
     system.step_wall_clock(-HOUR_S);
-    let known = print_after_reading(&system);
+    let known = fingerprint_after_reading(&system);
     system.pass(REST);
-    assert_eq!(content(look_at_file(&system, Some(&known))), "a");
+    assert_eq!(content(observe_file(&system, Some(&known))), "a");
 }
 
 #[test]
@@ -89,8 +92,8 @@
     let system = FakeFileSystem::new();
     system.write(FILE, "a");
     system.interruptions.set(100);
-    assert_eq!(content(look_at_file(&system, None)), "a");
-    assert_eq!(content(look(&system, Path::new(DIRECTORY), Kind::Directory, None)), "a");
+    assert_eq!(content(observe_file(&system, None)), "a");
+    assert_eq!(content(observe(&system, Path::new(DIRECTORY), Kind::Directory, None)), "a");
 }
 
 #[test]
@@ -99,5 +102,5 @@
     let text = "version = 1\n".repeat(100);
     system.write(FILE, &text);
     system.has_short_reads.set(true);
-    assert_eq!(content(look_at_file(&system, None)), text);
+    assert_eq!(content(observe_file(&system, None)), text);
 }
--- a/crates/membership/tests/watch.rs
+++ b/crates/membership/tests/watch.rs
@@ -18,8 +18,8 @@
 
 struct Watched {
     directory: tempfile::TempDir,
-    heard: Receiver<SourceEvent>,
-    asks: Sender<RefetchRequest>,
+    events: Receiver<SourceEvent>,
+    refetch_requests: Sender<RefetchRequest>,
     notices: tokio::sync::mpsc::UnboundedReceiver<Notice>,
 }
 
@@ -31,11 +31,14 @@
     }
 
     fn at(directory: tempfile::TempDir, path: PathBuf, kind: Kind, poll: Duration) -> Watched {
-        let ((sink, heard), (asks, asked)) = (channel(EVENT_QUEUE_CAPACITY), channel(REFETCH_QUEUE_CAPACITY));
-        let (tell, notices) = unbounded_channel();
+        let ((event_sender, events), (refetch_requests, refetch_receiver)) =
+            (channel(EVENT_QUEUE_CAPACITY), channel(REFETCH_QUEUE_CAPACITY));
+        let (notice_sender, notices) = unbounded_channel();
         let watch = Watch { source: "files".into(), path, kind, poll };
-        tokio::spawn(run(watch, parse_documented, sink, asked, move |notice| drop(tell.send(notice))));
-        Watched { directory, heard, asks, notices }
+        tokio::spawn(run(watch, parse_documented, event_sender, refetch_receiver, move |notice| {
+            drop(notice_sender.send(notice))
+        }));
+        Watched { directory, events, refetch_requests, notices }
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -44,8 +47,9 @@
 
     /// The next thing that the catalog is told: clusters by name with their endpoints, or how it is silent.
     async fn next(&mut self) -> String {
-        let heard = tokio::time::timeout(NEVER, self.heard.recv()).await.expect("in time").expect("it runs");
-        match heard.event {
+        let received =
+            tokio::time::timeout(NEVER, self.events.recv()).await.expect("in time").expect("it runs");
+        match received.event {
             Event::Update { update: EndpointUpdate::FullSnapshot(clusters), .. } => {
                 let said = |c: &olivecart_membership::Cluster| {
                     let ids: Vec<_> = c.listed().iter().map(|e| e.name.as_str().to_owned()).collect();
@@ -59,7 +63,7 @@
         }
     }
 
-    async fn told(&mut self) -> String {
+    async fn next_notice(&mut self) -> String {
         let notice = tokio::time::timeout(NEVER, self.notices.recv()).await.expect("in time");
         notice.expect("it runs").to_string()
     }
@@ -84,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn a_file_is_taken_whole_or_not_at_all_and_the_last_good_one_stands() {
+async fn malformed_or_missing_file_keeps_last_good_content() {
     let mut watched = Watched::new("fleet.toml", Kind::File, SELDOM);
     let path = watched.path("fleet.toml");
     assert_eq!(watched.next().await, "lost", "not there yet");
@@ -108,23 +112,23 @@
     assert_eq!(watched.next().await, "cart=c");
     for expected in ["No such file", "good again", "no [end]", "good again", "No such file", "is a directory"]
     {
-        let told = watched.told().await;
-        assert!(told.contains(expected), "{expected}: {told}");
+        let notice = watched.next_notice().await;
+        assert!(notice.contains(expected), "{expected}: {notice}");
     }
 }
 
 #[tokio::test]
-async fn a_question_is_answered_with_what_is_there_changed_or_not() {
+async fn refetch_request_reports_unchanged_content() {
     let mut watched = Watched::new("fleet.toml", Kind::File, SELDOM);
     assert_eq!(watched.next().await, "lost");
     put(&watched.path("fleet.toml"), &text("cart=a"));
     assert_eq!(watched.next().await, "cart=a");
-    watched.asks.send(RefetchRequest { cluster: "cart".into() }).await.expect("it runs");
+    watched.refetch_requests.send(RefetchRequest { cluster: "cart".into() }).await.expect("it runs");
     assert_eq!(watched.next().await, "cart=a");
 }
 
 #[tokio::test]
-async fn what_the_file_system_tells_nothing_of_is_found_by_polling() {
+async fn change_without_file_system_event_is_found_by_polling() {
     // The file is a link to elsewhere: events are only about the directory that the link is in.
     let elsewhere = tempfile::tempdir().expect("a directory");
     let target = elsewhere.path().join("target.toml");
@@ -143,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn fragments_are_one_set_and_a_directory_that_is_replaced_is_followed() {
+async fn fragments_are_merged_and_replaced_directory_is_followed() {
     let mut watched = Watched::new("fleet.d", Kind::Directory, Duration::from_millis(50));
     assert_eq!(watched.next().await, "lost");
     let directory = watched.path("fleet.d");
@@ -172,12 +176,12 @@
 }
 
 #[tokio::test]
-async fn whoever_watches_ends_with_who_listens() {
-    let (sink, heard) = channel(EVENT_QUEUE_CAPACITY);
-    let (_asks, asked) = channel(REFETCH_QUEUE_CAPACITY);
+async fn task_ends_when_event_receiver_is_dropped() {
+    let (event_sender, events) = channel(EVENT_QUEUE_CAPACITY);
+    let (_refetch_requests, refetch_receiver) = channel(REFETCH_QUEUE_CAPACITY);
     let path = PathBuf::from("/nowhere/fleet.toml");
     let watch = Watch { source: "files".into(), path, kind: Kind::File, poll: SELDOM };
-    let task = tokio::spawn(run(watch, parse_documented, sink, asked, |_| {}));
-    drop(heard);
+    let task = tokio::spawn(run(watch, parse_documented, event_sender, refetch_receiver, |_| {}));
+    drop(events);
     tokio::time::timeout(NEVER, task).await.expect("it ends").expect("without a panic");
 }
