--- a/crates/membership/src/catalog/items.rs
+++ b/crates/membership/src/catalog/change_set.rs
@@ -8,7 +8,7 @@
 
 /// One endpoint's part of a change.
 #[derive(Clone, Debug)]
-pub(super) struct Item {
+pub(super) struct EndpointChange {
     pub name: EndpointName,
     /// What it changes: the endpoint as its source last listed it or, in the first list of a source, as the
     /// source that gives the cluster does.
@@ -20,37 +20,37 @@
     /// It was held as one of many that leave or lose their weight, and waits for a confirmation.
     ///
     /// Danger: without this mark one endpoint that comes later would make the loss of all others harmless.
-    pub sticky: bool,
+    pub awaits_confirmation: bool,
     /// It says that the endpoint is not ready, which counts while it is held.
-    pub is_caution: bool,
+    pub is_not_ready: bool,
 }
 
 /// The parts of a change, by id. Memory and copying cost as much as the change is large.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Items(Vec<Item>);
+pub(super) struct ChangeSet(Vec<EndpointChange>);
 
-impl Items {
+impl ChangeSet {
     /// Of items that are sorted by id, each id once.
-    pub fn from_sorted(items: Vec<Item>) -> Items {
-        debug_assert!(items.is_sorted_by(|a, b| a.name < b.name));
-        Items(items)
+    pub fn from_sorted(changes: Vec<EndpointChange>) -> ChangeSet {
+        debug_assert!(changes.is_sorted_by(|a, b| a.name < b.name));
+        ChangeSet(changes)
     }
 
-    pub fn get(&self, name: &EndpointName) -> Option<&Item> {
+    pub fn get(&self, name: &EndpointName) -> Option<&EndpointChange> {
         self.0.get(self.position(name).ok()?)
     }
 
-    pub fn iter(&self) -> std::slice::Iter<'_, Item> {
+    pub fn iter(&self) -> std::slice::Iter<'_, EndpointChange> {
         self.0.iter()
     }
 
-    pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, Item> {
+    pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, EndpointChange> {
         self.0.iter_mut()
     }
 
     /// Those that are said not to be ready.
-    pub fn cautions(&self) -> impl Iterator<Item = &EndpointName> {
-        self.0.iter().filter(|item| item.is_caution).map(|item| &item.name)
+    pub fn not_ready_names(&self) -> impl Iterator<Item = &EndpointName> {
+        self.0.iter().filter(|change| change.is_not_ready).map(|change| &change.name)
     }
 
     pub fn len(&self) -> usize {
@@ -62,7 +62,7 @@
     }
 
     pub fn position(&self, name: &EndpointName) -> Result<usize, usize> {
-        self.0.binary_search_by(|item| item.name.cmp(name))
+        self.0.binary_search_by(|change| change.name.cmp(name))
     }
 
     /// Takes out those of the given ids. A few of them cost no more than moving the rest together.
@@ -80,34 +80,34 @@
     }
 
     /// Puts in others, in the place of what is there of the same id.
-    pub fn merge(&mut self, others: Items) {
-        self.remove_all(others.iter().map(|item| &item.name));
+    pub fn merge(&mut self, others: ChangeSet) {
+        self.remove_all(others.iter().map(|change| &change.name));
         self.0.extend(others.0);
         self.0.sort_by(|a, b| a.name.cmp(&b.name));
     }
 
     /// Those that are marked, and those that are not. `marks` are in the order of the items.
-    pub fn split(self, marks: &[bool]) -> (Items, Items) {
+    pub fn split(self, marks: &[bool]) -> (ChangeSet, ChangeSet) {
         if !marks.contains(&true) {
-            return (Items::default(), self);
+            return (ChangeSet::default(), self);
         }
         let mut marks = marks.iter();
         let (marked, others) = self.0.into_iter().partition(|_| marks.next() == Some(&true));
-        (Items(marked), Items(others))
+        (ChangeSet(marked), ChangeSet(others))
     }
 }
 
-impl Index<usize> for Items {
-    type Output = Item;
+impl Index<usize> for ChangeSet {
+    type Output = EndpointChange;
 
-    fn index(&self, at: usize) -> &Item {
+    fn index(&self, at: usize) -> &EndpointChange {
         &self.0[at]
     }
 }
 
-impl IntoIterator for Items {
-    type Item = Item;
-    type IntoIter = std::vec::IntoIter<Item>;
+impl IntoIterator for ChangeSet {
+    type Item = EndpointChange;
+    type IntoIter = std::vec::IntoIter<EndpointChange>;
 
     fn into_iter(self) -> Self::IntoIter {
         self.0.into_iter()
--- a/crates/membership/src/catalog/cluster.rs
+++ b/crates/membership/src/catalog/cluster.rs
@@ -1,51 +1,39 @@
 //! One cluster: what each source says of it, and which of them gives it.
 //!
-//! Each method leaves in [`Work`] what it touched; `finish` then looks once more at what is held, and puts
-//! out the difference.
-
-use super::alarms::Alarms;
-use super::caution::Cautions;
-use super::check::{Fault, check_list, check_update};
-use super::feed::Feed;
-use super::items::Items;
-use super::judge::{Case, Findings};
+//! The catalog calls it with each update. Each method puts into [`UpdateEffects`] what it touched;
+//! `complete_update` (`reconcile`) then rechecks what is quarantined, and puts out the difference.
+
+use super::change_set::ChangeSet;
+use super::input_validation::{InvalidInput, ValidDelta, validate_delta, validate_list};
 use super::listing::Listing;
 use super::service::Service;
-use super::{Rank, Source};
+use super::state_overlay::StateOverlay;
+use super::subscription::{DeltaChanges, Subscription, SuspiciousList};
+use super::update::{Rank, UpdateContext, UpdateEffects};
+use super::validator::{Candidate, Occasion, ValidationReport};
 use crate::endpoint::{ClusterSettings, Endpoint, Endpoints};
 use crate::event::ClusterDelta;
 use crate::invalid::Invalid;
-use crate::names::{ClusterName, EndpointName, Version};
+use crate::names::{ClusterName, Version};
 use crate::output::{Cause, ConfirmationSource, Output};
 use crate::policy::Policy;
 use crate::rejection::Rejection;
 use olivecart_decisions::Nanos;
 use std::collections::BTreeMap;
 
-/// What serves one turn of the catalog.
-pub(super) struct Turn<'a> {
-    pub now: Nanos,
-    pub policy: &'a Policy,
-    pub sources: &'a [Source],
-    pub alarms: &'a mut Alarms,
-    pub out: &'a mut Vec<Output>,
-}
-
-/// What a turn has done to a cluster.
-#[derive(Debug, Default)]
-pub(super) struct Work {
-    /// Endpoints that may serve differently.
-    pub touched: Vec<EndpointName>,
-    /// Whose held changes have passed, and why.
-    pub released: BTreeMap<Rank, Cause>,
+/// A cluster whole, as a source lists it.
+pub(super) struct ClusterSnapshot {
+    pub endpoints: Endpoints,
+    pub settings: ClusterSettings,
 }
 
-impl Work {
-    /// Items that came to be held, or no longer are. Only what they say of an endpoint's not being ready
-    /// counts while they are held.
-    pub fn touch_cautions(&mut self, items: &Items) {
-        self.touched.extend(items.cautions().cloned());
-    }
+/// A whole list of endpoints that may become a source's accepted content.
+struct CandidateList<'a> {
+    /// Valid each, and sorted by id.
+    endpoints: Vec<Endpoint>,
+    settings: ClusterSettings,
+    version: &'a Version,
+    occasion: Occasion,
 }
 
 /// One cluster.
@@ -53,20 +41,20 @@
 pub(super) struct ClusterState {
     pub name: ClusterName,
     /// In the order of precedence.
-    pub feeds: BTreeMap<Rank, Feed>,
+    pub subscriptions: BTreeMap<Rank, Subscription>,
     pub service: Option<Service>,
-    /// When it has asked to be woken to forget what left.
-    pub forgets: Option<Nanos>,
+    /// When it is to be woken to forget what was removed.
+    pub forget_at: Option<Nanos>,
 }
 
 impl ClusterState {
     pub fn new(name: ClusterName) -> ClusterState {
-        ClusterState { name, feeds: BTreeMap::new(), service: None, forgets: None }
+        ClusterState { name, subscriptions: BTreeMap::new(), service: None, forget_at: None }
     }
 
-    /// Nobody says anything of it, and nothing serves.
+    /// No source says anything of it, and nothing serves.
     pub fn is_vacant(&self) -> bool {
-        self.feeds.is_empty() && self.service.is_none()
+        self.subscriptions.is_empty() && self.service.is_none()
     }
 
     /// Who gives the cluster: the first in precedence with good content, and it alone.
@@ -75,175 +63,241 @@
     /// that the slowest one decides about removals, and nobody can pin a cluster. The price is that the
     /// endpoints of one cluster cannot be spread over sources.
     pub fn owner(&self) -> Option<Rank> {
-        self.feeds.iter().find(|(_, feed)| feed.good.is_some()).map(|(rank, _)| *rank)
+        self.subscriptions
+            .iter()
+            .find(|(_, subscription)| subscription.accepted.is_some())
+            .map(|(rank, _)| *rank)
     }
 
-    /// A feed, and the listing that gives the cluster where the feed would take its place.
-    pub fn feed(&self, rank: Rank) -> Option<(&Feed, Option<&Listing>)> {
+    /// A subscription, and the listing that gives the cluster where the subscription would take its place.
+    pub fn subscription(&self, rank: Rank) -> Option<(&Subscription, Option<&Listing>)> {
         let owner = self.owner().filter(|owner| rank < *owner);
-        let before = owner.and_then(|owner| self.feeds.get(&owner)).and_then(Feed::own);
-        Some((self.feeds.get(&rank)?, before))
+        let before =
+            owner.and_then(|owner| self.subscriptions.get(&owner)).and_then(Subscription::accepted_listing);
+        Some((self.subscriptions.get(&rank)?, before))
     }
 
-    /// Judges a change of a source's listing; of a first list, against the listing `other` that it would
-    /// displace.
-    pub fn judge(&self, turn: &Turn, rank: Rank, items: &Items, said: bool) -> Findings {
-        let (feed, other) = self.feed(rank).unzip();
-        let (own, other) = (feed.and_then(Feed::own), other.flatten());
-        let cautions = Cautions { feeds: &self.feeds, me: rank };
-        Case { policy: turn.policy, now: turn.now, own, other, items, said, cautions }.judge()
+    /// Validates a change of a source's listing; of a first list, against the listing that it would displace.
+    pub fn validate(
+        &self,
+        context: &UpdateContext,
+        rank: Rank,
+        changes: &ChangeSet,
+        occasion: Occasion,
+    ) -> ValidationReport {
+        let (subscription, displaced) = self.subscription(rank).unzip();
+        let candidate = Candidate {
+            policy: context.policy,
+            now: context.now,
+            current: subscription.and_then(Subscription::accepted_listing),
+            displaced: displaced.flatten(),
+            changes,
+            overlay: StateOverlay { subscriptions: &self.subscriptions, listed_by: rank },
+            occasion,
+        };
+        candidate.validate()
     }
 
     /// The source speaks of the cluster.
-    pub fn hear(&mut self, now: Nanos, rank: Rank) {
-        let feed = self.feeds.entry(rank).or_default();
-        feed.heard = now;
-        feed.missing = None;
+    fn note_update(&mut self, now: Nanos, rank: Rank) {
+        let subscription = self.subscriptions.entry(rank).or_default();
+        subscription.last_update_at = now;
+        subscription.missing = None;
     }
 
-    /// Takes in a whole list: all of it or, if it is held, nothing but what it says of endpoints that are not
-    /// ready. One that is refused says nothing: what its author meant is a guess.
+    /// Applies a whole list: all of it or, if it is quarantined, nothing but what it says of endpoints that are
+    /// not ready. One that is rejected says nothing: what its author meant is a guess.
     ///
-    /// Weighed against judging endpoint by endpoint as in an update: a list that lacks half the endpoints is
+    /// Weighed against validating endpoint by endpoint as in a delta: a list that lacks half the endpoints is
     /// torn or of another cluster, and its other half is then no better.
-    pub fn list(
+    pub fn apply_snapshot(
         &mut self,
-        turn: &mut Turn,
+        context: &mut UpdateContext,
         rank: Rank,
         version: &Version,
-        (endpoints, settings): (Endpoints, ClusterSettings),
-    ) -> Work {
-        let mut work = Work::default();
-        self.hear(turn.now, rank);
-        let listed = match endpoints {
-            Endpoints::NoneOnPurpose => settings.check().map(|()| None).map_err(|fault| vec![(None, fault)]),
-            Endpoints::Listed(list) => check_list(list, &settings, turn.policy).map(Some),
+        ClusterSnapshot { endpoints, settings }: ClusterSnapshot,
+    ) -> UpdateEffects {
+        let mut effects = UpdateEffects::default();
+        self.note_update(context.now, rank);
+        let endpoints = match endpoints {
+            Endpoints::NoneOnPurpose => {
+                match settings.check() {
+                    Ok(()) => self.apply_empty(rank, version, settings, &mut effects),
+                    Err(reason) => self.reject(context, rank, vec![InvalidInput::of_cluster(reason)]),
+                }
+                return effects;
+            }
+            Endpoints::Listed(endpoints) => endpoints,
         };
-        match listed {
-            Err(faults) => self.refuse(turn, rank, faults),
-            Ok(None) => self.empty(rank, version, settings, &mut work),
-            Ok(Some(list)) => {
-                self.take_whole(turn, rank, (list, true), (settings, version), &mut work);
+        match validate_list(endpoints, &settings, context.policy) {
+            Err(invalid_inputs) => self.reject(context, rank, invalid_inputs),
+            Ok(endpoints) => {
+                let list = CandidateList { endpoints, settings, version, occasion: Occasion::Reported };
+                self.apply_list(context, rank, list, &mut effects);
             }
         }
-        work
+        effects
     }
 
     /// The source says in so many words that there are no endpoints.
-    fn empty(&mut self, rank: Rank, version: &Version, settings: ClusterSettings, work: &mut Work) {
-        let feed = self.feeds.entry(rank).or_default();
-        if let Some(good) = feed.good.take() {
-            work.touched.extend(good.listing.iter().map(|(name, _)| name.clone()));
+    fn apply_empty(
+        &mut self,
+        rank: Rank,
+        version: &Version,
+        settings: ClusterSettings,
+        effects: &mut UpdateEffects,
+    ) {
+        let subscription = self.subscriptions.entry(rank).or_default();
+        if let Some(accepted) = subscription.accepted.take() {
+            effects.touched.extend(accepted.listing.iter().map(|(name, _)| name.clone()));
         }
-        if let Some(hold) = feed.hold.take() {
-            work.touch_cautions(&hold.items);
+        if let Some(quarantine) = subscription.quarantine.take() {
+            effects.touch_not_ready(&quarantine.changes);
         }
-        feed.apply(Items::default(), Some(settings), version, work);
+        subscription.apply(ChangeSet::default(), Some(settings), version, effects);
     }
 
-    /// Judges a whole list, sorted by id, and takes it in or holds it.
-    fn take_whole(
+    /// Validates a whole list, and accepts or quarantines it.
+    fn apply_list(
         &mut self,
-        turn: &mut Turn,
+        context: &mut UpdateContext,
         rank: Rank,
-        (list, said): (Vec<Endpoint>, bool),
-        (settings, version): (ClusterSettings, &Version),
-        work: &mut Work,
+        list: CandidateList,
+        effects: &mut UpdateEffects,
     ) {
-        let Some((feed, other)) = self.feed(rank) else { return };
-        let items = feed.difference(list, other, turn.now);
-        // What was held is no longer said, whatever is said now.
-        let old = self.feeds.get_mut(&rank).and_then(|feed| feed.hold.take());
-        old.iter().for_each(|old| work.touch_cautions(&old.items));
-        let found = self.judge(turn, rank, &items, said);
+        let CandidateList { endpoints, settings, version, occasion } = list;
+        let Some((subscription, displaced)) = self.subscription(rank) else { return };
+        let changes = subscription.difference(endpoints, displaced, context.now);
+        // What was quarantined is no longer said, whatever is said now.
+        let previous =
+            self.subscriptions.get_mut(&rank).and_then(|subscription| subscription.quarantine.take());
+        previous.iter().for_each(|previous| effects.touch_not_ready(&previous.changes));
+        let report = self.validate(context, rank, &changes, occasion);
         let owner = self.owner();
-        let feed = self.feeds.entry(rank).or_default();
-        if !found.is_clear() {
-            return feed.hold_whole((items, found), (old, owner), (settings, version), turn, work);
+        let subscription = self.subscriptions.entry(rank).or_default();
+        if !report.is_clear() {
+            let list = SuspiciousList { changes, report, settings, version, previous, owner };
+            return subscription.quarantine_list(list, context, effects);
         }
-        if old.is_some() && found.settled {
-            work.released.insert(rank, Cause::Confirmed(ConfirmationSource::Repetition));
+        if previous.is_some() && report.confirmed_by_repetition {
+            effects.released.insert(rank, Cause::Confirmed(ConfirmationSource::Repetition));
         }
-        feed.apply(items, Some(settings), version, work);
+        subscription.apply(changes, Some(settings), version, effects);
     }
 
-    /// Takes in changes: the harmless ones at once, the suspicious ones are held.
-    pub fn update(&mut self, turn: &mut Turn, rank: Rank, version: &Version, update: ClusterDelta) -> Work {
-        let mut work = Work::default();
-        self.hear(turn.now, rank);
-        let (parts, settings, mut faults) = check_update(update);
-        let Some((feed, _)) = self.feed(rank) else { return work };
-        if feed.good.is_none() {
-            // Only a first update is said as a whole; what it adds to was said before.
-            let said = feed.hold.is_none();
-            let settings = settings.or(feed.hold.as_ref().and_then(|hold| hold.whole)).unwrap_or_default();
-            let list = feed.first_list(parts);
-            if list.len() > turn.policy.max_endpoints {
-                faults.push((None, Invalid::TooManyEndpoints { most: turn.policy.max_endpoints }));
-            } else if !list.is_empty() || !said {
-                self.take_whole(turn, rank, (list, said), (settings, version), &mut work);
-            }
+    /// Applies a delta: its harmless changes at once, while the suspicious ones are quarantined.
+    pub fn apply_delta(
+        &mut self,
+        context: &mut UpdateContext,
+        rank: Rank,
+        version: &Version,
+        delta: ClusterDelta,
+    ) -> UpdateEffects {
+        let mut effects = UpdateEffects::default();
+        self.note_update(context.now, rank);
+        let delta = validate_delta(delta);
+        let is_first =
+            self.subscriptions.get(&rank).is_some_and(|subscription| subscription.accepted.is_none());
+        let invalid_inputs = if is_first {
+            self.apply_first_delta(context, rank, version, delta, &mut effects)
         } else {
-            self.take_parts(turn, rank, parts, (settings, version), (&mut faults, &mut work));
+            self.apply_further_delta(context, rank, version, delta, &mut effects)
+        };
+        self.reject(context, rank, invalid_inputs);
+        effects
+    }
+
+    /// Applies a delta of a source of which nothing has been accepted, as its first list. Gives what is invalid.
+    fn apply_first_delta(
+        &mut self,
+        context: &mut UpdateContext,
+        rank: Rank,
+        version: &Version,
+        delta: ValidDelta,
+        effects: &mut UpdateEffects,
+    ) -> Vec<InvalidInput> {
+        let ValidDelta { endpoints, settings, mut invalid_inputs } = delta;
+        let Some(subscription) = self.subscriptions.get(&rank) else { return invalid_inputs };
+        // Only a first delta is reported whole; what it adds to was reported before.
+        let occasion = match subscription.quarantine {
+            None => Occasion::Reported,
+            Some(_) => Occasion::Rechecked,
+        };
+        let quarantined_settings = subscription.quarantine.as_ref().and_then(|quarantine| quarantine.whole);
+        let settings = settings.or(quarantined_settings).unwrap_or_default();
+        let endpoints = subscription.first_list(endpoints);
+        let most = context.policy.max_endpoints;
+        if endpoints.len() > most {
+            invalid_inputs.push(InvalidInput::of_cluster(Invalid::TooManyEndpoints { most }));
+        } else if !endpoints.is_empty() || occasion == Occasion::Rechecked {
+            let list = CandidateList { endpoints, settings, version, occasion };
+            self.apply_list(context, rank, list, effects);
         }
-        self.refuse(turn, rank, faults);
-        work
+        invalid_inputs
     }
 
-    fn take_parts(
+    /// Applies a delta to what was accepted of a source. Gives what is invalid.
+    fn apply_further_delta(
         &mut self,
-        turn: &mut Turn,
+        context: &mut UpdateContext,
         rank: Rank,
-        parts: BTreeMap<EndpointName, Option<Endpoint>>,
-        (settings, version): (Option<ClusterSettings>, &Version),
-        (faults, work): (&mut Vec<Fault>, &mut Work),
-    ) {
-        let Some(feed) = self.feeds.get_mut(&rank) else { return };
-        let (items, named) = feed.parts(parts, turn, faults);
-        feed.supersede(named, settings, version, work);
-        let found = self.judge(turn, rank, &items, true);
-        let (doubtful, items) = found.split(items);
-        if found.settled {
-            work.released.insert(rank, Cause::Confirmed(ConfirmationSource::Repetition));
+        version: &Version,
+        delta: ValidDelta,
+        effects: &mut UpdateEffects,
+    ) -> Vec<InvalidInput> {
+        let ValidDelta { endpoints, settings, mut invalid_inputs } = delta;
+        let Some(subscription) = self.subscriptions.get_mut(&rank) else { return invalid_inputs };
+        let DeltaChanges { changes, named, too_many } = subscription.delta_changes(endpoints, context);
+        invalid_inputs.extend(too_many);
+        subscription.supersede(named, settings, version, effects);
+        let report = self.validate(context, rank, &changes, Occasion::Reported);
+        let (suspicious, changes) = report.split(changes);
+        if report.confirmed_by_repetition {
+            effects.released.insert(rank, Cause::Confirmed(ConfirmationSource::Repetition));
         }
-        let feed = self.feeds.entry(rank).or_default();
-        feed.apply(items, settings, version, work);
-        if !doubtful.is_empty() {
-            feed.hold_parts((doubtful, found.anomalies), version, turn, work);
+        let subscription = self.subscriptions.entry(rank).or_default();
+        subscription.apply(changes, settings, version, effects);
+        if !suspicious.is_empty() {
+            subscription.quarantine_changes(suspicious, report.anomalies, version, context, effects);
         }
+        invalid_inputs
     }
 
     /// The source says in so many words that the cluster is no more, or that was confirmed.
-    pub fn remove(&mut self, rank: Rank) -> Work {
-        let mut work = Work::default();
-        let Some(feed) = self.feeds.get_mut(&rank) else { return work };
-        // What was told and asked for of the feed stays, so that `finish` takes it back.
-        let (told, alarm) = (std::mem::take(&mut feed.told), feed.alarm);
-        let old = std::mem::replace(feed, Feed { told, alarm, ..Feed::default() });
-        if let Some(hold) = old.hold {
-            work.touch_cautions(&hold.items);
+    pub fn remove(&mut self, rank: Rank) -> UpdateEffects {
+        let mut effects = UpdateEffects::default();
+        let Some(subscription) = self.subscriptions.get_mut(&rank) else { return effects };
+        // What was reported and scheduled for it stays, so that `complete_update` takes it back.
+        let remaining = Subscription {
+            last_reported: std::mem::take(&mut subscription.last_reported),
+            timer: subscription.timer,
+            ..Subscription::default()
+        };
+        let old = std::mem::replace(subscription, remaining);
+        if let Some(quarantine) = old.quarantine {
+            effects.touch_not_ready(&quarantine.changes);
         }
-        if let Some(good) = old.good {
-            work.touched.extend(good.listing.iter().map(|(name, _)| name.clone()));
+        if let Some(accepted) = old.accepted {
+            effects.touched.extend(accepted.listing.iter().map(|(name, _)| name.clone()));
         }
-        work
+        effects
     }
 
-    /// Notes and puts out what is refused; at most [`Policy::MOST_REFUSALS`] by name.
-    pub fn refuse(&mut self, turn: &mut Turn, rank: Rank, mut faults: Vec<Fault>) {
-        if faults.len() > Policy::MOST_REFUSALS {
-            let count = faults.len() - Policy::MOST_REFUSALS;
-            faults.truncate(Policy::MOST_REFUSALS);
-            faults.push((None, Invalid::More { count }));
+    /// Notes and puts out what is rejected; at most [`Policy::MOST_REFUSALS`] by name.
+    fn reject(&mut self, context: &mut UpdateContext, rank: Rank, mut invalid_inputs: Vec<InvalidInput>) {
+        if invalid_inputs.len() > Policy::MOST_REFUSALS {
+            let count = invalid_inputs.len() - Policy::MOST_REFUSALS;
+            invalid_inputs.truncate(Policy::MOST_REFUSALS);
+            invalid_inputs.push(InvalidInput::of_cluster(Invalid::More { count }));
         }
-        let Some(feed) = self.feeds.get_mut(&rank) else { return };
-        for (at, (endpoint, reason)) in faults.into_iter().enumerate() {
-            let (source, cluster) = (turn.sources[rank].id.clone(), Some(self.name.clone()));
-            let refusal = Rejection { source, cluster, endpoint, reason };
+        let Some(subscription) = self.subscriptions.get_mut(&rank) else { return };
+        for (at, InvalidInput { endpoint, reason }) in invalid_inputs.into_iter().enumerate() {
+            let source = context.sources[rank].id.clone();
+            let rejection = Rejection { source, cluster: Some(self.name.clone()), endpoint, reason };
             if at == 0 {
-                feed.refusal = Some((turn.now, refusal.clone()));
+                subscription.last_rejection = Some((context.now, rejection.clone()));
             }
-            turn.out.push(Output::Rejected(refusal));
+            context.out.push(Output::Rejected(rejection));
         }
     }
 }
--- a/crates/membership/src/catalog/listing.rs
+++ b/crates/membership/src/catalog/listing.rs
@@ -9,7 +9,7 @@
 
 /// How many endpoints there are of each sort.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Tally {
+pub(super) struct EndpointCounts {
     /// All.
     pub listed: usize,
     /// Those that are ready, whatever their weight.
@@ -18,7 +18,7 @@
     pub serving: usize,
 }
 
-impl Tally {
+impl EndpointCounts {
     pub fn add(&mut self, endpoint: &Endpoint) {
         self.add_as(endpoint, endpoint.state);
     }
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Listing {
     endpoints: BTreeMap<EndpointName, Arc<Endpoint>>,
-    tally: Tally,
+    counts: EndpointCounts,
     addresses: Addresses,
     /// The few that are not ready.
     unready: BTreeSet<EndpointName>,
@@ -59,8 +59,8 @@
         listing
     }
 
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn counts(&self) -> EndpointCounts {
+        self.counts
     }
 
     pub fn get(&self, name: &EndpointName) -> Option<&Arc<Endpoint>> {
@@ -96,7 +96,7 @@
     }
 
     fn note(&mut self, endpoint: &Endpoint) {
-        self.tally.add(endpoint);
+        self.counts.add(endpoint);
         match endpoint.state {
             State::Ready => _ = self.unready.remove(&endpoint.name),
             _ => _ = self.unready.insert(endpoint.name.clone()),
@@ -107,7 +107,7 @@
     }
 
     fn forget(&mut self, old: &Endpoint, new: Option<&Endpoint>) {
-        self.tally.take(old);
+        self.counts.take(old);
         if new.is_none() {
             self.unready.remove(&old.name);
         }
--- a/crates/membership/src/catalog/mod.rs
+++ b/crates/membership/src/catalog/mod.rs
@@ -1,16 +1,21 @@
-//! The catalog: all clusters, and what its sources say of them. A pure state machine.
+//! The catalog: all clusters, and what its sources say of them. A state machine without I/O and without a clock.
+//!
+//! Owns the clusters, the sources' state and the timers. Whoever runs the sources calls [`Catalog::handle`] with each
+//! event. An update of a cluster is validated (`input_validation`, `validator`), applied or quarantined
+//! (`subscription`, `quarantine`), and completed: the smallest change to what serves is put out (`reconcile`).
 
-mod alarms;
-mod caution;
-mod check;
+mod change_set;
 mod cluster;
-mod feed;
-mod hold;
-mod items;
-mod judge;
+mod input_validation;
 mod listing;
+mod quarantine;
 mod reconcile;
 mod service;
+mod state_overlay;
+mod subscription;
+mod timers;
+mod update;
+mod validator;
 mod view;
 
 use crate::anomaly::Anomaly;
@@ -21,37 +26,15 @@
 use crate::output::Output;
 use crate::policy::{BadPolicy, Policy};
 use crate::rejection::Rejection;
-use alarms::{Alarm, Alarms};
-use cluster::{ClusterState, Turn, Work};
+use cluster::{ClusterSnapshot, ClusterState};
 use olivecart_decisions::Nanos;
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use timers::{Timer, Timers};
+use update::{Rank, Silent, Source, UpdateContext, UpdateEffects};
 pub use view::{ClusterView, QuarantineView, RejectionView, SourceView, SubscriptionView};
 
-/// A source's place in the order of precedence, from 0.
-type Rank = usize;
-
-/// A source of the catalog.
-#[derive(Debug)]
-struct Source {
-    pub id: SourceId,
-    pub silent: Option<Silent>,
-    /// When the catalog has asked to be woken for it.
-    alarm: Option<Nanos>,
-    /// The last refusal that was about no cluster that is known.
-    pub refusal: Option<(Nanos, Rejection)>,
-}
-
-/// A source that is silent.
-#[derive(Debug)]
-struct Silent {
-    pub since: Nanos,
-    pub silence: Silence,
-    /// For long enough that its clusters are aged.
-    pub aged: bool,
-}
-
 /// All clusters, and what its sources say of them.
 ///
 /// Memory: some 430 bytes for an endpoint of one source (`benches/catalog.rs` prints it), of which 300 are
@@ -62,7 +45,7 @@
     policy: Policy,
     sources: Vec<Source>,
     clusters: BTreeMap<ClusterName, ClusterState>,
-    alarms: Alarms,
+    timers: Timers,
     now: Nanos,
 }
 
@@ -74,9 +57,9 @@
     /// The first figure of the policy that is out of its range.
     pub fn new(policy: Policy, sources: impl IntoIterator<Item = SourceId>) -> Result<Catalog, BadPolicy> {
         policy.check()?;
-        let source = |id| Source { id, silent: None, alarm: None, refusal: None };
+        let source = |id| Source { id, silent: None, timer: None, last_rejection: None };
         let sources = sources.into_iter().map(source).collect();
-        Ok(Catalog { policy, sources, clusters: BTreeMap::new(), alarms: Alarms::default(), now: 0 })
+        Ok(Catalog { policy, sources, clusters: BTreeMap::new(), timers: Timers::default(), now: 0 })
     }
 
     /// Takes in an event and puts out what follows. `now` is in nanoseconds of a monotonic clock of any
@@ -86,13 +69,13 @@
     /// one.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.ring(out);
-        self.hear(event, out);
+        self.run_due_timers(out);
+        self.on_event(event, out);
         // What the event asked for may be due at once.
-        self.ring(out);
+        self.run_due_timers(out);
     }
 
-    fn hear(&mut self, event: Event, out: &mut Vec<Output>) {
+    fn on_event(&mut self, event: Event, out: &mut Vec<Output>) {
         let (Event::Update { source, .. }
         | Event::Confirm { source, .. }
         | Event::Silent { source, .. }
@@ -107,19 +90,19 @@
         };
         match event {
             Event::Update { version, update, .. } => {
-                self.back(rank, out);
+                self.mark_reconnected(rank, out);
                 self.apply_update(rank, &version, update, out);
             }
             Event::Confirm { cluster, .. } => self.confirm(rank, cluster, out),
-            Event::Silent { silence, .. } => self.silent(rank, silence),
-            Event::Reconnected { .. } => self.back(rank, out),
+            Event::Silent { silence, .. } => self.mark_silent(rank, silence),
+            Event::Reconnected { .. } => self.mark_reconnected(rank, out),
             Event::Tick => {}
         }
     }
 
     /// When [`Event::Tick`] is wanted next. Ask again after each event.
     pub fn deadline(&self) -> Option<Nanos> {
-        self.alarms.first()
+        self.timers.first()
     }
 
     /// The clusters that serve, by name.
@@ -144,30 +127,30 @@
 
     fn served<'a>(&'a self, state: &'a ClusterState) -> Option<Served<'a>> {
         let service = state.service.as_ref()?;
-        let good = state.feeds.get(&service.owner)?.good.as_ref()?;
+        let accepted = state.subscriptions.get(&service.owner)?.accepted.as_ref()?;
         Some(Served {
             name: &state.name,
             source: &self.sources.get(service.owner)?.id,
-            version: &good.version,
+            version: &accepted.version,
             settings: &service.settings,
-            is_stale: service.aged,
+            is_stale: service.is_stale,
             endpoints: &service.endpoints,
         })
     }
 
-    /// Does something to a cluster, and ends the turn. One that nobody speaks of any more goes.
-    fn turn(
+    /// Applies an update to a cluster and completes it. A cluster that no source lists any more is dropped.
+    fn update_cluster(
         &mut self,
         name: &ClusterName,
         by: Rank,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut ClusterState, &mut Turn) -> Work,
+        act: impl FnOnce(&mut ClusterState, &mut UpdateContext) -> UpdateEffects,
     ) {
-        let Catalog { policy, sources, clusters, alarms, now } = self;
+        let Catalog { policy, sources, clusters, timers, now } = self;
         let Some(state) = clusters.get_mut(name) else { return };
-        let mut turn = Turn { now: *now, policy, sources, alarms, out };
-        let work = act(state, &mut turn);
-        state.finish(&mut turn, by, work);
+        let mut context = UpdateContext { now: *now, policy, sources, timers, out };
+        let effects = act(state, &mut context);
+        state.complete_update(&mut context, by, effects);
         if state.is_vacant() {
             clusters.remove(name);
         }
@@ -180,34 +163,38 @@
                     true => Anomaly::NoClusters,
                     false => Anomaly::ClusterMissing,
                 };
-                let named = self.lists(rank, version, clusters, out);
+                let named = self.apply_lists(rank, version, clusters, out);
                 let mut missing: Vec<ClusterName> = Vec::new();
                 for state in self.clusters.values().filter(|state| !named.contains(&state.name)) {
-                    missing.extend(state.feeds.contains_key(&rank).then(|| state.name.clone()));
+                    missing.extend(state.subscriptions.contains_key(&rank).then(|| state.name.clone()));
                 }
                 for name in missing {
-                    self.turn(&name, rank, out, |state, turn| state.miss(turn, rank, anomaly.clone()));
+                    self.update_cluster(&name, rank, out, |state, context| {
+                        state.mark_missing(context, rank, anomaly.clone())
+                    });
                 }
             }
-            EndpointUpdate::ClusterSnapshots(clusters) => _ = self.lists(rank, version, clusters, out),
+            EndpointUpdate::ClusterSnapshots(clusters) => _ = self.apply_lists(rank, version, clusters, out),
             EndpointUpdate::ClusterDeltas(updates) => {
-                for update in by_cluster(updates) {
+                for update in merge_by_cluster(updates) {
                     let name = update.cluster.clone();
-                    if self.admit(&name, rank, out) {
-                        self.turn(&name, rank, out, |state, turn| state.update(turn, rank, version, update));
+                    if self.ensure_cluster(&name, rank, out) {
+                        self.update_cluster(&name, rank, out, |state, context| {
+                            state.apply_delta(context, rank, version, update)
+                        });
                     }
                 }
             }
             EndpointUpdate::ClustersRemoved(names) => {
                 for name in names {
-                    self.turn(&name, rank, out, |state, _| state.remove(rank));
+                    self.update_cluster(&name, rank, out, |state, _| state.remove(rank));
                 }
             }
         }
     }
 
     /// Takes in whole clusters, each on its own, and tells which were named.
-    fn lists(
+    fn apply_lists(
         &mut self,
         rank: Rank,
         version: &Version,
@@ -221,19 +208,21 @@
             }
         }
         for Cluster { name, endpoints, settings } in clusters {
-            if !twice.contains(&name) && self.admit(&name, rank, out) {
-                let list = (endpoints, settings);
-                self.turn(&name, rank, out, |state, turn| state.list(turn, rank, version, list));
+            if !twice.contains(&name) && self.ensure_cluster(&name, rank, out) {
+                let snapshot = ClusterSnapshot { endpoints, settings };
+                self.update_cluster(&name, rank, out, |state, context| {
+                    state.apply_snapshot(context, rank, version, snapshot)
+                });
             }
         }
         for name in twice {
-            self.refuse(rank, name, Invalid::ClusterTwice, out);
+            self.reject(rank, name, Invalid::ClusterTwice, out);
         }
         named
     }
 
     /// Makes room for a cluster. False if it cannot be had.
-    fn admit(&mut self, name: &ClusterName, rank: Rank, out: &mut Vec<Output>) -> bool {
+    fn ensure_cluster(&mut self, name: &ClusterName, rank: Rank, out: &mut Vec<Output>) -> bool {
         if self.clusters.contains_key(name) {
             return true;
         }
@@ -246,98 +235,108 @@
                 return true;
             }
         };
-        self.refuse(rank, name.clone(), reason, out);
+        self.reject(rank, name.clone(), reason, out);
         false
     }
 
-    /// Refuses something about a cluster as a whole.
-    fn refuse(&mut self, rank: Rank, cluster: ClusterName, reason: Invalid, out: &mut Vec<Output>) {
+    /// Rejects something about a cluster as a whole.
+    fn reject(&mut self, rank: Rank, cluster: ClusterName, reason: Invalid, out: &mut Vec<Output>) {
         let source = &mut self.sources[rank];
         let (id, now) = (source.id.clone(), self.now);
-        let refusal = Rejection { source: id, cluster: Some(cluster.clone()), endpoint: None, reason };
-        let feed = self.clusters.get_mut(&cluster).and_then(|state| state.feeds.get_mut(&rank));
-        let place = feed.map_or(&mut source.refusal, |feed| &mut feed.refusal);
-        *place = Some((now, refusal.clone()));
-        out.push(Output::Rejected(refusal));
+        let rejection = Rejection { source: id, cluster: Some(cluster.clone()), endpoint: None, reason };
+        let subscription =
+            self.clusters.get_mut(&cluster).and_then(|state| state.subscriptions.get_mut(&rank));
+        let place =
+            subscription.map_or(&mut source.last_rejection, |subscription| &mut subscription.last_rejection);
+        *place = Some((now, rejection.clone()));
+        out.push(Output::Rejected(rejection));
     }
 
     fn confirm(&mut self, rank: Rank, cluster: ClusterName, out: &mut Vec<Output>) {
         let mut is_held = false;
-        self.turn(&cluster, rank, out, |state, _| {
-            let mut work = Work::default();
-            is_held = state.confirm(rank, &mut work);
-            work
+        self.update_cluster(&cluster, rank, out, |state, _| {
+            let mut effects = UpdateEffects::default();
+            is_held = state.confirm(rank, &mut effects);
+            effects
         });
         if !is_held {
-            self.refuse(rank, cluster, Invalid::NothingQuarantined, out);
+            self.reject(rank, cluster, Invalid::NothingQuarantined, out);
         }
     }
 
-    fn silent(&mut self, rank: Rank, silence: Silence) {
+    fn mark_silent(&mut self, rank: Rank, silence: Silence) {
         let source = &mut self.sources[rank];
-        let silent = source.silent.get_or_insert(Silent { since: self.now, silence, aged: false });
+        let silent = source.silent.get_or_insert(Silent { since: self.now, silence, is_stale: false });
         silent.silence = silence;
-        if !silent.aged {
+        if !silent.is_stale {
             let at = silent.since.saturating_add(self.policy.aged_after.as_nanos() as Nanos);
-            self.alarms.set(&mut source.alarm, Some(at), || Alarm::Age(rank));
+            self.timers.set(&mut source.timer, Some(at), || Timer::Age(rank));
         }
     }
 
-    fn back(&mut self, rank: Rank, out: &mut Vec<Output>) {
+    fn mark_reconnected(&mut self, rank: Rank, out: &mut Vec<Output>) {
         let source = &mut self.sources[rank];
-        self.alarms.set(&mut source.alarm, None, || Alarm::Age(rank));
-        if source.silent.take().is_some_and(|silent| silent.aged) {
-            self.tell_ages(out);
+        self.timers.set(&mut source.timer, None, || Timer::Age(rank));
+        if source.silent.take().is_some_and(|silent| silent.is_stale) {
+            self.report_staleness(out);
         }
     }
 
-    fn tell_ages(&mut self, out: &mut Vec<Output>) {
-        let Catalog { policy, sources, clusters, alarms, now } = self;
-        let mut turn = Turn { now: *now, policy, sources, alarms, out };
-        clusters.values_mut().for_each(|state| state.tell_age(&mut turn));
+    fn report_staleness(&mut self, out: &mut Vec<Output>) {
+        let Catalog { policy, sources, clusters, timers, now } = self;
+        let mut context = UpdateContext { now: *now, policy, sources, timers, out };
+        clusters.values_mut().for_each(|state| state.report_staleness(&mut context));
     }
 
     /// Does what is due.
-    fn ring(&mut self, out: &mut Vec<Output>) {
-        while let Some(alarm) = self.alarms.pop(self.now) {
-            match alarm {
-                Alarm::Age(rank) => {
+    fn run_due_timers(&mut self, out: &mut Vec<Output>) {
+        while let Some(timer) = self.timers.pop(self.now) {
+            match timer {
+                Timer::Age(rank) => {
                     let source = &mut self.sources[rank];
-                    source.alarm = None;
-                    source.silent.iter_mut().for_each(|silent| silent.aged = true);
-                    self.tell_ages(out);
+                    source.timer = None;
+                    source.silent.iter_mut().for_each(|silent| silent.is_stale = true);
+                    self.report_staleness(out);
                 }
-                Alarm::Refetch(cluster, rank) => self.ask(cluster, rank, out),
-                Alarm::Forget(cluster) => self.forget(&cluster),
+                Timer::Refetch(cluster, rank) => self.request_refetch(cluster, rank, out),
+                Timer::Forget(cluster) => self.forget(&cluster),
             }
         }
     }
 
-    fn ask(&mut self, cluster: ClusterName, rank: Rank, out: &mut Vec<Output>) {
-        let Catalog { policy, sources, clusters, alarms, now } = self;
-        let Some(feed) = clusters.get_mut(&cluster).and_then(|state| state.feeds.get_mut(&rank)) else {
+    fn request_refetch(&mut self, cluster: ClusterName, rank: Rank, out: &mut Vec<Output>) {
+        let Catalog { policy, sources, clusters, timers, now } = self;
+        let Some(subscription) =
+            clusters.get_mut(&cluster).and_then(|state| state.subscriptions.get_mut(&rank))
+        else {
             return;
         };
-        feed.alarm = None;
-        feed.ask_later(*now, policy);
-        let due = feed.due();
-        alarms.set(&mut feed.alarm, due, || Alarm::Refetch(cluster.clone(), rank));
+        subscription.timer = None;
+        subscription.postpone_refetch(*now, policy);
+        let refetch_at = subscription.refetch_at();
+        timers.set(&mut subscription.timer, refetch_at, || Timer::Refetch(cluster.clone(), rank));
         out.push(Output::RefetchRequested { cluster, source: sources[rank].id.clone() });
     }
 
     fn forget(&mut self, cluster: &ClusterName) {
-        let Catalog { policy, sources, clusters, alarms, now } = self;
+        let Catalog { policy, sources, clusters, timers, now } = self;
         let Some(state) = clusters.get_mut(cluster) else { return };
-        state.forgets = None;
+        state.forget_at = None;
         state.service.iter_mut().for_each(|service| service.forget(*now, policy));
-        state.set_alarms(&mut Turn { now: *now, policy, sources, alarms, out: &mut Vec::new() });
+        state.schedule_timers(&mut UpdateContext {
+            now: *now,
+            policy,
+            sources,
+            timers,
+            out: &mut Vec::new(),
+        });
     }
 }
 
 /// One update for each cluster.
 ///
 /// Danger: many updates of one endpoint each, judged one by one, would be many single endpoints that leave.
-fn by_cluster(updates: Vec<ClusterDelta>) -> Vec<ClusterDelta> {
+fn merge_by_cluster(updates: Vec<ClusterDelta>) -> Vec<ClusterDelta> {
     let mut merged: BTreeMap<ClusterName, ClusterDelta> = BTreeMap::new();
     for update in updates {
         match merged.entry(update.cluster.clone()) {
--- a/crates/membership/src/catalog/reconcile.rs
+++ b/crates/membership/src/catalog/reconcile.rs
@@ -1,96 +1,90 @@
-//! The end of a turn: from what the sources say to what serves, and what is put out about it.
+//! Completes an update: from what the sources say to what serves, and what is put out about it.
 
-use super::Rank;
-use super::alarms::Alarm;
-use super::caution::Cautions;
-use super::cluster::{ClusterState, Turn, Work};
-use super::service::Service;
+use super::cluster::ClusterState;
+use super::listing::Listing;
+use super::service::{ServedDifference, Service};
+use super::state_overlay::StateOverlay;
+use super::timers::Timer;
+use super::update::{Rank, UpdateContext, UpdateEffects};
 use crate::anomaly::Anomaly;
 use crate::endpoint::Endpoint;
+use crate::names::EndpointName;
 use crate::output::{Added, Arrival, Cause, Change, Output, Quarantined, Removed, Stale, Upserted};
 use std::mem::{Discriminant, discriminant};
 use std::sync::Arc;
 
 impl ClusterState {
-    /// Ends a turn that news of the source `by` began.
-    pub fn finish(&mut self, turn: &mut Turn, by: Rank, mut work: Work) {
-        self.settle(turn, &mut work);
-        self.serve(turn, by, &mut work);
-        self.tell_holds(turn, &work);
-        self.tell_age(turn);
-        self.set_alarms(turn);
-        self.feeds.retain(|_, feed| !feed.is_vacant());
+    /// Completes an update that the source `by` began.
+    pub fn complete_update(&mut self, context: &mut UpdateContext, by: Rank, mut effects: UpdateEffects) {
+        self.release_resolved(context, &mut effects);
+        self.publish(context, by, &mut effects);
+        self.report_quarantines(context, &effects);
+        self.report_staleness(context);
+        self.schedule_timers(context);
+        self.subscriptions.retain(|_, subscription| !subscription.is_vacant());
     }
 
     /// Brings what serves to what the sources say, by the smallest change.
-    fn serve(&mut self, turn: &mut Turn, by: Rank, work: &mut Work) {
-        let cause = work.released.values().next().cloned();
-        let cause = cause.unwrap_or_else(|| Cause::Update { by: turn.sources[by].id.clone() });
-        let cluster = self.name.clone();
-        let Some((owner, good)) =
-            self.owner().and_then(|owner| Some((owner, self.feeds.get(&owner)?.good.as_ref()?)))
-        else {
-            if let Some(gone) = self.service.take() {
-                // What left is forgotten too: the same name later is another cluster.
-                let source = turn.sources[gone.owner].id.clone();
-                turn.out.push(Output::Removed(Removed { cluster, source, cause }));
-            }
-            return;
+    fn publish(&mut self, context: &mut UpdateContext, by: Rank, effects: &mut UpdateEffects) {
+        let cause = effects.released.values().next().cloned();
+        let cause = cause.unwrap_or_else(|| Cause::Update { by: context.sources[by].id.clone() });
+        let owner = self.owner();
+        let accepted = owner
+            .and_then(|owner| self.subscriptions.get(&owner))
+            .and_then(|subscription| subscription.accepted.as_ref());
+        let (Some(owner), Some(accepted)) = (owner, accepted) else {
+            return self.publish_removal(context, cause);
         };
-        let source = turn.sources[owner].id.clone();
-        let (mut removed, mut upserted) = (Vec::new(), Vec::new());
-        let cautions = Cautions { feeds: &self.feeds, me: owner };
+        let source = context.sources[owner].id.clone();
+        let overlay = StateOverlay { subscriptions: &self.subscriptions, listed_by: owner };
         let is_new = self.service.is_none();
-        let service = self.service.get_or_insert_with(|| Service::new(owner, good.settings, turn.now));
+        let service = self.service.get_or_insert_with(|| Service::new(owner, accepted.settings, context.now));
         let is_taken_over = std::mem::replace(&mut service.owner, owner) != owner;
-        if is_new {
-            let (cluster, source, settings) = (cluster.clone(), source.clone(), good.settings);
-            turn.out.push(Output::Added(Added { cluster, source, settings }));
-            let all = good.listing.iter().map(|(name, own)| (name.clone(), effective(cautions, own)));
-            service.endpoints = all.collect();
-            let new =
-                |endpoint: &Arc<Endpoint>| Upserted { endpoint: endpoint.clone(), arrival: Arrival::New };
-            upserted.extend(service.endpoints.values().map(new));
+        let difference = if is_new {
+            let (cluster, source) = (self.name.clone(), source.clone());
+            context.out.push(Output::Added(Added { cluster, source, settings: accepted.settings }));
+            serve_all(service, &accepted.listing, overlay)
         } else {
-            let mut touched = std::mem::take(&mut work.touched);
-            if is_taken_over {
-                let names = good.listing.iter().map(|(name, _)| name);
-                touched = service.endpoints.keys().chain(names).cloned().collect();
-            }
-            touched.sort();
-            touched.dedup();
-            for name in touched {
-                let shall = good.listing.get(&name).map(|own| effective(cautions, own));
-                service.set(name, shall, turn.now, turn.policy, (&mut removed, &mut upserted));
-            }
-        }
-        let settings = (service.settings != good.settings).then_some(good.settings);
-        service.settings = good.settings;
+            let touched = std::mem::take(&mut effects.touched);
+            let touched = if is_taken_over { all_names(service, &accepted.listing) } else { touched };
+            serve_touched(service, &accepted.listing, overlay, touched, context)
+        };
+        let settings = (service.settings != accepted.settings).then_some(accepted.settings);
+        service.settings = accepted.settings;
+        let ServedDifference { removed, upserted } = difference;
         if is_taken_over || settings.is_some() || !removed.is_empty() || !upserted.is_empty() {
-            service.changed = turn.now;
-            let version = good.version.clone();
+            service.changed = context.now;
+            let (cluster, version) = (self.name.clone(), accepted.version.clone());
             let change = Change { cluster, source, version, cause, settings, removed, upserted };
-            turn.out.push(Output::Changed(change));
+            context.out.push(Output::Changed(change));
         }
     }
 
-    /// Says what is held, where that has become something else.
-    fn tell_holds(&mut self, turn: &mut Turn, work: &Work) {
+    /// No source gives the cluster any more.
+    fn publish_removal(&mut self, context: &mut UpdateContext, cause: Cause) {
+        // What left is forgotten too: the same name later is another cluster.
+        let Some(removed) = self.service.take() else { return };
+        let source = context.sources[removed.owner].id.clone();
+        context.out.push(Output::Removed(Removed { cluster: self.name.clone(), source, cause }));
+    }
+
+    /// Puts out what is quarantined, where that has become something else.
+    fn report_quarantines(&mut self, context: &mut UpdateContext, effects: &UpdateEffects) {
         let kinds = |s: &[Anomaly]| s.iter().map(discriminant).collect::<Vec<Discriminant<Anomaly>>>();
-        for (rank, feed) in &mut self.feeds {
-            let held = feed.hold.iter_mut().flat_map(|hold| {
-                hold.fresh = false;
-                hold.anomalies.iter().cloned()
+        for (rank, subscription) in &mut self.subscriptions {
+            let held = subscription.quarantine.iter_mut().flat_map(|quarantine| {
+                quarantine.is_new = false;
+                quarantine.anomalies.iter().cloned()
             });
-            let missing = feed.missing.iter().map(|missing| missing.anomaly.clone());
+            let missing = subscription.missing.iter().map(|missing| missing.anomaly.clone());
             let anomalies: Vec<Anomaly> = held.chain(missing).collect();
-            let is_new = kinds(&anomalies) != kinds(&feed.told);
-            feed.told = anomalies.clone();
+            let is_new = kinds(&anomalies) != kinds(&subscription.last_reported);
+            subscription.last_reported = anomalies.clone();
             if !is_new {
                 continue;
             }
-            let (cluster, source) = (self.name.clone(), turn.sources[*rank].id.clone());
-            turn.out.push(match (feed.due(), work.released.get(rank)) {
+            let (cluster, source) = (self.name.clone(), context.sources[*rank].id.clone());
+            context.out.push(match (subscription.refetch_at(), effects.released.get(rank)) {
                 (Some(until), _) => Output::Quarantined(Quarantined { cluster, source, anomalies, until }),
                 (None, Some(cause)) => Output::Released { cluster, source, cause: cause.clone() },
                 (None, None) => Output::QuarantineDropped { cluster, source },
@@ -98,34 +92,68 @@
         }
     }
 
-    /// Says whether the cluster is aged, where that has changed.
-    pub fn tell_age(&mut self, turn: &mut Turn) {
+    /// Puts out whether the cluster is stale, where that has changed.
+    pub fn report_staleness(&mut self, context: &mut UpdateContext) {
         let Some(service) = &mut self.service else { return };
-        let owner = &turn.sources[service.owner];
-        let aged = owner.silent.as_ref().filter(|silent| silent.aged);
-        if service.aged == aged.is_some() {
+        let owner = &context.sources[service.owner];
+        let is_stale = owner.silent.as_ref().filter(|silent| silent.is_stale);
+        if service.is_stale == is_stale.is_some() {
             return;
         }
-        service.aged = aged.is_some();
+        service.is_stale = is_stale.is_some();
         let (cluster, source) = (self.name.clone(), owner.id.clone());
-        turn.out.push(match aged {
+        context.out.push(match is_stale {
             Some(silent) => Output::Stale(Stale { cluster, source, since: silent.since }),
             None => Output::Recovered { cluster, source },
         });
     }
 
-    pub fn set_alarms(&mut self, turn: &mut Turn) {
-        for (rank, feed) in &mut self.feeds {
-            let due = feed.due();
-            turn.alarms.set(&mut feed.alarm, due, || Alarm::Refetch(self.name.clone(), *rank));
+    pub fn schedule_timers(&mut self, context: &mut UpdateContext) {
+        for (rank, subscription) in &mut self.subscriptions {
+            let refetch_at = subscription.refetch_at();
+            context
+                .timers
+                .set(&mut subscription.timer, refetch_at, || Timer::Refetch(self.name.clone(), *rank));
         }
-        let forgets = self.service.as_ref().and_then(|service| service.forgets_at(turn.policy));
-        turn.alarms.set(&mut self.forgets, forgets, || Alarm::Forget(self.name.clone()));
+        let forget_at = self.service.as_ref().and_then(|service| service.next_forget_at(context.policy));
+        context.timers.set(&mut self.forget_at, forget_at, || Timer::Forget(self.name.clone()));
     }
 }
 
+/// Puts all listed endpoints into a service that has none yet.
+fn serve_all(service: &mut Service, listing: &Listing, overlay: StateOverlay) -> ServedDifference {
+    let endpoints = listing.iter().map(|(name, listed)| (name.clone(), effective(overlay, listed)));
+    service.endpoints = endpoints.collect();
+    let upserted = |endpoint: &Arc<Endpoint>| Upserted { endpoint: endpoint.clone(), arrival: Arrival::New };
+    ServedDifference { removed: Vec::new(), upserted: service.endpoints.values().map(upserted).collect() }
+}
+
+/// Brings the touched endpoints of a service up to date.
+fn serve_touched(
+    service: &mut Service,
+    listing: &Listing,
+    overlay: StateOverlay,
+    mut touched: Vec<EndpointName>,
+    context: &UpdateContext,
+) -> ServedDifference {
+    touched.sort();
+    touched.dedup();
+    let mut difference = ServedDifference::default();
+    for name in touched {
+        let target = listing.get(&name).map(|listed| effective(overlay, listed));
+        service.set(name, target, context.now, context.policy, &mut difference);
+    }
+    difference
+}
+
+/// The endpoints that serve or are listed.
+fn all_names(service: &Service, listing: &Listing) -> Vec<EndpointName> {
+    let listed = listing.iter().map(|(name, _)| name);
+    service.endpoints.keys().chain(listed).cloned().collect()
+}
+
 /// An endpoint as it serves: as the owner lists it, in the most cautious state that any source says it is in.
-fn effective(cautions: Cautions, own: &Arc<Endpoint>) -> Arc<Endpoint> {
-    let state = cautions.state(own);
+fn effective(overlay: StateOverlay, own: &Arc<Endpoint>) -> Arc<Endpoint> {
+    let state = overlay.state(own);
     if state == own.state { own.clone() } else { Arc::new(Endpoint { state, ..Endpoint::clone(own) }) }
 }
--- a/crates/membership/src/catalog/service.rs
+++ b/crates/membership/src/catalog/service.rs
@@ -1,6 +1,7 @@
-//! What has been put out of one cluster, and the smallest change from there to what shall be.
+//! What serves of one cluster, as it was put out, and the smallest change from there to what is to serve.
+//! `reconcile` brings it up to date; it knows nothing of sources.
 
-use super::Rank;
+use super::update::Rank;
 use crate::endpoint::{ClusterSettings, Endpoint};
 use crate::names::EndpointName;
 use crate::output::{Arrival, Upserted};
@@ -15,15 +16,22 @@
     pub owner: Rank,
     pub endpoints: BTreeMap<EndpointName, Arc<Endpoint>>,
     pub settings: ClusterSettings,
-    pub aged: bool,
+    pub is_stale: bool,
     /// When something last changed in it.
     pub changed: Nanos,
-    departed: Departed,
+    recently_removed: RecentlyRemoved,
+}
+
+/// What differs from what was put out before.
+#[derive(Debug, Default)]
+pub(super) struct ServedDifference {
+    pub removed: Vec<EndpointName>,
+    pub upserted: Vec<Upserted>,
 }
 
 /// What left a moment ago, so that it is known again.
 #[derive(Debug, Default)]
-struct Departed {
+struct RecentlyRemoved {
     endpoints: BTreeMap<EndpointName, (Nanos, Arc<Endpoint>)>,
     /// In the order of leaving. Holds outdated entries of endpoints that came back.
     order: VecDeque<(Nanos, EndpointName)>,
@@ -31,47 +39,53 @@
 
 impl Service {
     pub fn new(owner: Rank, settings: ClusterSettings, now: Nanos) -> Service {
-        let (endpoints, departed) = Default::default();
-        Service { owner, endpoints, settings, aged: false, changed: now, departed }
+        Service {
+            owner,
+            endpoints: BTreeMap::new(),
+            settings,
+            is_stale: false,
+            changed: now,
+            recently_removed: RecentlyRemoved::default(),
+        }
     }
 
-    /// Puts an endpoint as it shall be in the place of what was there, and notes the difference.
+    /// Puts an endpoint as it is to be in the place of what was there, and notes the difference.
     pub fn set(
         &mut self,
         name: EndpointName,
-        shall: Option<Arc<Endpoint>>,
+        target: Option<Arc<Endpoint>>,
         now: Nanos,
         policy: &Policy,
-        (removed, upserted): (&mut Vec<EndpointName>, &mut Vec<Upserted>),
+        difference: &mut ServedDifference,
     ) {
-        match (self.endpoints.get(&name), shall) {
+        match (self.endpoints.get(&name), target) {
             (None, None) => {}
             (Some(_), None) => {
                 if let Some(last) = self.endpoints.remove(&name) {
-                    self.departed.leave(last, now, policy);
+                    self.recently_removed.leave(last, now, policy);
                 }
-                removed.push(name);
+                difference.removed.push(name);
             }
             (Some(old), Some(new)) if **old == *new => {}
             (old, Some(new)) => {
                 let arrival = match old {
                     Some(old) => arrival(old, &new).unwrap_or(Arrival::Changed),
-                    None => self.departed.arrive(&new, now, policy),
+                    None => self.recently_removed.arrive(&new, now, policy),
                 };
                 self.endpoints.insert(name, new.clone());
-                upserted.push(Upserted { endpoint: new, arrival });
+                difference.upserted.push(Upserted { endpoint: new, arrival });
             }
         }
     }
 
     /// Forgets what has been away for too long.
     pub fn forget(&mut self, now: Nanos, policy: &Policy) {
-        self.departed.expire(now, policy);
+        self.recently_removed.expire(now, policy);
     }
 
     /// When something is next to be forgotten.
-    pub fn forgets_at(&self, policy: &Policy) -> Option<Nanos> {
-        let (at, _) = self.departed.order.front()?;
+    pub fn next_forget_at(&self, policy: &Policy) -> Option<Nanos> {
+        let (at, _) = self.recently_removed.order.front()?;
         Some(at.saturating_add(policy.returns_within.as_nanos() as Nanos).saturating_add(1))
     }
 }
@@ -84,7 +98,7 @@
     (old.address != new.address).then_some(Arrival::Moved { from: old.address })
 }
 
-impl Departed {
+impl RecentlyRemoved {
     fn leave(&mut self, endpoint: Arc<Endpoint>, now: Nanos, policy: &Policy) {
         // Danger: without a limit a source that lists other endpoints in each update fills the memory.
         if self.order.len() >= policy.max_endpoints {
--- a/crates/membership/src/catalog/alarms.rs
+++ b/crates/membership/src/catalog/timers.rs
@@ -1,13 +1,13 @@
 //! When the catalog wants to be woken, and for what.
 
-use super::Rank;
+use super::update::Rank;
 use crate::names::ClusterName;
 use olivecart_decisions::Nanos;
 use std::collections::BTreeSet;
 
 /// What a wake-up is for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Alarm {
+pub(super) enum Timer {
     /// A source is to be asked again about a cluster.
     Refetch(ClusterName, Rank),
     /// Endpoints of a cluster have been away for long enough to be forgotten.
@@ -18,18 +18,18 @@
 
 /// All wake-ups that are wanted, by time.
 #[derive(Debug, Default)]
-pub(super) struct Alarms(BTreeSet<(Nanos, Alarm)>);
+pub(super) struct Timers(BTreeSet<(Nanos, Timer)>);
 
-impl Alarms {
+impl Timers {
     /// Moves a wake-up from where it was to where it shall be.
-    pub fn set(&mut self, was: &mut Option<Nanos>, shall: Option<Nanos>, alarm: impl Fn() -> Alarm) {
-        if *was == shall {
+    pub fn set(&mut self, scheduled: &mut Option<Nanos>, target: Option<Nanos>, timer: impl Fn() -> Timer) {
+        if *scheduled == target {
             return;
         }
-        if let Some(at) = std::mem::replace(was, shall) {
-            self.0.remove(&(at, alarm()));
+        if let Some(at) = std::mem::replace(scheduled, target) {
+            self.0.remove(&(at, timer()));
         }
-        self.0.extend(shall.map(|at| (at, alarm())));
+        self.0.extend(target.map(|at| (at, timer())));
     }
 
     pub fn first(&self) -> Option<Nanos> {
@@ -37,10 +37,10 @@
     }
 
     /// The next one that is due.
-    pub fn pop(&mut self, now: Nanos) -> Option<Alarm> {
+    pub fn pop(&mut self, now: Nanos) -> Option<Timer> {
         if self.first()? > now {
             return None;
         }
-        self.0.pop_first().map(|(_, alarm)| alarm)
+        self.0.pop_first().map(|(_, timer)| timer)
     }
 }
--- a/crates/membership/src/catalog/view.rs
+++ b/crates/membership/src/catalog/view.rs
@@ -1,8 +1,8 @@
 //! What operators see of the catalog: plain values, printed as lines or serialized for an admin socket.
 
 use super::cluster::ClusterState;
-use super::feed::Feed;
-use super::{Rank, Source};
+use super::subscription::Subscription;
+use super::update::{Rank, Source};
 use crate::endpoint::{ClusterSettings, State};
 use crate::event::Silence;
 use crate::names::{ClusterName, SourceId, Version};
@@ -107,7 +107,10 @@
                 .silent
                 .as_ref()
                 .map(|silent| (silent.silence, ms(now.saturating_sub(silent.since)))),
-            rejection: source.refusal.as_ref().map(|refusal| RejectionView::of(refusal, now)),
+            rejection: source
+                .last_rejection
+                .as_ref()
+                .map(|last_rejection| RejectionView::of(last_rejection, now)),
         }
     }
 }
@@ -117,26 +120,28 @@
 }
 
 impl RejectionView {
-    pub(super) fn of((at, refusal): &(Nanos, Rejection), now: Nanos) -> RejectionView {
-        RejectionView { ms_ago: ms(now.saturating_sub(*at)), reason: refusal.to_string() }
+    pub(super) fn of((at, last_rejection): &(Nanos, Rejection), now: Nanos) -> RejectionView {
+        RejectionView { ms_ago: ms(now.saturating_sub(*at)), reason: last_rejection.to_string() }
     }
 }
 
 impl ClusterView {
     pub(super) fn of(state: &ClusterState, sources: &[Source], now: Nanos) -> ClusterView {
         let service = state.service.as_ref();
-        let feed = |(rank, feed): (&Rank, &Feed)| feed_view(&sources[*rank], feed, now);
+        let subscription = |(rank, subscription): (&Rank, &Subscription)| {
+            subscription_view(&sources[*rank], subscription, now)
+        };
         let mut view = ClusterView {
             cluster: state.name.clone(),
             source: service.map(|service| sources[service.owner].id.clone()),
-            is_stale: service.is_some_and(|service| service.aged),
+            is_stale: service.is_some_and(|service| service.is_stale),
             changed_ms_ago: service.map(|service| ms(now.saturating_sub(service.changed))),
             ready: 0,
             weightless: 0,
             draining: 0,
             unhealthy: 0,
             settings: service.map(|service| service.settings).unwrap_or_default(),
-            subscriptions: state.feeds.iter().map(feed).collect(),
+            subscriptions: state.subscriptions.iter().map(subscription).collect(),
         };
         for endpoint in service.into_iter().flat_map(|service| service.endpoints.values()) {
             *match endpoint.state {
@@ -150,31 +155,38 @@
     }
 }
 
-fn feed_view(source: &Source, feed: &Feed, now: Nanos) -> SubscriptionView {
+fn subscription_view(source: &Source, subscription: &Subscription, now: Nanos) -> SubscriptionView {
     let ago = |at: Nanos| ms(now.saturating_sub(at));
-    let held = feed.due().map(|due| {
-        let (hold, missing) = (feed.hold.as_ref(), feed.missing.as_ref());
-        let anomalies = hold.into_iter().flat_map(|hold| &hold.anomalies);
+    let held = subscription.refetch_at().map(|refetch_at| {
+        let (quarantine, missing) = (subscription.quarantine.as_ref(), subscription.missing.as_ref());
+        let anomalies = quarantine.into_iter().flat_map(|quarantine| &quarantine.anomalies);
         let anomalies: Vec<_> = anomalies.chain(missing.map(|missing| &missing.anomaly)).collect();
-        let since = hold.map(|hold| hold.since).into_iter().chain(missing.map(|missing| missing.since)).min();
+        let since = quarantine
+            .map(|quarantine| quarantine.since)
+            .into_iter()
+            .chain(missing.map(|missing| missing.since))
+            .min();
         QuarantineView {
             needs_explicit_confirmation: anomalies
                 .iter()
                 .any(|anomaly| anomaly.needs_explicit_confirmation()),
             anomalies: anomalies.iter().map(|anomaly| anomaly.to_string()).collect(),
-            endpoints: hold.map_or(0, |hold| hold.items.len()),
+            endpoints: quarantine.map_or(0, |quarantine| quarantine.changes.len()),
             for_ms: ago(since.unwrap_or(now)),
-            refetch_in_ms: ms(due.saturating_sub(now)),
+            refetch_in_ms: ms(refetch_at.saturating_sub(now)),
         }
     });
     SubscriptionView {
         source: source.id.clone(),
-        version: feed.good.as_ref().map(|good| good.version.clone()),
-        endpoints: feed.own().map(|own| own.tally().listed),
-        last_update_ms_ago: ago(feed.heard),
+        version: subscription.accepted.as_ref().map(|accepted| accepted.version.clone()),
+        endpoints: subscription.accepted_listing().map(|own| own.counts().listed),
+        last_update_ms_ago: ago(subscription.last_update_at),
         silent: source.silent.as_ref().map(|silent| (silent.silence, ago(silent.since))),
         quarantine: held,
-        rejection: feed.refusal.as_ref().map(|refusal| RejectionView::of(refusal, now)),
+        rejection: subscription
+            .last_rejection
+            .as_ref()
+            .map(|last_rejection| RejectionView::of(last_rejection, now)),
     }
 }
 
@@ -201,7 +213,7 @@
             }
             _ => f.write_str("nothing serves")?,
         }
-        self.subscriptions.iter().try_for_each(|feed| write!(f, "\n  {feed}"))
+        self.subscriptions.iter().try_for_each(|subscription| write!(f, "\n  {subscription}"))
     }
 }
 
@@ -224,7 +236,9 @@
             f.write_str(if held.needs_explicit_confirmation { ", needs an explicit word" } else { "" })?;
         }
         match &self.rejection {
-            Some(refusal) => write!(f, "\n    {} ago: {}", span(refusal.ms_ago), refusal.reason),
+            Some(last_rejection) => {
+                write!(f, "\n    {} ago: {}", span(last_rejection.ms_ago), last_rejection.reason)
+            }
             None => Ok(()),
         }
     }
--- a/crates/membership/src/watch/task.rs
+++ b/crates/membership/src/watch/task.rs
@@ -50,18 +50,30 @@
         {
             return;
         }
-        trigger = tokio::select! {
-            () = events.closed() => return,
-            () = changed.notified() => {
-                settle(&changed).await;
-                Trigger::FileSystemEvent
-            }
-            () = sleep_until(next_poll) => Trigger::Poll,
-            Some(_) = refetch_requests.recv() => {
-                while refetch_requests.try_recv().is_ok() {} // one snapshot serves all requests
-                Trigger::RefetchRequest
-            }
-        };
+        let next = next_trigger(&events, &changed, next_poll, &mut refetch_requests).await;
+        let Some(next) = next else { return };
+        trigger = next;
+    }
+}
+
+/// Why the file is to be observed next; none once the receiver of the events is gone.
+async fn next_trigger(
+    events: &EventSender,
+    changed: &Notify,
+    next_poll: Instant,
+    refetch_requests: &mut RefetchReceiver,
+) -> Option<Trigger> {
+    tokio::select! {
+        () = events.closed() => None,
+        () = changed.notified() => {
+            settle(changed).await;
+            Some(Trigger::FileSystemEvent)
+        }
+        () = sleep_until(next_poll) => Some(Trigger::Poll),
+        Some(_) = refetch_requests.recv() => {
+            while refetch_requests.try_recv().is_ok() {} // one snapshot serves all requests
+            Some(Trigger::RefetchRequest)
+        }
     }
 }
 
