--- a/crates/membership/src/xds/resource/assignment.rs
+++ b/crates/membership/src/xds/resource/assignment.rs
@@ -74,8 +74,8 @@
                     list.push(endpoint);
                     places.push((at, inner));
                 }
-                Err((field, (below, problem))) => {
-                    fault(&format!(".lb_endpoints[{inner}]{field}{below}"), problem);
+                Err(BadField { field, problem }) => {
+                    fault(&format!(".lb_endpoints[{inner}]{field}"), problem);
                 }
             }
         }
--- a/crates/membership/src/xds/resource/endpoint.rs
+++ b/crates/membership/src/xds/resource/endpoint.rs
@@ -1,17 +1,18 @@
 //! One endpoint.
 
-use super::address::{Fault, socket_address};
-use super::problem::Problem;
+use super::address::socket_address;
+use super::problem::{BadField, Problem};
 use crate::endpoint::{Endpoint, State};
 use crate::invalid::Invalid;
 use crate::names::{EndpointName, Label};
 use envoy_types::pb::envoy::config::core::v3::HealthStatus;
-use envoy_types::pb::envoy::config::endpoint::v3::LbEndpoint;
 use envoy_types::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
+use envoy_types::pb::envoy::config::endpoint::v3::{Endpoint as Host, LbEndpoint};
 use envoy_types::pb::google::protobuf::value::Kind as Json;
 use envoy_types::pb::google::protobuf::{Struct, Value};
 use olivecart_decisions::Nanos;
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 
 /// The namespace of metadata for what xDS has no field for: `id`, `cell`, `kind`, `started_ms`.
 const OWN: &str = "olivecart";
@@ -36,60 +37,84 @@
 /// The kinds of machines of one resource, so that endpoints share them.
 pub(super) type Kinds = BTreeMap<String, Label>;
 
-/// The endpoint, with its own weight. What is wrong comes with the field below the endpoint's, in one or two
-/// parts.
-pub(super) fn endpoint(
-    message: &LbEndpoint,
-    place: &Place,
-    kinds: &mut Kinds,
-) -> Result<Endpoint, (&'static str, Fault)> {
-    let unsupported = |found: &str, instead| Problem::Unsupported { found: found.to_owned(), instead };
-    let host = match &message.host_identifier {
-        Some(HostIdentifier::Endpoint(host)) => host,
-        Some(HostIdentifier::EndpointName(_)) => {
-            let problem = unsupported("an endpoint by name", "put the endpoint in its place");
-            return Err((".endpoint_name", ("", problem)));
-        }
-        None => return Err((".endpoint", ("", Problem::Missing("")))),
-    };
-    let address = socket_address(host.address.as_ref()).map_err(|fault| (ADDRESS, fault))?;
+/// The endpoint, with its own weight.
+///
+/// # Errors
+/// The first fault, with the field below the endpoint's.
+pub(super) fn endpoint(message: &LbEndpoint, place: &Place, kinds: &mut Kinds) -> Result<Endpoint, BadField> {
+    let host = host(message)?;
+    let address = socket_address(host.address.as_ref())
+        .map_err(|below| BadField { field: format!("{ADDRESS}{}", below.field), problem: below.problem })?;
     let metadata = message.metadata.as_ref().map(|metadata| &metadata.filter_metadata);
-    let own = Own(metadata.and_then(|all| all.get(OWN)));
-    // An id that comes from neither is the address: then a move is another endpoint.
-    let (name, id_field) = match own.text("id").map_err(|fault| (ID, ("", fault)))? {
-        Some(id) => (EndpointName::new(id), ID),
-        None if !host.hostname.is_empty() => (EndpointName::new(&*host.hostname), ".endpoint.hostname"),
-        None => (EndpointName::new(address.to_string()), ADDRESS),
-    };
-    let kind = own.text("kind").map_err(|fault| (KIND, ("", fault)))?.unwrap_or_default();
-    let started = own.whole("started_ms").map_err(|fault| (STARTED, ("", fault)))?;
+    let own = OwnMetadata(metadata.and_then(|all| all.get(OWN)));
+    let identity = identity(own, host, address)?;
+    let kind = own.text("kind").map_err(in_field(KIND))?.unwrap_or_default();
+    let started_ms = own.whole("started_ms").map_err(in_field(STARTED))?;
     let passed = metadata.and_then(|all| all.get(PASSED)).into_iter().flat_map(|passed| &passed.fields);
     let endpoint = Endpoint {
-        name,
+        name: identity.name,
         address: Some(address),
         zone: place.zone.clone(),
         priority: place.priority,
         weight: message.load_balancing_weight.as_ref().map_or(1.0, |weight| f64::from(weight.value)),
-        cell: own.whole("cell").map_err(|fault| (CELL, ("", fault)))?.unwrap_or_default(),
-        kind: match kind {
-            "" => Label::default(),
-            kind => kinds.entry(kind.to_owned()).or_insert_with(|| kind.into()).clone(),
-        },
-        state: state(message.health_status).map_err(|fault| (".health_status", ("", fault)))?,
+        cell: own.whole("cell").map_err(in_field(CELL))?.unwrap_or_default(),
+        kind: shared_label(kinds, kind),
+        state: state(message.health_status).map_err(in_field(".health_status"))?,
         metadata: passed.filter_map(|(key, value)| Some((&**key, text_of(value)?))).collect(),
-        started: started.map(|ms: u64| ms.saturating_mul(1_000_000) as Nanos),
+        started: started_ms.map(|ms: u64| ms.saturating_mul(1_000_000) as Nanos),
     };
     match endpoint.check() {
         Ok(()) => Ok(endpoint),
-        Err(fault) => {
-            let field = match &fault {
-                Invalid::EndpointName { .. } => id_field,
-                Invalid::Address { .. } => ADDRESS,
-                Invalid::Metadata { .. } => ".metadata.filter_metadata.envoy.lb",
-                _ => "",
-            };
-            Err((field, ("", fault.into())))
+        Err(invalid) => Err(in_field(field_at_fault(&invalid, identity.field))(invalid.into())),
+    }
+}
+
+fn in_field(field: &'static str) -> impl Fn(Problem) -> BadField {
+    move |problem| BadField { field: field.to_owned(), problem }
+}
+
+fn host(message: &LbEndpoint) -> Result<&Host, BadField> {
+    match &message.host_identifier {
+        Some(HostIdentifier::Endpoint(host)) => Ok(host),
+        Some(HostIdentifier::EndpointName(_)) => {
+            let problem = unusable("an endpoint by name", "put the endpoint in its place");
+            Err(in_field(".endpoint_name")(problem))
         }
+        None => Err(in_field(".endpoint")(Problem::Missing(""))),
+    }
+}
+
+/// The id of an endpoint, and the field that it is from.
+struct Identity {
+    name: EndpointName,
+    field: &'static str,
+}
+
+/// An id that comes from neither metadata nor the host's name is the address: then a move is another endpoint.
+fn identity(own: OwnMetadata, host: &Host, address: SocketAddr) -> Result<Identity, BadField> {
+    Ok(match own.text("id").map_err(in_field(ID))? {
+        Some(id) => Identity { name: EndpointName::new(id), field: ID },
+        None if !host.hostname.is_empty() => {
+            Identity { name: EndpointName::new(&*host.hostname), field: ".endpoint.hostname" }
+        }
+        None => Identity { name: EndpointName::new(address.to_string()), field: ADDRESS },
+    })
+}
+
+fn shared_label(kinds: &mut Kinds, kind: &str) -> Label {
+    match kind {
+        "" => Label::default(),
+        kind => kinds.entry(kind.to_owned()).or_insert_with(|| kind.into()).clone(),
+    }
+}
+
+/// The field of what makes an endpoint invalid.
+fn field_at_fault(invalid: &Invalid, id_field: &'static str) -> &'static str {
+    match invalid {
+        Invalid::EndpointName { .. } => id_field,
+        Invalid::Address { .. } => ADDRESS,
+        Invalid::Metadata { .. } => ".metadata.filter_metadata.envoy.lb",
+        _ => "",
     }
 }
 
@@ -109,11 +134,11 @@
     })
 }
 
-/// The metadata that are meant for this proxy.
+/// The metadata that is meant for this proxy.
 #[derive(Clone, Copy)]
-struct Own<'a>(Option<&'a Struct>);
+struct OwnMetadata<'a>(Option<&'a Struct>);
 
-impl<'a> Own<'a> {
+impl<'a> OwnMetadata<'a> {
     fn get(self, key: &str) -> Option<&'a Json> {
         self.0?.fields.get(key)?.kind.as_ref()
     }
--- a/crates/membership/src/xds/session/lease.rs
+++ b/crates/membership/src/xds/session/lease.rs
@@ -1,11 +1,7 @@
-//! Resources with a time to live.
+//! The resources with a time to live: since when, and for how long. The session ends them (`expiry`).
 
-use super::pace::nanos;
+use super::pacing::nanos;
 use super::timers::{Timer, Timers};
-use super::world::Telling;
-use super::{Output, Session, SessionNotice};
-use crate::event::Silence;
-use crate::names::Version;
 use crate::xds::resource::Kind;
 use olivecart_decisions::Nanos;
 use std::collections::BTreeMap;
@@ -16,9 +12,9 @@
 pub(super) struct Leases(BTreeMap<(Kind, String), Lease>);
 
 #[derive(Debug)]
-struct Lease {
-    ttl: Nanos,
-    since: Nanos,
+pub(super) struct Lease {
+    pub ttl: Nanos,
+    pub since: Nanos,
 }
 
 impl Leases {
@@ -38,6 +34,15 @@
         }
     }
 
+    pub fn get_mut(&mut self, kind: Kind, name: &str) -> Option<&mut Lease> {
+        self.0.get_mut(&(kind, name.to_owned()))
+    }
+
+    /// The time to live of a resource is over.
+    pub fn remove(&mut self, kind: Kind, name: &str) {
+        self.0.remove(&(kind, name.to_owned()));
+    }
+
     pub fn pause(&mut self, timers: &mut Timers) {
         for (kind, name) in self.0.keys() {
             timers.clear(&Timer::Expire(*kind, name.clone()));
@@ -51,35 +56,3 @@
         }
     }
 }
-
-impl Session {
-    /// A time to live is over. If nothing at all has come in its second half, that is silence: then the
-    /// resource gets as much time again, and its clusters age.
-    ///
-    /// Danger: a control plane that hangs would otherwise remove all its clusters from all proxies at once.
-    pub(super) fn expire(&mut self, kind: Kind, name: String, out: &mut Vec<Output>) {
-        let Some(lease) = self.leases.0.get_mut(&(kind, name.clone())) else { return };
-        if self.heard <= lease.since.saturating_add(lease.ttl / 2) {
-            lease.since = self.now;
-            let next = self.now.saturating_add(lease.ttl);
-            self.timers.set(Timer::Expire(kind, name.clone()), next);
-            if !self.is_silent {
-                out.push(Output::Log(SessionNotice::Quiet { name }));
-                self.silent(Silence::Quiet, out);
-            }
-            return;
-        }
-        self.leases.0.remove(&(kind, name.clone()));
-        let version = Version::new(self.channel(kind).version.as_str());
-        let mut tell = Telling::default();
-        match kind {
-            Kind::Cluster => self.world.remove(&name.as_str().into(), &mut tell),
-            Kind::Assignment => self.world.withdraw(self.now, &name, &version, &mut tell),
-        }
-        out.push(Output::Log(SessionNotice::Expired { kind, name: name.clone() }));
-        self.tell(tell, out);
-        // What has expired is not held any more, so that another stream must tell it anew.
-        self.channel(kind).forget(&name);
-        self.subscribe(out);
-    }
-}
--- a/crates/membership/src/xds/session/message.rs
+++ b/crates/membership/src/xds/session/message.rs
@@ -48,16 +48,16 @@
 const WRAPPER: &str = "type.googleapis.com/envoy.service.discovery.v3.Resource";
 
 /// A response, whatever its variant.
-pub(super) struct Batch {
+pub(super) struct ResponseBatch {
     pub type_url: String,
     pub version: String,
     pub nonce: String,
     pub removed: Vec<String>,
     pub errors: Vec<ResourceError>,
-    items: Vec<Item>,
+    items: Vec<RawResource>,
 }
 
-struct Item {
+struct RawResource {
     /// In its wrapper; empty if there is none.
     name: String,
     version: String,
@@ -68,33 +68,41 @@
 }
 
 /// A resource that can be used.
-pub(super) struct Told {
+pub(super) struct ReceivedResource {
     pub name: String,
     pub version: String,
     pub ttl: Option<Duration>,
-    pub what: What,
+    pub what: ResourceContent,
 }
 
-pub(super) enum What {
+pub(super) enum ResourceContent {
     /// It is as it was.
     Heartbeat,
     Cluster(ClusterResource),
     Assignment(Assignment),
 }
 
-impl From<Response> for Batch {
-    fn from(response: Response) -> Batch {
+impl From<Response> for ResponseBatch {
+    fn from(response: Response) -> ResponseBatch {
         match response {
             Response::World(all) => {
                 let DiscoveryResponse { version_info, resources, type_url, nonce, resource_errors, .. } = all;
-                let items = resources.into_iter().map(|any| Item::unwrap(any, &version_info)).collect();
+                let items =
+                    resources.into_iter().map(|any| RawResource::unwrap(any, &version_info)).collect();
                 let removed = Vec::new();
-                Batch { type_url, version: version_info, nonce, removed, errors: resource_errors, items }
+                ResponseBatch {
+                    type_url,
+                    version: version_info,
+                    nonce,
+                    removed,
+                    errors: resource_errors,
+                    items,
+                }
             }
             Response::Delta(delta) => {
-                let items = delta.resources.into_iter().map(Item::from).collect();
+                let items = delta.resources.into_iter().map(RawResource::from).collect();
                 let names = delta.removed_resource_names.into_iter().map(|removed| removed.name);
-                Batch {
+                ResponseBatch {
                     type_url: delta.type_url,
                     version: delta.system_version_info,
                     nonce: delta.nonce,
@@ -107,86 +115,91 @@
     }
 }
 
-impl From<Resource> for Item {
-    fn from(resource: Resource) -> Item {
+impl From<Resource> for RawResource {
+    fn from(resource: Resource) -> RawResource {
         let Resource { name, version, ttl, resource: body, .. } = resource;
         let ttl = ttl.as_ref().and_then(duration).filter(|ttl| !ttl.is_zero());
-        Item { name, version, ttl, body, fault: None }
+        RawResource { name, version, ttl, body, fault: None }
     }
 }
 
-impl Item {
+impl RawResource {
     /// A resource in a response of the state of the world, bare or in a wrapper.
-    fn unwrap(any: Any, version: &str) -> Item {
-        let bare =
-            |body, fault| Item { name: String::new(), version: version.to_owned(), ttl: None, body, fault };
+    fn unwrap(any: Any, version: &str) -> RawResource {
+        let bare = |body, fault| RawResource {
+            name: String::new(),
+            version: version.to_owned(),
+            ttl: None,
+            body,
+            fault,
+        };
         if any.type_url != WRAPPER {
             return bare(Some(any), None);
         }
         match Resource::decode(&*any.value) {
-            Ok(resource) => Item { version: version.to_owned(), ..Item::from(resource) },
+            Ok(resource) => RawResource { version: version.to_owned(), ..RawResource::from(resource) },
             Err(fault) => bare(None, Some(fault.to_string())),
         }
     }
 
-    fn read(self, kind: Kind) -> Result<Told, BadResource> {
-        let Item { name, version, ttl, body, fault } = self;
-        let bad = |problem| BadResource::one(kind, &name, "", problem);
+    fn read(self, kind: Kind) -> Result<ReceivedResource, BadResource> {
+        let RawResource { name, version, ttl, body, fault } = self;
+        let invalid = |problem| BadResource::one(kind, &name, "", problem);
         if let Some(fault) = fault {
-            return Err(bad(Problem::Unreadable(fault)));
+            return Err(invalid(Problem::Unreadable(fault)));
         }
         let Some(body) = body else {
             return match name.as_str() {
-                "" => Err(bad(Problem::Missing(": neither a name nor a resource is there"))),
-                _ => Ok(Told { name, version, ttl, what: What::Heartbeat }),
+                "" => Err(invalid(Problem::Missing(": neither a name nor a resource is there"))),
+                _ => Ok(ReceivedResource { name, version, ttl, what: ResourceContent::Heartbeat }),
             };
         };
         if body.type_url != kind.type_url() {
-            return Err(bad(Problem::Type { found: body.type_url, wanted: kind.type_url() }));
+            return Err(invalid(Problem::Type { found: body.type_url, wanted: kind.type_url() }));
         }
-        let unreadable = |fault: prost::DecodeError| bad(Problem::Unreadable(fault.to_string()));
+        let unreadable = |fault: prost::DecodeError| invalid(Problem::Unreadable(fault.to_string()));
         let (inner, what) = match kind {
             Kind::Cluster => {
                 let found = cluster(&Cluster::decode(&*body.value).map_err(unreadable)?)?;
-                (found.name.as_str().to_owned(), What::Cluster(found))
+                (found.name.as_str().to_owned(), ResourceContent::Cluster(found))
             }
             Kind::Assignment => {
                 let message = ClusterLoadAssignment::decode(&*body.value).map_err(unreadable)?;
                 let found = assignment(&message)?;
-                (found.name.clone(), What::Assignment(found))
+                (found.name.clone(), ResourceContent::Assignment(found))
             }
         };
         if !name.is_empty() && name != inner {
-            return Err(bad(Problem::Name { inner, outer: name.clone() }));
+            return Err(invalid(Problem::Name { inner, outer: name.clone() }));
         }
-        Ok(Told { name: inner, version, ttl, what })
+        Ok(ReceivedResource { name: inner, version, ttl, what })
     }
 }
 
-impl Batch {
+impl ResponseBatch {
     /// The resources that can be used, and what is wrong with the others. Of those that come twice none can:
     /// which one counts is a guess.
-    pub fn read(&mut self, kind: Kind) -> (Vec<Told>, Vec<BadResource>) {
-        let (mut good, mut bad) = (Vec::new(), Vec::new());
+    pub fn read(&mut self, kind: Kind) -> (Vec<ReceivedResource>, Vec<BadResource>) {
+        let (mut valid, mut invalid) = (Vec::new(), Vec::new());
         let (mut names, mut twice) = (BTreeSet::new(), BTreeSet::new());
         for (at, item) in std::mem::take(&mut self.items).into_iter().enumerate() {
             match item.read(kind) {
-                Ok(told) => {
-                    if !names.insert(told.name.clone()) {
-                        twice.insert(told.name.clone());
+                Ok(resource) => {
+                    if !names.insert(resource.name.clone()) {
+                        twice.insert(resource.name.clone());
                     }
-                    good.push(told);
+                    valid.push(resource);
                 }
                 Err(mut fault) => {
                     if fault.name.is_empty() {
                         fault.name = format!("number {} of the response", at + 1);
                     }
-                    bad.push(fault);
+                    invalid.push(fault);
                 }
             }
         }
-        good.retain(|told| !twice.contains(&told.name));
-        bad.extend(twice.iter().map(|name| BadResource::one(kind, name, "", Problem::Twice)));
-        (good, bad)
+        valid.retain(|resource| !twice.contains(&resource.name));
+        invalid.extend(twice.iter().map(|name| BadResource::one(kind, name, "", Problem::Twice)));
+        (valid, invalid)
     }
 }
--- a/crates/membership/src/xds/session/note.rs
+++ b/crates/membership/src/xds/session/notice.rs
@@ -1,4 +1,4 @@
-//! What happened, for the log.
+//! Notices of the session for the log: what happened, in words. The session makes them; whoever runs it logs them.
 
 use crate::names::ClusterName;
 use crate::xds::resource::{BadResource, Kind};
@@ -130,16 +130,28 @@
             SessionNotice::Warmed { cluster, waited } => {
                 write!(f, "cluster {cluster}: its endpoints came after {} ms", ms(*waited))
             }
+            SessionNotice::UnknownType { type_url } => {
+                write!(f, "response passed over: {type_url:?} was not asked for")
+            }
+            SessionNotice::NoneLeft { kept } => {
+                write!(f, "the control plane lists no clusters; {kept} are kept")
+            }
+            about_resources => about_resources.fmt_about_resources(f),
+        }
+    }
+}
+
+impl SessionNotice {
+    /// The notices that name a resource or a kind of them.
+    fn fmt_about_resources(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
             SessionNotice::Rejected { kind, version, resources, rest_holds } => {
-                write!(f, "{kind} version {version:?} refused: {}", Reasons(resources))?;
+                write!(f, "{kind} version {version:?} refused: {}", RejectionReasons(resources))?;
                 f.write_str(if *rest_holds { ". The rest of it holds" } else { ". What was before holds" })
             }
             SessionNotice::StaleNonce { kind, nonce } => {
                 write!(f, "{kind} response passed over: nonce {nonce:?} has come before on this stream")
             }
-            SessionNotice::UnknownType { type_url } => {
-                write!(f, "response passed over: {type_url:?} was not asked for")
-            }
             SessionNotice::NotGiven { kind, name, why } => {
                 write!(f, "{kind} resource {name:?}: the control plane says: {why:?}")
             }
@@ -149,31 +161,37 @@
             SessionNotice::Expired { kind, name } => {
                 write!(f, "{kind} resource {name:?} was not renewed within its time to live")
             }
-            SessionNotice::Quiet { name } => write!(
-                f,
-                "the time to live of {name:?} is over, and the control plane says nothing; it is kept"
-            ),
-            SessionNotice::NoneLeft { kept } => {
-                write!(f, "the control plane lists no clusters; {kept} are kept")
+            SessionNotice::Quiet { name } => {
+                write!(
+                    f,
+                    "the time to live of {name:?} is over, and the control plane says nothing; it is kept"
+                )
             }
+            SessionNotice::Connected
+            | SessionNotice::Lost { .. }
+            | SessionNotice::NoClusters { .. }
+            | SessionNotice::NoEndpoints { .. }
+            | SessionNotice::Warmed { .. }
+            | SessionNotice::UnknownType { .. }
+            | SessionNotice::NoneLeft { .. } => Ok(()),
         }
     }
 }
 
 /// Why resources are refused, at a length that a log and a control plane can take.
-pub(super) struct Reasons<'a>(pub &'a [BadResource]);
+pub(super) struct RejectionReasons<'a>(pub &'a [BadResource]);
 
-impl Reasons<'_> {
+impl RejectionReasons<'_> {
     /// Most resources that are named.
     const MOST: usize = 16;
 }
 
-impl fmt::Display for Reasons<'_> {
+impl fmt::Display for RejectionReasons<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (at, bad) in self.0.iter().take(Reasons::MOST).enumerate() {
-            write!(f, "{}{bad}", if at == 0 { "" } else { " | " })?;
+        for (at, invalid) in self.0.iter().take(RejectionReasons::MOST).enumerate() {
+            write!(f, "{}{invalid}", if at == 0 { "" } else { " | " })?;
         }
-        match self.0.len().saturating_sub(Reasons::MOST) {
+        match self.0.len().saturating_sub(RejectionReasons::MOST) {
             0 => Ok(()),
             more => write!(f, " | and {more} more resources"),
         }
--- a/crates/membership/src/xds/session/pace.rs
+++ b/crates/membership/src/xds/session/pacing.rs
@@ -44,13 +44,13 @@
 /// Weighed against counting responses alone: at a pace that 10,000 endpoints at a time allow, a control plane
 /// that pushes many small changes would have a drain wait for seconds behind them.
 #[derive(Debug, Default)]
-pub(super) struct Pace {
+pub(super) struct ReadPacer {
     /// When the responses read so far would have come at the even pace (the theoretical arrival time of
     /// GCRA, ATM Forum traffic management 4.0).
     even: Nanos,
 }
 
-impl Pace {
+impl ReadPacer {
     /// What may be read at once, in its time at the even pace.
     const BURST: Nanos = 3_000_000_000;
     /// Time for each response, however small: each is a step of the event loop, which in large clusters looks
@@ -61,12 +61,12 @@
     const BYTE: Nanos = 140;
 
     pub fn note(&mut self, now: Nanos, bytes: usize) {
-        let takes = Pace::EACH.saturating_add(Pace::BYTE.saturating_mul(bytes as Nanos));
+        let takes = ReadPacer::EACH.saturating_add(ReadPacer::BYTE.saturating_mul(bytes as Nanos));
         self.even = self.even.max(now).saturating_add(takes);
     }
 
     /// When the next response may be read.
     pub fn next(&self) -> Nanos {
-        self.even.saturating_sub(Pace::BURST)
+        self.even.saturating_sub(ReadPacer::BURST)
     }
 }
--- a/crates/membership/src/xds/session/receive.rs
+++ b/crates/membership/src/xds/session/receive.rs
@@ -1,54 +1,56 @@
 //! What follows from a response.
 
+use super::cluster_store::PendingUpdates;
 use super::config::Variant;
-use super::message::{Batch, Response, Told, What};
-use super::note::Reasons;
+use super::event::Output;
+use super::message::{ReceivedResource, ResourceContent, Response, ResponseBatch};
+use super::notice::RejectionReasons;
+use super::notice::SessionNotice;
+use super::state_machine::{Session, send};
 use super::timers::Timer;
-use super::world::Telling;
-use super::{Output, Session, SessionNotice, send};
 use crate::invalid::Invalid;
 use crate::names::{ClusterName, Version};
 use crate::xds::resource::{BadResource, ClusterResource, Kind, Origin, Problem};
 use std::collections::BTreeSet;
 
 impl Session {
-    pub(super) fn response(&mut self, response: Response, out: &mut Vec<Output>) {
-        self.pace.note(self.now, response.size());
-        self.heard = self.now;
-        self.back(out);
-        let mut batch = Batch::from(response);
+    pub(super) fn on_response(&mut self, response: Response, out: &mut Vec<Output>) {
+        self.read_pacer.note(self.now, response.size());
+        self.last_response_at = self.now;
+        self.report_reconnected(out);
+        let mut batch = ResponseBatch::from(response);
         let Some(kind) = Kind::of(&batch.type_url) else {
             return out.push(Output::Log(SessionNotice::UnknownType { type_url: batch.type_url }));
         };
-        if !self.channel(kind).take_nonce(&batch.nonce) {
+        if !self.subscription(kind).accept_nonce(&batch.nonce) {
             return out.push(Output::Log(SessionNotice::StaleNonce { kind, nonce: batch.nonce }));
         }
-        self.timers.clear(&Timer::Refuse(kind));
+        self.timers.clear(&Timer::Reject(kind));
         for error in std::mem::take(&mut batch.errors) {
             let name = error.resource_name.unwrap_or_default().name;
             let why = error.error_detail.unwrap_or_default().message;
             out.push(Output::Log(SessionNotice::NotGiven { kind, name, why }));
         }
-        let (mut good, mut bad) = batch.read(kind);
-        self.limit_endpoints(kind, &mut good, &mut bad);
+        let (mut valid, mut invalid) = batch.read(kind);
+        self.limit_endpoints(kind, &mut valid, &mut invalid);
         if kind == Kind::Cluster {
-            good.retain(|told| self.wants(&told.name));
-            self.limit(&mut good, &mut bad);
+            valid.retain(|resource| self.wants(&resource.name));
+            self.limit(&mut valid, &mut invalid);
         }
         let is_whole = self.config.variant == Variant::StateOfTheWorld;
-        if is_whole && !bad.is_empty() {
-            return self.refuse(kind, batch.version, bad, out);
+        if is_whole && !invalid.is_empty() {
+            return self.reject(kind, batch.version, invalid, out);
         }
-        self.accept(kind, &batch, good, out);
-        if !bad.is_empty() {
-            self.refuse(kind, batch.version, bad, out);
+        self.accept(kind, &batch, valid, out);
+        if !invalid.is_empty() {
+            self.reject(kind, batch.version, invalid, out);
         } else {
-            let answer = self.channel(kind).ack();
+            let answer = self.subscription(kind).ack();
             out.push(send(answer));
         }
         self.subscribe(out);
-        let again = std::mem::take(&mut self.again);
-        let requests = self.assignments.again(&again);
+        let resubscribe = std::mem::take(&mut self.resubscribe);
+        let requests = self.assignments.resubscribe(&resubscribe);
         out.extend(requests.into_iter().map(send));
     }
 
@@ -59,73 +61,79 @@
     }
 
     /// Turns away clusters beyond the limit. Danger: a control plane can send more names than memory holds.
-    fn limit(&self, good: &mut Vec<Told>, bad: &mut Vec<BadResource>) {
+    fn limit(&self, valid: &mut Vec<ReceivedResource>, invalid: &mut Vec<BadResource>) {
         let most = self.config.max_clusters;
         let mut count = match self.config.variant {
             Variant::StateOfTheWorld => 0,
-            Variant::Incremental => self.world.len(),
+            Variant::Incremental => self.store.len(),
         };
-        good.retain(|told| {
-            let is_kept = self.config.variant == Variant::Incremental && self.world.has(&told.name);
+        valid.retain(|resource| {
+            let is_kept = self.config.variant == Variant::Incremental && self.store.has(&resource.name);
             count += usize::from(!is_kept);
             if is_kept || count <= most {
                 return true;
             }
-            bad.push(BadResource::one(Kind::Cluster, &told.name, "", Problem::TooMany(most)));
+            invalid.push(BadResource::one(Kind::Cluster, &resource.name, "", Problem::TooMany(most)));
             false
         });
     }
 
     /// Turns away lists beyond the limit.
-    fn limit_endpoints(&self, kind: Kind, good: &mut Vec<Told>, bad: &mut Vec<BadResource>) {
+    fn limit_endpoints(&self, kind: Kind, valid: &mut Vec<ReceivedResource>, invalid: &mut Vec<BadResource>) {
         let most = self.config.max_endpoints;
-        good.retain(|told| {
-            let (field, count) = match &told.what {
-                What::Assignment(list) => ("endpoints", list.endpoints.len()),
-                What::Cluster(ClusterResource { origin: Origin::Static(list), .. }) => {
+        valid.retain(|resource| {
+            let (field, count) = match &resource.what {
+                ResourceContent::Assignment(list) => ("endpoints", list.endpoints.len()),
+                ResourceContent::Cluster(ClusterResource { origin: Origin::Static(list), .. }) => {
                     ("load_assignment.endpoints", list.len())
                 }
-                What::Cluster(_) | What::Heartbeat => return true,
+                ResourceContent::Cluster(_) | ResourceContent::Heartbeat => return true,
             };
             if count > most {
                 let problem = Invalid::TooManyEndpoints { most }.into();
-                bad.push(BadResource::one(kind, &told.name, field, problem));
+                invalid.push(BadResource::one(kind, &resource.name, field, problem));
             }
             count <= most
         });
     }
 
-    fn refuse(&mut self, kind: Kind, version: String, bad: Vec<BadResource>, out: &mut Vec<Output>) {
-        let channel = self.channel(kind);
-        let message = Reasons(&bad).to_string();
-        match channel.refuse(message) {
+    fn reject(&mut self, kind: Kind, version: String, invalid: Vec<BadResource>, out: &mut Vec<Output>) {
+        let subscription = self.subscription(kind);
+        let message = RejectionReasons(&invalid).to_string();
+        match subscription.reject(message) {
             Some(answer) => out.push(send(answer)),
             None => {
-                let failures = channel.refusals.saturating_sub(2);
+                let failures = subscription.consecutive_rejections.saturating_sub(2);
                 let at = self.now.saturating_add(self.backoff.wait(failures));
-                self.timers.set(Timer::Refuse(kind), at);
+                self.timers.set(Timer::Reject(kind), at);
             }
         }
         let rest_holds = self.config.variant == Variant::Incremental;
-        out.push(Output::Log(SessionNotice::Rejected { kind, version, resources: bad, rest_holds }));
+        out.push(Output::Log(SessionNotice::Rejected { kind, version, resources: invalid, rest_holds }));
     }
 
     /// Takes in what is good of a response.
-    fn accept(&mut self, kind: Kind, batch: &Batch, good: Vec<Told>, out: &mut Vec<Output>) {
-        let mut tell = Telling::default();
+    fn accept(
+        &mut self,
+        kind: Kind,
+        batch: &ResponseBatch,
+        valid: Vec<ReceivedResource>,
+        out: &mut Vec<Output>,
+    ) {
+        let mut pending = PendingUpdates::default();
         let version = Version::new(&*batch.version);
         for name in &batch.removed {
-            self.channel(kind).forget(name);
+            self.subscription(kind).forget(name);
             self.leases.end(kind, name, &mut self.timers);
             match kind {
-                Kind::Cluster => self.world.remove(&name.as_str().into(), &mut tell),
-                Kind::Assignment => self.world.withdraw(self.now, name, &version, &mut tell),
+                Kind::Cluster => self.store.remove(&name.as_str().into(), &mut pending),
+                Kind::Assignment => self.store.withdraw(self.now, name, &version, &mut pending),
             }
         }
         if self.config.variant == Variant::StateOfTheWorld {
-            batch.version.clone_into(&mut self.channel(kind).version);
+            batch.version.clone_into(&mut self.subscription(kind).version);
             if kind == Kind::Cluster {
-                self.miss(&good, &mut tell, out);
+                self.remove_missing(&valid, &mut pending, out);
             }
         } else if kind == Kind::Cluster {
             batch.version.clone_into(&mut self.clusters.version);
@@ -134,61 +142,74 @@
             self.has_clusters = true;
             self.timers.clear(&Timer::FirstFetch);
         }
-        for told in good {
-            self.take(kind, told, &mut tell, out);
+        for resource in valid {
+            self.apply_resource(kind, resource, &mut pending, out);
         }
-        self.again.append(&mut tell.again);
-        self.tell(tell, out);
+        self.resubscribe.append(&mut pending.resubscribe);
+        self.publish(pending, out);
     }
 
     /// Removes the clusters that a state of the world lacks, unless it lacks all. Heartbeats alone are no
     /// state.
-    fn miss(&mut self, good: &[Told], tell: &mut Telling, out: &mut Vec<Output>) {
-        if !good.is_empty() && good.iter().all(|told| matches!(told.what, What::Heartbeat)) {
+    fn remove_missing(
+        &mut self,
+        valid: &[ReceivedResource],
+        pending: &mut PendingUpdates,
+        out: &mut Vec<Output>,
+    ) {
+        if !valid.is_empty()
+            && valid.iter().all(|resource| matches!(resource.what, ResourceContent::Heartbeat))
+        {
             return;
         }
-        let was_none_left = self.is_none_left;
-        self.is_none_left = good.is_empty() && self.world.len() > 0;
-        if self.is_none_left {
-            return out.push(Output::Log(SessionNotice::NoneLeft { kept: self.world.len() }));
+        let listed_no_clusters = self.lists_no_clusters;
+        self.lists_no_clusters = valid.is_empty() && self.store.len() > 0;
+        if self.lists_no_clusters {
+            return out.push(Output::Log(SessionNotice::NoneLeft { kept: self.store.len() }));
         }
-        let named: BTreeSet<&str> = good.iter().map(|told| told.name.as_str()).collect();
+        let named: BTreeSet<&str> = valid.iter().map(|resource| resource.name.as_str()).collect();
         let missing: Vec<ClusterName> =
-            self.world.names().filter(|name| !named.contains(name.as_str())).cloned().collect();
+            self.store.names().filter(|name| !named.contains(name.as_str())).cloned().collect();
         for name in missing {
             self.leases.end(Kind::Cluster, name.as_str(), &mut self.timers);
-            self.world.remove(&name, tell);
+            self.store.remove(&name, pending);
         }
-        if was_none_left {
-            self.world.stand(&Version::new(self.clusters.version.as_str()), tell);
+        if listed_no_clusters {
+            self.store.confirm_all(&Version::new(self.clusters.version.as_str()), pending);
         }
     }
 
-    fn take(&mut self, kind: Kind, told: Told, tell: &mut Telling, out: &mut Vec<Output>) {
-        let Told { name, version, ttl, what } = told;
+    fn apply_resource(
+        &mut self,
+        kind: Kind,
+        resource: ReceivedResource,
+        pending: &mut PendingUpdates,
+        out: &mut Vec<Output>,
+    ) {
+        let ReceivedResource { name, version, ttl, what } = resource;
         let is_asked_for = match &what {
-            What::Heartbeat => {
+            ResourceContent::Heartbeat => {
                 return self.leases.renew(kind, &name, ttl, self.now, &mut self.timers);
             }
-            What::Cluster(_) => true,
-            What::Assignment(_) => self.world.has_service(&name),
+            ResourceContent::Cluster(_) => true,
+            ResourceContent::Assignment(_) => self.store.has_service(&name),
         };
         if is_asked_for {
             self.leases.renew(kind, &name, ttl, self.now, &mut self.timers);
             if self.config.variant == Variant::Incremental {
-                self.channel(kind).versions.insert(name.clone(), version.clone());
+                self.subscription(kind).versions.insert(name.clone(), version.clone());
             }
         }
         let version = Version::new(version);
         let ignored = match what {
-            What::Heartbeat => return,
-            What::Cluster(mut cluster) => {
+            ResourceContent::Heartbeat => return,
+            ResourceContent::Cluster(mut cluster) => {
                 let ignored = std::mem::take(&mut cluster.ignored);
-                self.world.take(self.now, &version, cluster, tell);
+                self.store.apply_cluster(self.now, &version, cluster, pending);
                 ignored
             }
-            What::Assignment(list) => {
-                self.world.assign(list.name, &version, list.endpoints, tell);
+            ResourceContent::Assignment(list) => {
+                self.store.apply_assignment(list.name, &version, list.endpoints, pending);
                 list.ignored
             }
         };
--- a/crates/membership/src/xds/session/timers.rs
+++ b/crates/membership/src/xds/session/timers.rs
@@ -17,7 +17,7 @@
     /// The first clusters should have come.
     FirstFetch,
     /// A refusal that was put off is to be sent.
-    Refuse(Kind),
+    Reject(Kind),
     /// The endpoints of a cluster should have come.
     Warm(ClusterName),
     /// The time to live of a resource is over.
--- a/crates/membership/src/xds/session/channel.rs
+++ b/crates/membership/src/xds/session/type_subscription.rs
@@ -1,4 +1,4 @@
-//! What is said and agreed about one kind of resource: versions, nonces, names; and the wording of requests.
+//! ResourceContent is said and agreed about one kind of resource: versions, nonces, names; and the wording of requests.
 
 use super::config::Variant;
 use super::message::Request;
@@ -14,7 +14,7 @@
 
 /// One kind of resource.
 #[derive(Debug)]
-pub(super) struct Channel {
+pub(super) struct TypeSubscription {
     kind: Kind,
     variant: Variant,
     /// The version accepted last. It outlives the stream. Incremental: only to be shown.
@@ -22,7 +22,7 @@
     /// Incremental: the version of each resource that is held. They outlive the stream.
     pub versions: BTreeMap<String, String>,
     /// Responses refused in a row.
-    pub refusals: u32,
+    pub consecutive_rejections: u32,
     /// A request was sent on this stream.
     pub is_open: bool,
     /// The nonce of the last response on this stream.
@@ -32,36 +32,36 @@
     /// The names asked for on this stream; of clusters none means all.
     names: BTreeSet<String>,
     /// A refusal that has been put off.
-    put_off: Option<Status>,
+    postponed: Option<Status>,
 }
 
-impl Channel {
+impl TypeSubscription {
     /// Nonces that are known again.
     const NONCES: usize = 64;
 
-    pub fn new(kind: Kind, variant: Variant) -> Channel {
-        Channel {
+    pub fn new(kind: Kind, variant: Variant) -> TypeSubscription {
+        TypeSubscription {
             kind,
             variant,
             version: String::new(),
             versions: BTreeMap::new(),
-            refusals: 0,
+            consecutive_rejections: 0,
             is_open: false,
             nonce: String::new(),
             seen: VecDeque::new(),
             names: BTreeSet::new(),
-            put_off: None,
+            postponed: None,
         }
     }
 
     /// The stream is lost: versions stay, the rest was the stream's.
     pub fn close(&mut self) {
         self.is_open = false;
-        self.refusals = 0;
+        self.consecutive_rejections = 0;
         self.nonce.clear();
         self.seen.clear();
         self.names.clear();
-        self.put_off = None;
+        self.postponed = None;
     }
 
     /// The first request on a stream. Of endpoints it tells the versions that are held, so that only what
@@ -72,7 +72,7 @@
         self.names = names;
         match self.variant {
             Variant::StateOfTheWorld => {
-                let mut request = DiscoveryRequest { node, ..self.world(None) };
+                let mut request = DiscoveryRequest { node, ..self.world_request(None) };
                 if self.kind == Kind::Cluster {
                     request.version_info.clear();
                 }
@@ -84,15 +84,15 @@
                 initial_resource_versions: self
                     .versions
                     .iter()
-                    .map(|(name, held)| self.told(name, held))
+                    .map(|(name, held)| self.held_version(name, held))
                     .collect(),
-                ..self.delta(None)
+                ..self.delta_request(None)
             }),
         }
     }
 
     /// What a new stream is told of a resource that is held.
-    fn told(&self, name: &str, held: &str) -> (String, String) {
+    fn held_version(&self, name: &str, held: &str) -> (String, String) {
         let version = if self.kind == Kind::Cluster { "" } else { held };
         (name.to_owned(), version.to_owned())
     }
@@ -105,41 +105,41 @@
     /// A response with this nonce has come. False if one with the same has come before.
     ///
     /// Danger: what is repeated may be older than what has come since. A nonce that is missing tells nothing.
-    pub fn take_nonce(&mut self, nonce: &str) -> bool {
+    pub fn accept_nonce(&mut self, nonce: &str) -> bool {
         if !nonce.is_empty() && self.seen.iter().any(|seen| seen == nonce) {
             return false;
         }
-        if self.seen.len() >= Channel::NONCES {
+        if self.seen.len() >= TypeSubscription::NONCES {
             self.seen.pop_front();
         }
         self.seen.push_back(nonce.to_owned());
         nonce.clone_into(&mut self.nonce);
-        self.put_off = None;
+        self.postponed = None;
         true
     }
 
     /// The last response is accepted.
     pub fn ack(&mut self) -> Request {
-        self.refusals = 0;
+        self.consecutive_rejections = 0;
         self.answer(None)
     }
 
     /// The last response is refused; the answer is given now, or put off if it is not the first in a row.
     ///
     /// Danger: some control planes send what was refused again at once, without an end.
-    pub fn refuse(&mut self, message: String) -> Option<Request> {
+    pub fn reject(&mut self, message: String) -> Option<Request> {
         let status = Status { code: INVALID_ARGUMENT, message, details: Vec::new() };
-        self.refusals = self.refusals.saturating_add(1);
-        if self.refusals == 1 {
+        self.consecutive_rejections = self.consecutive_rejections.saturating_add(1);
+        if self.consecutive_rejections == 1 {
             return Some(self.answer(Some(status)));
         }
-        self.put_off = Some(status);
+        self.postponed = Some(status);
         None
     }
 
     /// The refusal that was put off.
-    pub fn put_off(&mut self) -> Option<Request> {
-        let status = self.put_off.take()?;
+    pub fn take_postponed(&mut self) -> Option<Request> {
+        let status = self.postponed.take()?;
         Some(self.answer(Some(status)))
     }
 
@@ -152,13 +152,13 @@
         self.versions.retain(|name, _| self.names.contains(name));
         Some(match self.variant {
             Variant::StateOfTheWorld => {
-                let status = self.put_off.take();
-                Request::World(self.world(status))
+                let status = self.postponed.take();
+                Request::World(self.world_request(status))
             }
             Variant::Incremental => Request::Delta(DeltaDiscoveryRequest {
                 resource_names_subscribe: self.names.difference(&old).cloned().collect(),
                 resource_names_unsubscribe: old.difference(&self.names).cloned().collect(),
-                ..self.unasked()
+                ..self.unsolicited()
             }),
         })
     }
@@ -168,7 +168,7 @@
     /// Incremental: a server must answer each subscription, also one that it has (see the comment on
     /// `DeltaDiscoveryRequest.resource_names_subscribe`). State of the world: it must answer a name that is
     /// new, so it is dropped first.
-    pub fn again(&mut self, names: &BTreeSet<String>) -> Vec<Request> {
+    pub fn resubscribe(&mut self, names: &BTreeSet<String>) -> Vec<Request> {
         let known: BTreeSet<String> = names.intersection(&self.names).cloned().collect();
         if known.is_empty() || !self.is_open {
             return Vec::new();
@@ -181,7 +181,7 @@
             }
             Variant::Incremental => vec![Request::Delta(DeltaDiscoveryRequest {
                 resource_names_subscribe: known.into_iter().collect(),
-                ..self.unasked()
+                ..self.unsolicited()
             })],
         }
     }
@@ -201,12 +201,12 @@
 
     fn answer(&self, status: Option<Status>) -> Request {
         match self.variant {
-            Variant::StateOfTheWorld => Request::World(self.world(status)),
-            Variant::Incremental => Request::Delta(self.delta(status)),
+            Variant::StateOfTheWorld => Request::World(self.world_request(status)),
+            Variant::Incremental => Request::Delta(self.delta_request(status)),
         }
     }
 
-    fn world(&self, error_detail: Option<Status>) -> DiscoveryRequest {
+    fn world_request(&self, error_detail: Option<Status>) -> DiscoveryRequest {
         DiscoveryRequest {
             version_info: self.version.clone(),
             resource_names: self.names.iter().cloned().collect(),
@@ -217,7 +217,7 @@
         }
     }
 
-    fn delta(&self, error_detail: Option<Status>) -> DeltaDiscoveryRequest {
+    fn delta_request(&self, error_detail: Option<Status>) -> DeltaDiscoveryRequest {
         DeltaDiscoveryRequest {
             type_url: self.kind.type_url().to_owned(),
             response_nonce: self.nonce.clone(),
@@ -227,7 +227,7 @@
     }
 
     /// A request that answers nothing: it has no nonce.
-    fn unasked(&self) -> DeltaDiscoveryRequest {
-        DeltaDiscoveryRequest { response_nonce: String::new(), ..self.delta(None) }
+    fn unsolicited(&self) -> DeltaDiscoveryRequest {
+        DeltaDiscoveryRequest { response_nonce: String::new(), ..self.delta_request(None) }
     }
 }
--- a/crates/membership/src/xds/transport.rs
+++ b/crates/membership/src/xds/transport.rs
@@ -42,22 +42,22 @@
 }
 
 /// Most requests that wait to be sent. A control plane that leaves so many unread has lost its stream.
-const REQUESTS: usize = 256;
+const REQUEST_QUEUE_CAPACITY: usize = 256;
 /// What may be on its way to us unread, in bytes; a flood waits at the control plane.
-const WINDOW: u32 = 1 << 20;
+const FLOW_CONTROL_WINDOW: u32 = 1 << 20;
 
-type Later<T> = Pin<Box<dyn Future<Output = T> + Send>>;
+type BoxedFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// The state of the connection.
-enum Link {
+enum Connection {
     Down,
-    Connecting(Later<Result<Channel, String>>),
+    Connecting(BoxedFuture<Result<Channel, String>>),
     /// Requests go out; whether the stream stands shows only when the first answer comes.
-    Opening(Sender<Request>, Later<Result<Inbound, Status>>),
-    Open(Sender<Request>, Inbound),
+    Opening(Sender<Request>, BoxedFuture<Result<ResponseStream, Status>>),
+    Open(Sender<Request>, ResponseStream),
 }
 
-enum Inbound {
+enum ResponseStream {
     World(Box<Streaming<DiscoveryResponse>>),
     Delta(Box<Streaming<DeltaDiscoveryResponse>>),
 }
@@ -66,57 +66,57 @@
 pub async fn run(
     target: Target,
     config: Config,
-    sink: EventSender,
-    asks: RefetchReceiver,
+    events: EventSender,
+    refetch_requests: RefetchReceiver,
     log: impl FnMut(&SessionNotice),
 ) {
     let source = config.source.clone();
-    let shell = Shell {
+    let transport = Transport {
         target,
-        talk: Session::new(config),
-        link: Link::Down,
+        session: Session::new(config),
+        connection: Connection::Down,
         start: Instant::now(),
-        sink,
-        asks: Some(asks),
+        events,
+        refetch_requests: Some(refetch_requests),
         log,
     };
-    shell.run(source).await;
+    transport.run(source).await;
 }
 
-struct Shell<L> {
+struct Transport<L> {
     target: Target,
-    talk: Session,
-    link: Link,
+    session: Session,
+    connection: Connection,
     start: Instant,
-    sink: EventSender,
+    events: EventSender,
     /// None once nobody can ask any more.
-    asks: Option<RefetchReceiver>,
+    refetch_requests: Option<RefetchReceiver>,
     log: L,
 }
 
-impl<L: FnMut(&SessionNotice)> Shell<L> {
+impl<L: FnMut(&SessionNotice)> Transport<L> {
     async fn run(mut self, source: crate::names::SourceId) {
         let mut out = Vec::new();
         loop {
             let Some(mut input) = self.next().await else { return };
             loop {
-                self.talk.handle(self.now(), input, &mut out);
+                self.session.handle(self.now(), input, &mut out);
                 let mut lost = None;
                 for output in out.drain(..) {
                     match output {
-                        Output::Connect => self.link = Link::Connecting(connect(&self.target)),
+                        Output::Connect => self.connection = Connection::Connecting(connect(&self.target)),
                         Output::Send(request) => lost = self.send(*request).err().or(lost),
                         Output::Log(note) => (self.log)(&note),
                         Output::Notify(event) => {
-                            let heard = SourceEvent { source: source.clone(), event };
-                            if self.sink.send(heard).await.is_err() {
+                            let source_event = SourceEvent { source: source.clone(), event };
+                            if self.events.send(source_event).await.is_err() {
                                 return;
                             }
                         }
                     }
                 }
                 let Some(why) = lost else { break };
-                self.link = Link::Down;
+                self.connection = Connection::Down;
                 input = Input::Lost { why };
             }
         }
@@ -133,34 +133,34 @@
     /// What comes next; none if nobody listens any more.
     async fn next(&mut self) -> Option<Input> {
         loop {
-            let deadline = self.talk.deadline().map(|at| self.at(at));
-            let reads = self.at(self.talk.next_read_at());
-            let Shell { target, talk, link, sink, asks, .. } = self;
+            let deadline = self.session.deadline().map(|at| self.at(at));
+            let next_read = self.at(self.session.next_read_at());
+            let Transport { target, session, connection, events, refetch_requests, .. } = self;
             return tokio::select! {
                 biased;
-                () = sink.closed() => None,
+                () = events.closed() => None,
                 () = until(deadline) => Some(Input::Tick),
-                ask = next_ask(asks) => match ask {
+                request = next_refetch_request(refetch_requests) => match request {
                     Some(RefetchRequest { cluster }) => Some(Input::Refetch(cluster)),
                     None => {
-                        self.asks = None;
+                        self.refetch_requests = None;
                         continue;
                     }
                 },
-                step = link.step(reads) => match step {
-                    Step::Connected(channel) => {
-                        *link = open(channel, talk.variant(), target.max_message);
+                step = connection.step(next_read) => match step {
+                    ConnectionEvent::Connected(channel) => {
+                        *connection = open(channel, session.variant(), target.max_message);
                         Some(Input::Connected)
                     }
-                    Step::Opened(inbound) => {
-                        if let Link::Opening(requests, _) = std::mem::replace(link, Link::Down) {
-                            *link = Link::Open(requests, inbound);
+                    ConnectionEvent::Opened(responses) => {
+                        if let Connection::Opening(requests, _) = std::mem::replace(connection, Connection::Down) {
+                            *connection = Connection::Open(requests, responses);
                         }
                         continue;
                     }
-                    Step::Response(response) => Some(Input::Response(response)),
-                    Step::Lost(why) => {
-                        *link = Link::Down;
+                    ConnectionEvent::Response(response) => Some(Input::Response(response)),
+                    ConnectionEvent::Lost(why) => {
+                        *connection = Connection::Down;
                         Some(Input::Lost { why })
                     }
                 },
@@ -169,7 +169,9 @@
     }
 
     fn send(&mut self, request: Request) -> Result<(), String> {
-        let (Link::Opening(requests, _) | Link::Open(requests, _)) = &self.link else { return Ok(()) };
+        let (Connection::Opening(requests, _) | Connection::Open(requests, _)) = &self.connection else {
+            return Ok(());
+        };
         requests.try_send(request).map_err(|_| "the control plane does not read its stream".to_owned())
     }
 }
@@ -181,83 +183,86 @@
     }
 }
 
-async fn next_ask(asks: &mut Option<RefetchReceiver>) -> Option<RefetchRequest> {
-    match asks {
-        Some(asks) => asks.recv().await,
+async fn next_refetch_request(refetch_requests: &mut Option<RefetchReceiver>) -> Option<RefetchRequest> {
+    match refetch_requests {
+        Some(refetch_requests) => refetch_requests.recv().await,
         None => std::future::pending().await,
     }
 }
 
 /// What has become of the link.
-enum Step {
+enum ConnectionEvent {
     Connected(Channel),
-    Opened(Inbound),
+    Opened(ResponseStream),
     Response(Response),
     Lost(String),
 }
 
-impl Link {
+impl Connection {
     /// The next thing that happens on the link. Nothing is lost if this is dropped and called again.
-    async fn step(&mut self, reads: Instant) -> Step {
+    async fn step(&mut self, next_read: Instant) -> ConnectionEvent {
         match self {
-            Link::Down => std::future::pending().await,
-            Link::Connecting(channel) => channel.await.map_or_else(Step::Lost, Step::Connected),
-            Link::Opening(_, call) => match call.await {
-                Ok(inbound) => Step::Opened(inbound),
-                Err(status) => Step::Lost(in_words(&status)),
+            Connection::Down => std::future::pending().await,
+            Connection::Connecting(channel) => {
+                channel.await.map_or_else(ConnectionEvent::Lost, ConnectionEvent::Connected)
+            }
+            Connection::Opening(_, call) => match call.await {
+                Ok(responses) => ConnectionEvent::Opened(responses),
+                Err(status) => ConnectionEvent::Lost(describe_status(&status)),
             },
-            Link::Open(_, inbound) => {
-                sleep_until(reads).await;
-                match inbound.next().await {
-                    Some(Ok(response)) => Step::Response(response),
-                    Some(Err(status)) => Step::Lost(in_words(&status)),
-                    None => Step::Lost("the control plane has ended the stream".to_owned()),
+            Connection::Open(_, responses) => {
+                sleep_until(next_read).await;
+                match responses.next().await {
+                    Some(Ok(response)) => ConnectionEvent::Response(response),
+                    Some(Err(status)) => ConnectionEvent::Lost(describe_status(&status)),
+                    None => ConnectionEvent::Lost("the control plane has ended the stream".to_owned()),
                 }
             }
         }
     }
 }
 
-impl Inbound {
+impl ResponseStream {
     async fn next(&mut self) -> Option<Result<Response, Status>> {
         match self {
-            Inbound::World(stream) => stream.next().await.map(|next| next.map(Response::World)),
-            Inbound::Delta(stream) => stream.next().await.map(|next| next.map(Response::Delta)),
+            ResponseStream::World(stream) => stream.next().await.map(|next| next.map(Response::World)),
+            ResponseStream::Delta(stream) => stream.next().await.map(|next| next.map(Response::Delta)),
         }
     }
 }
 
-fn connect(target: &Target) -> Later<Result<Channel, String>> {
+fn connect(target: &Target) -> BoxedFuture<Result<Channel, String>> {
     let address = target.address.clone();
     let endpoint = Endpoint::from_shared(format!("http://{address}")).map(|endpoint| {
         endpoint
             .connect_timeout(target.connect_timeout)
             .tcp_nodelay(true)
-            .initial_stream_window_size(WINDOW)
-            .initial_connection_window_size(WINDOW)
+            .initial_stream_window_size(FLOW_CONTROL_WINDOW)
+            .initial_connection_window_size(FLOW_CONTROL_WINDOW)
             .http2_keep_alive_interval(target.keep_alive)
             .keep_alive_timeout(target.keep_alive / 3)
             .keep_alive_while_idle(true)
     });
     Box::pin(async move {
-        let failed = move |error: tonic::transport::Error| format!("{address}: {}", chain(&error));
+        let failed =
+            move |error: tonic::transport::Error| format!("{address}: {}", describe_with_causes(&error));
         endpoint.map_err(&failed)?.connect().await.map_err(&failed)
     })
 }
 
 /// Opens a stream, whose requests are those that are sent into the link.
-fn open(channel_: Channel, variant: Variant, max_message: usize) -> Link {
-    let (requests, queue) = channel(REQUESTS);
+fn open(channel_: Channel, variant: Variant, max_message: usize) -> Connection {
+    let (requests, queue) = channel(REQUEST_QUEUE_CAPACITY);
     let queue = ReceiverStream::new(queue);
     let mut client = AggregatedDiscoveryServiceClient::new(channel_).max_decoding_message_size(max_message);
-    let call: Later<Result<Inbound, Status>> = match variant {
+    let call: BoxedFuture<Result<ResponseStream, Status>> = match variant {
         Variant::StateOfTheWorld => Box::pin(async move {
             let requests = queue.filter_map(|request| match request {
                 Request::World(request) => Some(request),
                 Request::Delta(_) => None,
             });
             let stream = client.stream_aggregated_resources(requests).await?;
-            Ok(Inbound::World(Box::new(stream.into_inner())))
+            Ok(ResponseStream::World(Box::new(stream.into_inner())))
         }),
         Variant::Incremental => Box::pin(async move {
             let requests = queue.filter_map(|request| match request {
@@ -265,21 +270,23 @@
                 Request::World(_) => None,
             });
             let stream = client.delta_aggregated_resources(requests).await?;
-            Ok(Inbound::Delta(Box::new(stream.into_inner())))
+            Ok(ResponseStream::Delta(Box::new(stream.into_inner())))
         }),
     };
-    Link::Opening(requests, call)
+    Connection::Opening(requests, call)
 }
 
-fn in_words(status: &Status) -> String {
+fn describe_status(status: &Status) -> String {
     match status.source() {
-        Some(source) => format!("{:?}: {}: {}", status.code(), status.message(), chain(source)),
+        Some(source) => {
+            format!("{:?}: {}: {}", status.code(), status.message(), describe_with_causes(source))
+        }
         None => format!("{:?}: {}", status.code(), status.message()),
     }
 }
 
 /// An error with its causes: those of connections tell little by themselves.
-fn chain(error: &dyn Error) -> String {
+fn describe_with_causes(error: &dyn Error) -> String {
     let (mut text, mut cause) = (error.to_string(), error.source());
     while let Some(error) = cause {
         text.push_str(": ");
