--- /dev/null
+++ b/crates/decisions/src/balancer/request_events.rs
@@ -0,0 +1,322 @@
+//! A request's way: admission, selection of an endpoint or the queue, the ends of its attempts, its
+//! completion.
+
+use super::Balancer;
+use crate::admission::AdmissionRequest;
+use crate::endpoint_selection::EndpointSelection;
+use crate::event::{Action, AttemptEnd, Outcome, Request, Timer};
+use crate::health_check;
+use crate::id::{Nanos, RequestId};
+use crate::in_flight::{Attempt, InFlightRequest};
+use crate::latency_estimate::{LatencySample, USUAL_LATENCY_RATIO};
+use crate::request_queue::{MAX_FAILED_DRAIN_ATTEMPTS, QueueDeadlines};
+use crate::retry_policy::AttemptPermit;
+
+impl Balancer {
+    pub(super) fn on_request_arrived(&mut self, request: &Request, actions: &mut Vec<Action>) {
+        let class = self.track_request(request);
+        self.retry_budget.deposit();
+        match self.retry_after_if_rejected(request, class) {
+            Some(retry_after) => self.complete_request(request.id, retry_after, actions),
+            None => self.dispatch_or_queue(request.id, actions),
+        }
+    }
+
+    /// Takes a request into the table and returns the index of its class.
+    fn track_request(&mut self, request: &Request) -> usize {
+        let class = (request.class.0 as usize).min(self.latencies.classes.len() - 1);
+        let latency_objective = self.settings.classes[class].latency_objective;
+        let work_scale = self.latencies.work_scale(class, request.estimated_work);
+        let in_flight = InFlightRequest {
+            class,
+            work_scale,
+            work: self.latencies.expected_duration(class, work_scale),
+            deadline: self.now + request.time_left,
+            queue_deadlines: QueueDeadlines::new(self.now, request.time_left, latency_objective),
+            attempts: Vec::new(),
+            response_started: false,
+        };
+        self.requests.insert(request.id, in_flight);
+        class
+    }
+
+    /// Admission: none if the request is taken, else when the client may come back. Quotas are counted in
+    /// every tier, load is shed only in the first.
+    fn retry_after_if_rejected(&mut self, request: &Request, class: usize) -> Option<Nanos> {
+        let over_quota = request.tenant.is_some_and(|tenant| {
+            self.admission.is_over_quota(self.now, tenant.0 as usize, &self.settings, &mut self.rng)
+        });
+        if self.settings.tier != 0 {
+            return None;
+        }
+        let request = AdmissionRequest { class, over_quota, in_flight: self.requests.len() };
+        self.admission.rejects(self.now, &request, &self.settings, &self.latencies)
+    }
+
+    /// Sends a new request; where no endpoint can take it now it waits in the queue. Danger: a client whose
+    /// request waits until near its deadline and is then rejected has no time left to go elsewhere.
+    fn dispatch_or_queue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self.dispatch(id, actions) {
+            return;
+        }
+        let Some(request) = self.requests.get(&id) else { return };
+        let any_available = self.endpoints.iter().any(|endpoint| endpoint.is_available());
+        let deadline = request.queue_deadlines.current(any_available);
+        // Less time than between an event and the action that follows is none.
+        let time_left = deadline.saturating_sub(self.now + 2 * self.settings.clock_granularity);
+        if time_left == 0 {
+            return self.complete_request(id, self.retry_after_unavailable(), actions);
+        }
+        let recheck_delay = time_left.min(self.settings.limits.connect_timeout);
+        self.set_timer(recheck_delay, Timer::Request(id), actions);
+        self.queue.insert(id);
+    }
+
+    /// Sends what is queued, oldest first. A few that can't go do not keep back the others; many mean that
+    /// none can, and are not all tried each time.
+    pub(super) fn drain_queue(&mut self, actions: &mut Vec<Action>) {
+        let mut previous = None;
+        let mut failures = 0;
+        while failures < MAX_FAILED_DRAIN_ATTEMPTS {
+            let Some(id) = self.queue.next_after(previous) else { return };
+            failures += u32::from(!self.dispatch(id, actions));
+            previous = Some(id);
+        }
+    }
+
+    /// Sends a request if that is permitted and there is an endpoint for it.
+    fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(request) = self.requests.get(&id) else { return false };
+        let permit = AttemptPermit::of(request, self.settings.classes[request.class].idempotency);
+        let has_attempts_left = request.attempts.len() < self.settings.limits.max_attempts as usize;
+        if !has_attempts_left || self.now >= permit.until || self.now >= request.deadline {
+            return false;
+        }
+        let selection = EndpointSelection {
+            now: self.now,
+            settings: &self.settings,
+            endpoints: &mut self.endpoints,
+            sent_work: &mut self.sent_work,
+            mean_work: self.latencies.mean_over_responses(),
+            request,
+            permit: &permit,
+        };
+        let Some(slot) = selection.select() else { return false };
+        self.start_attempt(id, slot, permit.until, actions);
+        true
+    }
+
+    fn start_attempt(&mut self, id: RequestId, slot: usize, until: Nanos, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let start_by = until.min(request.deadline);
+        let work = request.work;
+        let overdue_after = self.attempt_overdue_after(request, request.attempts.len());
+        let endpoint = &mut self.endpoints[slot];
+        let mean_work = self.latencies.mean_over_responses();
+        endpoint.on_attempt_started(work / mean_work, self.now + overdue_after);
+        let attempt = Action::StartAttempt { request: id, endpoint: endpoint.entry.id, timeout: 0, start_by };
+        actions.push(attempt);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts.push(Attempt { slot, sent_at: self.now, outcome: None });
+        }
+        self.queue.remove(id);
+        self.sent_work.add(self.now, self.settings.rules.poll_interval as f64, work);
+        self.set_timer(overdue_after, Timer::Request(id), actions);
+    }
+
+    fn attempt_overdue_after(&self, request: &InFlightRequest, attempt: usize) -> Nanos {
+        let connect_timeout = self.settings.limits.connect_timeout;
+        self.latencies.overdue_after(request.class, request.work, attempt, connect_timeout)
+    }
+
+    pub(super) fn on_response_started(&mut self, id: RequestId, attempt: u32, actions: &mut Vec<Action>) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.response_started = true;
+        }
+        self.cancel_attempts(id, Some(attempt), actions);
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let slot = end.endpoint.0 as usize;
+        let Some(endpoint) = self.endpoints.get_mut(slot) else { return };
+        endpoint.on_attempt_ended();
+        if let Some(request) = self.requests.get_mut(&end.request)
+            && let Some(attempt) = request.attempts.get_mut(end.attempt as usize)
+        {
+            attempt.outcome = Some(end.outcome);
+        }
+        self.record_outcome(slot, end, actions);
+        self.retry_or_complete(end, actions);
+        self.drain_queue(actions);
+    }
+
+    /// What becomes of a request whose attempt ended.
+    fn retry_or_complete(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        if end.request_completed {
+            return self.remove_request(end.request, actions);
+        }
+        let Some(request) = self.requests.get(&end.request) else { return };
+        if request.response_started || request.has_attempt_in_flight() {
+            return;
+        }
+        if !self.retry_budget.allows_retry_after(end.outcome) || !self.dispatch(end.request, actions) {
+            return self.complete_request(end.request, self.retry_after_unavailable(), actions);
+        }
+        if !end.outcome.was_never_executed() {
+            self.retry_budget.withdraw();
+        }
+    }
+
+    /// What the end of an attempt tells about its endpoint and its class.
+    fn record_outcome(&mut self, slot: usize, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let overload_pause = self.latencies.mean_over_classes() as Nanos;
+        self.record_latency(slot, end);
+        let now = self.now;
+        let endpoint = &mut self.endpoints[slot];
+        let responded_lately = || endpoint.latency.last_response_at + end.duration + overload_pause > now;
+        match end.outcome {
+            Outcome::Ok => {
+                endpoint.capacity.record_response(now);
+                endpoint.latency.last_response_at = now;
+                endpoint.outlier.record_success(now.saturating_sub(end.duration));
+            }
+            // Danger: an endpoint whose connection table is full refuses connections but is not gone.
+            Outcome::ConnectFailed if responded_lately() => {
+                endpoint.capacity.overloaded_until = now + overload_pause;
+            }
+            Outcome::Overloaded => endpoint.capacity.overloaded_until = now + overload_pause,
+            Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::ConnectFailed => {
+                self.record_failure(slot, end.outcome, actions);
+            }
+            Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    /// Danger: connections break by themselves, everywhere alike, so that a reset is only one failure; a dead
+    /// process refuses them, and is ejected at once.
+    fn record_failure(&mut self, slot: usize, outcome: Outcome, actions: &mut Vec<Action>) {
+        let mean_failure_ewma = self.endpoints.mean_failure_ewma();
+        let outlier = &mut self.endpoints[slot].outlier;
+        outlier.record_failure();
+        if outcome == Outcome::ConnectFailed || outlier.is_outlier(mean_failure_ewma) {
+            self.eject(slot, actions);
+        }
+    }
+
+    /// Danger: what was cancelled took longer still; left out, no duration deviates, and all is cancelled.
+    fn record_latency(&mut self, slot: usize, end: &AttemptEnd) {
+        let is_response = end.outcome == Outcome::Ok;
+        let was_cancelled = end.outcome == Outcome::Cancelled && !end.request_completed;
+        if !is_response && !was_cancelled {
+            return;
+        }
+        let Some(request) = self.requests.get(&end.request) else { return };
+        let duration = end.duration as f64;
+        let sample = LatencySample {
+            class: request.class,
+            work_scale: request.work_scale,
+            duration,
+            ratio: duration / request.work.max(1.0),
+            is_response,
+        };
+        let relative_work = request.work / self.latencies.mean_over_responses();
+        if is_response {
+            self.record_endpoint_latency(slot, sample.ratio, relative_work);
+        }
+        let latency_objective = self.settings.classes[sample.class].latency_objective as f64;
+        self.latencies.record(&sample, latency_objective);
+        let responses = if is_response { 1.0 } else { 0.0 };
+        self.admission.record_responses(self.now, latency_objective, responses);
+    }
+
+    /// Danger: where no endpoint is warm all would wait, with no rate to go by. So what an endpoint in slow
+    /// start has answered in its usual time it may be sent again: that much it can do.
+    fn record_endpoint_latency(&mut self, slot: usize, ratio: f64, relative_work: f64) {
+        let rules = &self.settings.rules;
+        let any_warm = self
+            .endpoints
+            .iter()
+            .any(|endpoint| endpoint.is_available() && endpoint.is_warm(self.now, rules));
+        let endpoint = &mut self.endpoints[slot];
+        if !any_warm && ratio < USUAL_LATENCY_RATIO {
+            endpoint.slow_start.deposit(relative_work);
+        }
+        endpoint.latency.record(ratio);
+    }
+
+    /// A request's timer: it waits for an endpoint, or its last attempt may be overdue.
+    pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id).filter(|request| request.is_waiting()) else { return };
+        let Some(attempt) = request.attempts.last() else { return self.dispatch_or_queue(id, actions) };
+        let overdue_at = attempt.sent_at + self.attempt_overdue_after(request, request.attempts.len() - 1);
+        if overdue_at > self.now {
+            // More is known of its class now than when the timer was set.
+            return self.set_timer(overdue_at - self.now, Timer::Request(id), actions);
+        }
+        let slot = attempt.slot;
+        // Danger: an endpoint that accepts work and answers nothing. One that answered since is only slow,
+        // and where all are slow there is a queue, which cancelling makes longer.
+        let has_responded_since = self.endpoints[slot].latency.last_response_at > attempt.sent_at;
+        let hangs = !has_responded_since && self.latencies.responses_are_fast();
+        if hangs && !self.endpoints[slot].outlier.is_ejected() {
+            self.eject(slot, actions);
+        }
+        self.hedge_or_cancel(id, hangs, actions);
+    }
+
+    /// An overdue request gets a second attempt beside the first; where that is not allowed, the first is
+    /// cancelled, so that its end leads to a retry.
+    fn hedge_or_cancel(&mut self, id: RequestId, hangs: bool, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let permit = AttemptPermit::of(request, self.settings.classes[request.class].idempotency);
+        if !self.retry_budget.has_token() || permit.until <= self.now {
+            return;
+        }
+        if self.settings.limits.hedging_enabled {
+            if self.dispatch(id, actions) {
+                self.retry_budget.withdraw();
+            }
+        } else if hangs {
+            // Danger: cancelling attempts that are merely slow, when all are, wastes their work twice.
+            self.cancel_attempts(id, None, actions);
+        }
+    }
+
+    /// Cancels the attempts of a request that are in flight, but for one that is kept.
+    fn cancel_attempts(&self, id: RequestId, kept: Option<u32>, actions: &mut Vec<Action>) {
+        if !self.settings.limits.cancellation_enabled {
+            return;
+        }
+        let Some(request) = self.requests.get(&id) else { return };
+        for (attempt, number) in request.attempts.iter().zip(0..) {
+            if attempt.is_in_flight() && Some(number) != kept {
+                actions.push(Action::CancelAttempt { request: id, attempt: number });
+            }
+        }
+    }
+
+    /// What a client is told where no endpoint can take its request.
+    fn retry_after_unavailable(&self) -> Nanos {
+        health_check::recheck_delay(self.settings.rules.poll_interval)
+    }
+
+    /// Nothing more can be done: the request is shed where it is true that trying again is harmless, else it
+    /// fails.
+    fn complete_request(&mut self, id: RequestId, retry_after: Nanos, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let permit = AttemptPermit::of(request, self.settings.classes[request.class].idempotency);
+        let retry_after = retry_after.min(self.settings.limits.max_retry_after);
+        actions.push(match permit.may_shed {
+            true => Action::Shed { request: id, retry_after },
+            false => Action::Fail(id),
+        });
+        self.remove_request(id, actions);
+    }
+
+    /// The request has ended: what of it is still in flight is cancelled.
+    pub(super) fn remove_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        self.cancel_attempts(id, None, actions);
+        self.requests.remove(&id);
+        self.queue.remove(id);
+    }
+}
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a sidecar load balancer, without any I/O.
 //!
-//! A [`Balancer`] is told what happens ([`Event`]) and answers with what to do ([`Action`]). It has no
-//! clock, no threads and no sockets; the same events always give the same actions.
+//! A [`Balancer`] is told what happens ([`Event`]) and answers with what to do ([`Action`]). It has no clock,
+//! no threads and no sockets; the same events always give the same actions.
 //!
 //! ```
 //! use olivecart_decisions::{Action, Balancer, Class, EndpointEntry, EndpointUpdate, Event, Settings};
@@ -17,12 +17,33 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::StartAttempt { request: RequestId(1), .. })));
 //! ```
 
-mod decayed;
-mod interface;
-mod logic;
+mod admission;
+mod balancer;
+mod capacity;
+mod endpoint;
+mod endpoint_list;
+mod endpoint_selection;
+mod event;
+mod ewma;
+mod health_check;
+mod id;
+mod idle_connections;
+mod in_flight;
+mod latency_estimate;
+mod learned_state;
+mod outlier_detection;
+mod request_queue;
+mod retry_policy;
+mod settings;
+mod slow_start;
+mod status_view;
 
-pub use interface::*;
-pub use logic::{Balancer, EndpointStatus, LearnedState};
+pub use balancer::Balancer;
+pub use event::*;
+pub use id::*;
+pub use learned_state::LearnedState;
+pub use settings::*;
+pub use status_view::EndpointStatus;
 
 /// The README's example is compiled and run with the tests.
 #[cfg(doctest)]
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -330,9 +330,9 @@
 
 #[test]
 fn the_room_of_an_endpoint_is_shared_by_the_copies_of_a_large_group() {
-    // Each copy answers ten requests a second at sixteen endpoints. By Little's law an endpoint has out one of all
-    // copies together in half the aim: its room is the twelve that any endpoint has, and not six of each copy. Of
-    // very many each has six out in all, so that one which alone is busy is not held back.
+    // Each copy answers ten requests a second at sixteen endpoints. By Little's law an endpoint has out one
+    // of all copies together in half the aim: its room is the twelve that any endpoint has, and not six of
+    // each copy. Of very many each has six out in all, so that one which alone is busy is not held back.
     for copies in [12, 20, 60, 100] {
         let out = out_at_each(copies, 16, 100, 100);
         let (most, least) = (out.iter().max().copied(), out.iter().min().copied());
@@ -381,7 +381,8 @@
 
 #[test]
 fn one_of_very_many_copies_goes_on_where_those_near_it_are_gone() {
-    // Its part of each endpoint's room is small and lies with those first in its order; they refuse connections.
+    // Its part of each endpoint's room is small and lies with those first in its order; they refuse
+    // connections.
     let mut settings = Settings { replica_index: 7, replica_count: 200, ..settings(Idempotency::Idempotent) };
     settings.limits.max_attempts = 1;
     let mut b = Bench::new(settings, list(24));
@@ -394,8 +395,8 @@
     }
 }
 
-/// Requests one after another that take 200 or 400 ms, but every eighth so long on its first attempt; how many attempts
-/// were called off.
+/// Requests one after another that take 200 or 400 ms, but every eighth so long on its first attempt; how
+/// many attempts were called off.
 fn called_off(b: &mut Bench, n: u64, slow: Nanos) -> usize {
     let mut called_off = 0;
     for number in 0..n {
@@ -429,9 +430,9 @@
 
 #[test]
 fn where_calls_have_become_slow_they_are_not_called_off_for_good() {
-    // One of many copies: it has no other answer from an endpoint while a call is out there, so that each slow one
-    // looks like one that hangs. Each that is called off wastes its work and is sent again, on a new connection; and
-    // if only what was answered counted, calls would look quick for ever.
+    // One of many copies: it has no other answer from an endpoint while a call is out there, so that each
+    // slow one looks like one that hangs. Each that is called off wastes its work and is sent again, on a new
+    // connection; and if only what was answered counted, calls would look quick for ever.
     let mut s = settings(Idempotency::Idempotent);
     s.limits.hedging_enabled = false;
     s.classes[0].latency_objective = 4 * S;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -20,7 +20,7 @@
     Value(String, String),
     /// The values contradict each other.
     #[error("{0}")]
-    Unusable(String),
+    Unusable(InvalidSettings),
 }
 
 /// A name table that numbers what it has not met.
