--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -10,6 +10,9 @@
 use crate::latency_estimate::{LatencyEstimates, SLOW_OBJECTIVE_SHARE};
 use crate::settings::Settings;
 
+#[cfg(test)]
+mod tests;
+
 /// Load is shed when serving the work taken needs more of the latency objective than leaves room for this
 /// many mean deviations of a duration.
 const RESERVED_DEVIATIONS: f64 = 1.5;
--- a/crates/decisions/src/capacity.rs
+++ b/crates/decisions/src/capacity.rs
@@ -9,6 +9,9 @@
 use crate::id::Nanos;
 use crate::settings::Settings;
 
+#[cfg(test)]
+mod tests;
+
 /// Time constant of the rate of responses, in nanoseconds.
 pub(crate) const RESPONSE_RATE_TIME_CONSTANT: f64 = 3e9;
 /// Part of the shortest latency objective in which an endpoint has to answer what is in flight.
--- a/crates/decisions/src/ewma.rs
+++ b/crates/decisions/src/ewma.rs
@@ -6,6 +6,9 @@
 
 use crate::id::Nanos;
 
+#[cfg(test)]
+mod tests;
+
 /// A sum whose parts fade exponentially with age.
 ///
 /// Divided by the time constant it is a rate: amounts per nanosecond, averaged over about that long.
--- a/crates/decisions/src/health_check.rs
+++ b/crates/decisions/src/health_check.rs
@@ -6,6 +6,9 @@
 
 use crate::id::Nanos;
 
+#[cfg(test)]
+mod tests;
+
 /// Checks are meant to be this share of the attempts sent.
 const CHECKS_PER_ATTEMPT: f64 = 0.1;
 /// One that is unhealthy or ejected is checked this many times as often: its place waits for it.
--- a/crates/decisions/src/idle_connections.rs
+++ b/crates/decisions/src/idle_connections.rs
@@ -4,6 +4,9 @@
 //! Updated with each attempt and each health check; the balancer turns a surplus into
 //! [`Action::CloseIdleConnections`](crate::Action::CloseIdleConnections).
 
+#[cfg(test)]
+mod tests;
+
 /// So many idle connections to one endpoint are never too many.
 const MIN_KEPT_CONNECTIONS: u32 = 2;
 
--- a/crates/decisions/src/latency_estimate.rs
+++ b/crates/decisions/src/latency_estimate.rs
@@ -9,6 +9,9 @@
 use crate::id::Nanos;
 use crate::settings::Class;
 
+#[cfg(test)]
+mod tests;
+
 /// Weight of one response in an average over responses of all classes or of one endpoint.
 pub(crate) const RESPONSE_WEIGHT: f64 = 0.1;
 /// Least weight of one response in the averages of its class, which see more of them than an endpoint does.
--- a/crates/decisions/src/outlier_detection.rs
+++ b/crates/decisions/src/outlier_detection.rs
@@ -7,6 +7,9 @@
 
 use crate::id::Nanos;
 
+#[cfg(test)]
+mod tests;
+
 /// Weight of one attempt in the failure average: two failures in a row reach [`EJECTION_THRESHOLD`], one does
 /// not.
 const FAILURE_WEIGHT: f64 = 0.3;
--- a/crates/decisions/src/request_queue.rs
+++ b/crates/decisions/src/request_queue.rs
@@ -8,6 +8,9 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
+#[cfg(test)]
+mod tests;
+
 /// Part of its time for which a request waits while no endpoint is available at all.
 const UNAVAILABLE_WAIT_SHARE: f64 = 0.4;
 /// Part of its latency objective for which it waits for capacity: what waits longer is late in any case.
--- a/crates/decisions/src/retry_policy.rs
+++ b/crates/decisions/src/retry_policy.rs
@@ -11,6 +11,9 @@
 use crate::in_flight::{Attempt, InFlightRequest};
 use crate::settings::{DeduplicationScope, Idempotency};
 
+#[cfg(test)]
+mod tests;
+
 /// Retries and hedged attempts that one new request earns.
 const RETRIES_PER_REQUEST: f64 = 0.15;
 /// Most that may be saved up.
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -11,6 +11,9 @@
 use crate::id::Nanos;
 use crate::settings::Rules;
 
+#[cfg(test)]
+mod tests;
+
 /// Part of the overload multiple that the budget uses; the rest is margin for health checks, handshakes and
 /// chance.
 const OVERLOAD_MULTIPLE_SHARE: f64 = 0.6;
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -6,16 +6,16 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
 
-pub fn class(effect: Idempotency) -> Class {
-    Class { latency_objective: 200 * MS, client_deadline: 1000 * MS, idempotency: effect, ..Class::default() }
+pub fn class(idempotency: Idempotency) -> Class {
+    Class { latency_objective: 200 * MS, client_deadline: 1000 * MS, idempotency, ..Class::default() }
 }
 
 pub fn cell(window: Nanos) -> Idempotency {
     Idempotency::Keyed { scope: DeduplicationScope::Cell, window }
 }
 
-pub fn settings(effect: Idempotency) -> Settings {
-    let mut s = Settings { classes: vec![class(effect)], ..Settings::default() };
+pub fn settings(idempotency: Idempotency) -> Settings {
+    let mut s = Settings { classes: vec![class(idempotency)], ..Settings::default() };
     (s.limits.cancellation_enabled, s.limits.hedging_enabled) = (true, true);
     s
 }
@@ -73,16 +73,16 @@
         attempt: u32,
         at: EndpointId,
         outcome: Outcome,
-        took: Nanos,
+        duration: Nanos,
     ) -> Vec<Action> {
-        let over = outcome == Outcome::Ok;
+        let request_completed = outcome == Outcome::Ok;
         self.tell(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             endpoint: at,
             outcome,
-            duration: took,
-            request_completed: over,
+            duration,
+            request_completed,
             load: None,
         }))
     }
@@ -92,11 +92,11 @@
     }
 
     /// A request that is served at once where it is sent.
-    pub fn serve(&mut self, took: Nanos) -> EndpointId {
+    pub fn serve(&mut self, duration: Nanos) -> EndpointId {
         let (id, actions) = self.request(S);
         let at = sent(&actions).expect("sent");
-        self.now += took;
-        self.end(id, 0, at, Outcome::Ok, took);
+        self.now += duration;
+        self.end(id, 0, at, Outcome::Ok, duration);
         at
     }
 }
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn many_small_instances_do_not_admit_more_than_they_answer() {
+fn many_small_replicas_admit_no_more_than_is_answered() {
     // Answers take as long as the whole aim, so what is open is twice what may be: half has to be shed,
     // also where an instance has so few requests that slack for chance would exceed the limit.
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(8));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn requests_stuck_on_a_few_endpoints_are_not_a_queue() {
+fn requests_stuck_on_few_endpoints_do_not_shed_others() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(8));
     offer(&mut b, 100, 10 * MS, 10 * MS);
     let stuck = (0..60).filter(|_| shed(&b.request(10 * S).1)).count();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_a_tenant_sends_beyond_its_share_is_shed_first() {
+fn requests_over_tenant_quota_are_shed_first() {
     let mut s = settings(Idempotency::NonIdempotent);
     s.over_quota_weight_ratio = 0.1;
     s.tenants = vec![Tenant { quota_per_s: 100.0, share: 0.9 }, Tenant { quota_per_s: 1.0, share: 0.1 }];
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_hanging_endpoint_whose_checks_pass_is_held_back_until_a_trial_call_passes() {
+fn hanging_endpoint_with_passing_checks_stays_ejected_until_a_trial_succeeds() {
     let mut b = Bench::new(settings(Idempotency::Idempotent), list(4));
     let favourite = (0..20).map(|_| b.serve(10 * MS)).last().expect("served");
     let (id, actions) = b.request(S);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn no_trial_call_is_one_that_must_not_be_repeated() {
+fn non_idempotent_request_is_never_a_trial() {
     let mut s = settings(Idempotency::Idempotent);
     s.classes.push(class(Idempotency::NonIdempotent));
     let mut b = Bench::new(s, list(8));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn errors_at_every_endpoint_alike_hold_nobody_back() {
+fn errors_at_all_endpoints_alike_eject_none() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..80 {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn when_most_of_the_list_is_down_marks_are_not_believed() {
+fn health_is_ignored_when_most_endpoints_are_unhealthy() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(9));
     (0..7).for_each(|i| _ = b.check(EndpointId(i), Outcome::Timeout));
     let targets: std::collections::BTreeSet<_> = (0..9).filter_map(|_| sent(&b.request(S).1)).collect();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn retries_spend_a_budget() {
+fn retries_are_limited_by_the_budget() {
     let mut b = Bench::new(settings(Idempotency::Idempotent), list(8));
     let mut retried = 0;
     for _ in 0..200 {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_refused_connection_to_an_endpoint_that_answers_is_not_a_death() {
+fn refused_connection_does_not_eject_an_endpoint_that_responded_lately() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
     let favourite = (0..20).map(|_| b.serve(10 * MS)).last().expect("served");
     let (id, _) = b.request(S);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn idle_connections_are_let_go_once_a_whole_check_period_did_not_need_them() {
+fn idle_connections_are_closed_after_a_check_period_without_need() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(1));
     let mut closes_of = |calls: usize| {
         let open: Vec<_> = (0..calls).map(|_| b.request(S).0).collect();
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_heavy_request_does_not_shut_itself_or_others_out() {
+fn heavy_request_is_not_shed_and_sheds_no_other() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(8));
     for n in 0..200 {
         b.now += 100 * MS;
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_request_with_nowhere_to_go_is_refused_while_its_client_has_time_left_and_told_when_to_come_back() {
+fn request_without_endpoint_is_shed_early_with_retry_after() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.limits.max_retry_after = 2 * S;
     let mut b = Bench::new(settings, Vec::new());
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn an_endpoint_has_out_what_it_answers_in_time_and_the_rest_waits_a_little() {
+fn requests_beyond_capacity_are_queued_for_part_of_the_objective() {
     let mut b = Bench::new(settings(Idempotency::Idempotent), list(1));
     let asked: Vec<_> = (0..10).map(|_| b.request(S)).collect();
     let out: Vec<_> =
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn one_connection_that_breaks_is_not_a_death_and_several_are() {
+fn one_reset_does_not_eject_and_several_do() {
     let mut b = Bench::new(settings(Idempotency::Idempotent), list(4));
     (0..20).for_each(|_| _ = b.serve(10 * MS));
     let broken = |b: &mut Bench| {
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_hiccup_of_milliseconds_is_not_a_hang_where_answers_take_microseconds() {
+fn stall_of_milliseconds_is_not_overdue_where_responses_take_microseconds() {
     let mut b = Bench::new(settings(Idempotency::Idempotent), list(1));
     (0..50).for_each(|_| _ = b.serve(MS / 10));
     let (id, actions) = b.request(4 * S);
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_cold_endpoint_may_be_sent_again_what_it_has_answered_and_no_more() {
+fn lone_slow_start_endpoint_gets_again_what_it_answered_and_no_more() {
     let entries = list(2);
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), entries.clone());
     for _ in 0..200 {
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_heavy_request_is_not_called_off_each_time_it_is_sent() {
+fn time_before_cancellation_doubles_with_each_attempt() {
     let mut settings = settings(Idempotency::Idempotent);
     settings.limits.hedging_enabled = false;
     let mut b = Bench::new(settings, list(4));
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn the_room_of_an_endpoint_is_shared_by_the_copies_of_a_large_group() {
+fn capacity_is_shared_by_the_replicas_of_a_large_tier() {
     // Each copy answers ten requests a second at sixteen endpoints. By Little's law an endpoint has out one
     // of all copies together in half the aim: its room is the twelve that any endpoint has, and not six of
     // each copy. Of very many each has six out in all, so that one which alone is busy is not held back.
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn an_endpoint_that_says_that_it_is_full_is_let_be_even_while_marks_are_ignored() {
+fn overloaded_endpoint_is_left_alone_even_while_health_is_ignored() {
     for down in [false, true] {
         let mut b = Bench::new(settings(Idempotency::Idempotent), list(4));
         for _ in 0..20 {
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn a_repeat_is_not_pushed_in_where_there_is_no_room() {
+fn retry_is_not_sent_beyond_capacity() {
     let mut b = Bench::new(Settings { replica_count: 4, ..settings(Idempotency::Idempotent) }, list(2));
     let out: Vec<_> = (0..6).filter_map(|_| Some(b.request(S)).filter(|r| sent(&r.1).is_some())).collect();
     assert_eq!(out.len(), 6, "three at each");
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn one_of_very_many_copies_goes_on_where_those_near_it_are_gone() {
+fn one_of_many_replicas_proceeds_when_its_preferred_endpoints_refuse() {
     // Its part of each endpoint's room is small and lies with those first in its order; they refuse
     // connections.
     let mut settings = Settings { replica_index: 7, replica_count: 200, ..settings(Idempotency::Idempotent) };
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn where_calls_have_become_slow_they_are_not_called_off_for_good() {
+fn attempts_that_became_slow_are_not_cancelled_for_good() {
     // One of many copies: it has no other answer from an endpoint while a call is out there, so that each
     // slow one looks like one that hangs. Each that is called off wastes its work and is sent again, on a new
     // connection; and if only what was answered counted, calls would look quick for ever.
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn where_the_only_endpoint_is_cold_a_rare_request_is_sent_once_its_call_is_saved_up() {
+fn rare_request_is_sent_when_the_only_endpoint_is_in_slow_start() {
     let sent_of = |every: Nanos| {
         let entries = list(1);
         let mut b = Bench::new(settings(Idempotency::Idempotent), entries.clone());
--- a/crates/decisions/tests/invariants.rs
+++ b/crates/decisions/tests/invariants.rs
@@ -1,5 +1,5 @@
 //! Random legal sequences of events against an invariant checker of the rules: it keeps the account of one
-//! instance's requests and lists; it does not model servers.
+//! replica's requests and lists; it does not model servers.
 
 mod common;
 use common::*;
@@ -55,7 +55,7 @@
     attempts: Vec<Attempt>,
 }
 
-/// What one instance was told and did, and whether that keeps the rules.
+/// What one replica was told and did, and whether that keeps the rules.
 struct Checker {
     balancer: Balancer,
     settings: Settings,
@@ -79,7 +79,7 @@
 
     fn act(&mut self, action: &Action) -> Result<(), TestCaseError> {
         match action {
-            Action::StartAttempt { request, endpoint, timeout: cap, .. } => {
+            Action::StartAttempt { request, endpoint, timeout, .. } => {
                 let entry = &self.entries[endpoint.0 as usize];
                 prop_assert_eq!(
                     entry.state,
@@ -95,9 +95,9 @@
                     match self.settings.classes[account.class].idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NonIdempotent => prop_assert!(false, "an unsafe request was sent again"),
-                        Idempotency::Keyed { scope: group, window } => {
+                        Idempotency::Keyed { scope, window } => {
                             prop_assert!(
-                                group.is_shared_by(&self.entries[earlier.endpoint.0 as usize], entry)
+                                scope.is_shared_by(&self.entries[earlier.endpoint.0 as usize], entry)
                             );
                             prop_assert!(self.now - earlier.sent < window);
                         }
@@ -105,7 +105,8 @@
                 }
                 let out = account.attempts.iter().any(|a| a.done.is_none());
                 prop_assert!(self.settings.limits.hedging_enabled || !out, "two attempts out at once");
-                let due = if *cap == 0 { account.deadline } else { account.deadline.min(self.now + cap) };
+                let due =
+                    if *timeout == 0 { account.deadline } else { account.deadline.min(self.now + timeout) };
                 account.attempts.push(Attempt { endpoint: *endpoint, sent: self.now, due, done: None });
             }
             Action::Shed { request, .. } | Action::Fail(request) => {
@@ -113,8 +114,8 @@
                 prop_assert!(!account.ended, "answered twice");
                 account.ended = true;
                 let ran = account.attempts.iter().any(|a| !a.done.is_some_and(Outcome::was_never_executed));
-                let effect = self.settings.classes[account.class].idempotency;
-                let harmless = match effect {
+                let idempotency = self.settings.classes[account.class].idempotency;
+                let harmless = match idempotency {
                     Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
                         true
                     }
@@ -228,11 +229,11 @@
     }
 }
 
-fn play(steps: &[Step], second_copies: bool, seed: u64) -> Result<Vec<Action>, TestCaseError> {
+fn play(steps: &[Step], hedging: bool, seed: u64) -> Result<Vec<Action>, TestCaseError> {
     let mut settings = settings(Idempotency::Idempotent);
     settings.classes.push(class(cell(300 * MS)));
     settings.classes.push(class(Idempotency::NonIdempotent));
-    settings.limits.hedging_enabled = second_copies;
+    settings.limits.hedging_enabled = hedging;
     let now = 1000 * S;
     let mut checker = Checker {
         balancer: Balancer::new(settings.clone(), seed, now),
@@ -261,13 +262,13 @@
 
 #[test]
 fn the_rules_hold_on_random_legal_sequences() {
-    check(|(steps, second_copies, seed)| play(&steps, second_copies, seed).map(|_| ()));
+    check(|(steps, hedging, seed)| play(&steps, hedging, seed).map(|_| ()));
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    check(|(steps, second_copies, seed)| {
-        prop_assert_eq!(play(&steps, second_copies, seed)?, play(&steps, second_copies, seed)?);
+    check(|(steps, hedging, seed)| {
+        prop_assert_eq!(play(&steps, hedging, seed)?, play(&steps, hedging, seed)?);
         Ok(())
     });
 }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -7,7 +7,7 @@
 // ---- the mechanism ----
 
 #[test]
-fn calls_go_to_the_same_preferred_endpoint_and_back_to_it_after_a_passing_check() {
+fn requests_return_to_the_preferred_endpoint_after_a_passing_check() {
     let mut b = Bench::new(settings(Idempotency::Idempotent), list(6));
     let favourite = b.serve(10 * MS);
     assert_eq!(b.serve(10 * MS), favourite);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_endpoint_over_the_allowance_is_skipped() {
+fn endpoint_over_the_load_allowance_is_skipped() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
     let targets: Vec<_> = (0..4).map(|_| sent(&b.request(S).1).expect("sent")).collect();
     let mut distinct = targets.clone();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn instances_prefer_different_endpoints() {
+fn replicas_prefer_different_endpoints() {
     let mut firsts: Vec<_> = (0..8)
         .map(|me| {
             let mut s = settings(Idempotency::NonIdempotent);
@@ -65,7 +65,7 @@
 // ---- rule 1: one final answer, in time ----
 
 #[test]
-fn a_request_with_nowhere_to_go_is_refused_before_its_deadline() {
+fn request_without_endpoint_is_shed_before_its_deadline() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), Vec::new());
     let (id, mut actions) = b.request(900 * MS);
     let deadline = b.now + 900 * MS;
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_held_request_goes_out_when_an_endpoint_appears() {
+fn queued_request_is_sent_when_an_endpoint_appears() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), Vec::new());
     let (id, _) = b.request(S);
     let actions = b.list(EndpointUpdate::Snapshot(list(1)));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_time_out_at_the_deadline_is_answered_once_and_then_forgotten() {
+fn timeout_at_the_deadline_completes_the_request_once() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(3));
     let (id, actions) = b.request(S);
     let at = sent(&actions).expect("sent");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_aborted_request_is_owed_nothing_and_its_attempt_is_called_off() {
+fn aborted_request_gets_no_response_and_its_attempt_is_cancelled() {
     let mut b = Bench::new(settings(Idempotency::Idempotent), list(3));
     let (id, actions) = b.request(S);
     let at = sent(&actions).expect("sent");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_deadline_already_past_is_refused_at_once() {
+fn request_past_its_deadline_is_shed_at_once() {
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(3));
     assert!(shed(&b.request(0).1));
 }
@@ -121,7 +121,7 @@
 // ---- rule 2: no effect twice ----
 
 #[test]
-fn a_call_that_may_have_run_and_must_not_again_ends_as_failed() {
+fn non_idempotent_request_that_may_have_run_fails() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
         let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
         let (id, actions) = b.request(S);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_call_that_never_ran_goes_to_the_next_endpoint() {
+fn request_that_never_ran_is_retried_elsewhere() {
     for outcome in [Outcome::Overloaded, Outcome::ConnectFailed] {
         let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(4));
         let (id, actions) = b.request(S);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_keyed_call_that_may_have_run_stays_in_its_cell_and_window() {
+fn keyed_retry_stays_in_its_cell_and_window() {
     for n in 0..4 {
         let mut s = settings(cell(400 * MS));
         s.replica_index = n;
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn an_overdue_call_is_hedged_only_where_a_repeat_is_harmless() {
+fn overdue_request_is_hedged_only_if_a_repeat_is_harmless() {
     for (effect, hedged) in
         [(Idempotency::Idempotent, true), (cell(S), true), (Idempotency::NonIdempotent, false)]
     {
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn without_second_copies_no_two_attempts_are_out_at_once() {
+fn without_hedging_one_attempt_is_in_flight_at_a_time() {
     let mut s = settings(Idempotency::Idempotent);
     s.limits.hedging_enabled = false;
     let mut b = Bench::new(s.clone(), list(1));
@@ -216,7 +216,7 @@
 // ---- rule 3: drains ----
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_endpoint_not_even_a_retry() {
+fn draining_or_removed_endpoint_gets_no_attempt() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let entries = list(2);
         let mut b = Bench::new(settings(Idempotency::NonIdempotent), entries.clone());
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn an_endpoint_missing_from_a_whole_list_is_gone_and_may_come_back() {
+fn endpoint_missing_from_a_snapshot_is_removed_and_may_return() {
     let entries = list(2);
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), entries.clone());
     b.list(EndpointUpdate::Snapshot(entries[..1].to_vec()));
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_subscription_is_asked_for_and_renewed_inside_the_time_it_must_be() {
+fn subscription_is_requested_and_renewed_within_the_poll_interval() {
     let mut s = settings(Idempotency::NonIdempotent);
     s.discovery = Discovery::Subscribe;
     let must = s.rules.poll_interval;
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn all_instances_together_keep_a_cold_endpoint_within_its_budget() {
+fn all_replicas_together_keep_a_slow_start_endpoint_within_its_budget() {
     // Ten endpoints carry an ordinary load; the cold one can do a tenth of its capacity, which is at least
     // that load. Budget for a window of a second: 2 x 0.1 x the load of one endpoint.
     for (instances, per_s) in [(1, 200), (10, 20), (40, 5)] {
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn an_instance_that_knows_no_rate_sends_a_cold_endpoint_next_to_nothing() {
+fn replica_without_a_known_rate_sends_a_slow_start_endpoint_next_to_nothing() {
     let mut entries = list(4);
     entries[0].started = Some(1000 * S);
     let mut b = Bench::new(settings(Idempotency::NonIdempotent), entries.clone());
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_cold_endpoint_smaller_than_the_mean_is_loaded_less() {
+fn slow_start_endpoint_smaller_than_the_mean_gets_less() {
     let got = |size: f64| {
         let mut b = Bench::new(settings(Idempotency::NonIdempotent), list(10));
         let call = |b: &mut Bench, silent| {
