--- a/crates/lab/src/sidecars/sidecar.rs
+++ b/crates/lab/src/sidecars/sidecar.rs
@@ -6,12 +6,10 @@
 use crate::engine::Outbox;
 use crate::model::mix;
 use olivecart_decisions::{
-    Action, AttemptEnd, Balancer, Class, ClassId, EndpointId, Entry, Event, ListChange, Nanos, Outcome,
-    Request, RequestId, Settings, State,
-};
-use olivecart_membership::xds::conversation::{
-    self, Config, Conversation, Input, Node, Output, Response, Variant,
+    Action, AttemptEnd, Balancer, Class, ClassId, EndpointEntry, EndpointId, EndpointState, EndpointUpdate,
+    Event, Nanos, Outcome, Request, RequestId, Settings,
 };
+use olivecart_membership::xds::session::{self, Config, Input, Node, Output, Response, Session, Variant};
 use olivecart_membership::{Catalog, Output as Told, Policy, SourceId};
 use rand::Rng;
 use rand_distr::Exp1;
@@ -40,7 +38,7 @@
 /// A sidecar.
 pub struct Sidecar {
     id: u32,
-    talk: Conversation,
+    talk: Session,
     catalog: Catalog,
     /// The number of the connection, and whether it stands.
     link: (u32, bool),
@@ -77,9 +75,13 @@
         // The only figure that differs from the defaults is in its range.
         let catalog = Catalog::new(policy, [source]).unwrap_or_else(|bad| unreachable!("{bad}"));
         let settings = Settings {
-            me: id - 1,
-            group_size: plan.sidecars,
-            classes: vec![Class { aim: PATIENCE / 10, give_up: PATIENCE, ..Class::default() }],
+            replica_index: id - 1,
+            replica_count: plan.sidecars,
+            classes: vec![Class {
+                latency_objective: PATIENCE / 10,
+                client_deadline: PATIENCE,
+                ..Class::default()
+            }],
             ..Settings::default()
         };
         let balancer =
@@ -89,7 +91,7 @@
         out.wake(STARTS * 2, Message::Arrival);
         Sidecar {
             id,
-            talk: Conversation::new(config),
+            talk: Session::new(config),
             catalog,
             link: (0, false),
             unread: VecDeque::new(),
@@ -141,10 +143,12 @@
                 self.read(world, rng, now, out);
             }
             Message::Arrival => self.arrival(world, rng, now, out),
-            Message::Timer(cluster, timer) => self.decide(world, rng, now, cluster, Event::Timer(timer), out),
+            Message::Timer(cluster, timer) => {
+                self.decide(world, rng, now, cluster, Event::TimerFired(timer), out)
+            }
             Message::Attempt(cluster, attempt) => self.attempt(world, rng, now, (cluster, attempt), out),
             Message::Checked(cluster, endpoint, outcome, took) => {
-                let event = Event::Checked { endpoint, outcome, took, load: None };
+                let event = Event::HealthCheckCompleted { endpoint, outcome, duration: took, load: None };
                 self.decide(world, rng, now, cluster, event, out);
             }
             _ => {}
@@ -166,7 +170,7 @@
     /// Reads what the pace of the conversation allows.
     fn read(&mut self, world: &World, rng: &mut Pcg64Mcg, now: Nanos, out: &mut Outbox<World>) {
         while !self.unread.is_empty() {
-            let at = self.talk.reads_at();
+            let at = self.talk.next_read_at();
             if at > now {
                 if !self.reads {
                     self.reads = true;
@@ -195,12 +199,12 @@
                 }
                 Output::Send(request) => {
                     let heard = match *request {
-                        conversation::Request::World(request) => Heard::World(request),
-                        conversation::Request::Delta(request) => Heard::Delta(request),
+                        session::Request::World(request) => Heard::World(request),
+                        session::Request::Delta(request) => Heard::Delta(request),
                     };
                     out.send(0, now + LATENCY, Message::Request(self.id, self.link.0, Box::new(heard)));
                 }
-                Output::Tell(event) => self.hear(world, rng, now, event, out),
+                Output::Notify(event) => self.hear(world, rng, now, event, out),
                 Output::Log(_) => {}
             }
         }
@@ -224,28 +228,29 @@
                     let cluster = (0..world.plan.clusters).find(|at| name(*at) == change.cluster.as_str());
                     let Some(cluster) = cluster else { continue };
                     let mut entries = Vec::new();
-                    for (id, state) in
-                        change.removed.iter().map(|id| (id, State::Gone)).chain(
-                            change.upserted.iter().map(|upserted| (&upserted.endpoint.name, State::Ready)),
-                        )
-                    {
+                    for (id, state) in change.removed.iter().map(|id| (id, EndpointState::Removed)).chain(
+                        change
+                            .upserted
+                            .iter()
+                            .map(|upserted| (&upserted.endpoint.name, EndpointState::Ready)),
+                    ) {
                         let Some(&number) = self.known.get(id.as_str()) else { continue };
                         let endpoint = EndpointId(number - world.fleet.first[cluster as usize]);
-                        let is_new = state == State::Ready;
+                        let is_new = state == EndpointState::Ready;
                         let mark = mark(number);
                         self.held =
                             if is_new { self.held.wrapping_add(mark) } else { self.held.wrapping_sub(mark) };
-                        entries.push(Entry { state, ..Entry::ready(endpoint, id.as_str()) });
+                        entries.push(EndpointEntry { state, ..EndpointEntry::ready(endpoint, id.as_str()) });
                     }
-                    let event = Event::List(ListChange::Delta(entries));
+                    let event = Event::Endpoints(EndpointUpdate::Delta(entries));
                     self.decide(world, rng, now, cluster, event, out);
                 }
-                Told::AskAgain { cluster, .. } => asks.push(cluster),
+                Told::RefetchRequested { cluster, .. } => asks.push(cluster),
                 _ => {}
             }
         }
         for cluster in asks {
-            self.talk(world, rng, now, Input::Ask(cluster), out);
+            self.talk(world, rng, now, Input::Refetch(cluster), out);
         }
         if self.newest.is_none() && now >= world.plan.back() && self.held == world.newest {
             self.newest = Some(now);
@@ -262,7 +267,7 @@
         self.requests[when].taken += 1;
         self.open.insert(id, Open { when, deadline: now + PATIENCE, attempts: 0 });
         let request = Request::new(RequestId(id), ClassId(0), PATIENCE);
-        self.decide(world, rng, now, cluster, Event::Request(request), out);
+        self.decide(world, rng, now, cluster, Event::RequestArrived(request), out);
     }
 
     fn attempt(
@@ -280,8 +285,16 @@
             self.end(request, outcome == Outcome::Ok);
         }
         let (request, took) = (RequestId(request), now - sent);
-        let end = AttemptEnd { request, attempt, endpoint, outcome, took, over, load: None };
-        self.decide(world, rng, now, cluster, Event::Outcome(end), out);
+        let end = AttemptEnd {
+            request,
+            attempt,
+            endpoint,
+            outcome,
+            duration: took,
+            request_completed: over,
+            load: None,
+        };
+        self.decide(world, rng, now, cluster, Event::AttemptEnded(end), out);
     }
 
     fn end(&mut self, request: u64, answered: bool) {
@@ -307,7 +320,7 @@
         balancer.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, endpoint, cap, .. } => {
+                Action::StartAttempt { request, endpoint, timeout: cap, .. } => {
                     let Some(open) = self.open.get_mut(&request.0) else { continue };
                     let attempt = open.attempts;
                     open.attempts += 1;
@@ -326,7 +339,7 @@
                     let attempt = Attempt { request: request.0, attempt, endpoint, outcome, sent: now };
                     out.wake(at, Message::Attempt(cluster, attempt));
                 }
-                Action::Check(endpoint) => {
+                Action::StartHealthCheck(endpoint) => {
                     let server = world.fleet.server(cluster, endpoint);
                     let outcome = if lives(server, now) { Outcome::Ok } else { Outcome::ConnectFailed };
                     let took = 2 * LATENCY;
