--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use crate::bodies::Budget;
-use crate::clock::Clock;
+use crate::clock::{Clock, SystemClocks};
 use crate::clusters::{Clusters, Routing, Start};
 use crate::config::{Changes, Config};
 use crate::descriptors::Descriptors;
@@ -234,7 +234,9 @@
         let longest = config.site.settings.classes.iter().map(|class| class.give_up).max();
         let times = shutdown::Times::new(Duration::from_nanos(longest.unwrap_or(0)));
         let stats = console.is_some().then(|| Arc::new(Stats::new(config.site.classes.names())));
-        let (site, clock) = (Rc::new(RefCell::new(config.site)), Clock::start());
+        let site = Rc::new(RefCell::new(config.site));
+        let handed_clock = taken_over.as_ref().and_then(|state| state.clock);
+        let clock = Clock::starting(&SystemClocks, handed_clock);
         let (routing, catalog) = match operators {
             Some(operators) => with_catalog(operators, seed, clock, &log).map(|(r, c)| (r, Some(c)))?,
             None => (Routing::default(), None),
--- a/crates/proxy/src/clusters.rs
+++ b/crates/proxy/src/clusters.rs
@@ -2,7 +2,7 @@
 
 use crate::bodies::Budget;
 use crate::catalog::{Numbered, Step};
-use crate::clock::Clock;
+use crate::clock::{Clock, SystemClocks};
 use crate::config::Changes;
 use crate::console::call::{Call, No};
 use crate::descriptors::Descriptors;
@@ -61,7 +61,8 @@
     pub fn start(config: Start, log: &Logger) -> Rc<Clusters> {
         let Start { site, clock, seed, descriptors, discovery, known, routing, budget, stats, taken_over } =
             config;
-        let State { list, knowledge, out, back, .. } = taken_over.unwrap_or_default();
+        let State { list, knowledge, out, back, list_complete_at, start_times, .. } =
+            taken_over.unwrap_or_default();
         let shared = Rc::new(Shared {
             clock,
             site,
@@ -70,6 +71,7 @@
             budget,
             stats,
             by_hand: (out, back),
+            starts: (list_complete_at, start_times),
         });
         let Routing { named, rules, overrides } = routing;
         let at = |name: ClusterName| named.iter().position(|known| *known == name).unwrap_or(0);
@@ -100,6 +102,12 @@
         Rc::new(clusters)
     }
 
+    /// The platform's own cluster, if anything leads to it.
+    #[cfg(test)]
+    pub fn own(&self) -> Option<Rc<Driver>> {
+        self.registry.clone()
+    }
+
     /// Another address of discovery's holds from now on.
     pub fn adopt(&self, changes: &Changes) {
         self.registry.iter().for_each(|driver| driver.adopt(changes.discovery));
@@ -136,8 +144,11 @@
         let mut state = State {
             knowledge,
             list: self.registry.as_ref().map(|driver| driver.held_list()),
+            clock: Some(self.shared.clock.reading(&SystemClocks)),
+            list_complete_at: self.registry.as_ref().and_then(|driver| driver.list_complete_at()),
             ..State::default()
         };
+        self.drivers().iter().for_each(|driver| state.start_times.extend(driver.start_times()));
         for (out, back) in self.drivers().iter().map(|driver| driver.by_hand()) {
             state.out.extend(out);
             state.back.extend(back);
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -53,6 +53,8 @@
 pub trait Subscriber {
     /// A list or a change came.
     fn news(&self, news: News<'_>);
+    /// Discovery says that the list as it was told is all there is at this moment.
+    fn list_is_complete(&self);
 }
 
 /// The way to discovery. Calls go on until this is dropped.
@@ -222,7 +224,10 @@
             lines.push(&chunk?);
             while let Some(line) = lines.next()? {
                 match (asks, line) {
-                    (Asks::Changes, Line::Empty) => _ = self.handle(pursuit, Event::Line(id)),
+                    (Asks::Changes, Line::Empty) => {
+                        self.handle(pursuit, Event::Line(id));
+                        self.confirm_list(pursuit, id);
+                    }
                     (Asks::Changes, Line::Object(text)) => {
                         self.handle(pursuit, Event::Line(id));
                         self.tell(asks, id, &text)?;
@@ -261,8 +266,19 @@
             return Err(older.into());
         }
         subscriber.news(news);
+        subscriber.list_is_complete();
         Ok(())
     }
+
+    /// Passes on that nothing has changed since the last object that came.
+    fn confirm_list(&self, pursuit: &Pursuit, id: CallId) {
+        if !pursuit.watch.borrow().is_out(id) {
+            return; // dropped meanwhile
+        }
+        if let Some(subscriber) = self.subscriber.upgrade() {
+            subscriber.list_is_complete();
+        }
+    }
 }
 
 /// The end of the call that is out.
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -14,6 +14,7 @@
 use crate::stages::book::Book;
 use crate::stages::context::{Context, Decisions, Limits};
 use crate::stages::{route, send};
+use crate::start_times::{StartTime, StartTimes};
 use crate::stats::{Pool, Stats};
 use crate::trace;
 use olivecart_decisions::{
@@ -52,6 +53,8 @@
     pub stats: Option<Arc<Stats>>,
     /// What an earlier process had out by hand, and had put back.
     pub by_hand: (BTreeSet<String>, BTreeMap<String, Nanos>),
+    /// When it knew its list to be complete last, and when endpoints started for it.
+    pub starts: (Option<Nanos>, BTreeMap<String, StartTime>),
 }
 
 /// The decisions of one cluster and all that they act on.
@@ -62,6 +65,8 @@
     balancer: RefCell<Balancer>,
     /// What operators said over the list.
     overlay: RefCell<Overlay>,
+    /// When its endpoints started.
+    starts: RefCell<StartTimes>,
     /// Where the platform's own cluster comes from.
     discovery: Option<Discovery>,
     /// Of the list that is held.
@@ -102,6 +107,7 @@
             )),
             shared: shared.clone(),
             overlay: RefCell::new(Overlay::restored(&shared.by_hand.0, &shared.by_hand.1)),
+            starts: RefCell::new(StartTimes::restored(shared.starts.0, &shared.starts.1)),
             version: Cell::new(0),
             balancer: RefCell::new(Balancer::new(settings, seed, shared.clock.now())),
             discovery: discovery.map(|at| Discovery::new(at, this.clone(), seed, log.clone())),
@@ -142,6 +148,7 @@
     /// The list as it is held, in discovery's form.
     pub fn held_list(&self) -> String {
         let (overlay, site) = (self.overlay.borrow(), self.shared.site.borrow());
+        let starts = self.starts.borrow();
         let endpoint = |(entry, addr): &'_ Place| Endpoint {
             name: entry.name.to_string().into(),
             state: entry.state,
@@ -149,7 +156,7 @@
             kind: site.kinds.name(entry.kind.0.into()).map_or("".into(), |name| name.to_string().into()),
             cell: entry.cell.0,
             size: entry.size,
-            started: entry.started,
+            started: starts.listed(&entry.name, entry.started),
             addr: *addr,
         };
         let endpoints = overlay.listed().map(endpoint).collect();
@@ -164,6 +171,16 @@
         (out.map(|name| name.to_string()).collect(), back)
     }
 
+    /// Endpoints that count as started at another time than the list says.
+    pub fn start_times(&self) -> Vec<(String, StartTime)> {
+        self.starts.borrow().amended().collect()
+    }
+
+    /// When the list was last known to be complete.
+    pub fn list_complete_at(&self) -> Option<Nanos> {
+        self.starts.borrow().complete_at()
+    }
+
     /// Another address of discovery's holds from now on.
     pub fn adopt(&self, discovery: SocketAddr) {
         self.discovery.iter().for_each(|own| own.move_to(discovery));
@@ -181,23 +198,38 @@
         self.discovery.iter().for_each(|discovery| discovery.holds(version));
         let mut entries = Vec::with_capacity(named);
         for endpoint in &news.endpoints {
-            let entry = numbered(&mut self.shared.site.borrow_mut(), endpoint);
+            let entry = self.dated(numbered(&mut self.shared.site.borrow_mut(), endpoint));
             let entry = self.overlay.borrow_mut().pass(entry, endpoint.addr);
             trace::listed(&self.log, &entry);
             self.place(&entry, endpoint.addr);
             entries.push(entry);
         }
+        self.bound_start_times();
         self.tell_list(change(entries));
     }
 
     /// Takes in changed endpoints in the numbers of whoever brings them, and tells the decisions.
     pub fn change(&self, changed: impl Iterator<Item = (Entry, Option<SocketAddr>)>) {
         let noted = |(entry, addr): (Entry, _)| {
-            let entry = self.overlay.borrow_mut().pass(entry, addr);
+            let entry = self.overlay.borrow_mut().pass(self.dated(entry), addr);
             self.place(&entry, addr);
             entry
         };
-        self.tell_list(ListChange::Delta(changed.map(noted).collect()));
+        let changed = changed.map(noted).collect();
+        self.bound_start_times();
+        self.tell_list(ListChange::Delta(changed));
+    }
+
+    /// An endpoint with the start time that counts for it.
+    fn dated(&self, entry: Entry) -> Entry {
+        let now = self.shared.clock.now();
+        let started = self.starts.borrow_mut().effective(&entry.name, entry.started, now);
+        Entry { started, ..entry }
+    }
+
+    fn bound_start_times(&self) {
+        let overlay = self.overlay.borrow();
+        self.starts.borrow_mut().bound(|name| overlay.is_listed(name));
     }
 
     fn place(&self, entry: &Entry, addr: Option<SocketAddr>) {
@@ -373,6 +405,10 @@
     fn news(&self, news: News<'_>) {
         self.list(&news, if news.full { ListChange::Full } else { ListChange::Delta });
     }
+
+    fn list_is_complete(&self) {
+        self.starts.borrow_mut().list_is_complete(self.shared.clock.now());
+    }
 }
 
 /// An endpoint in the module's numbers; what is new gets one.
--- a/crates/proxy/src/handover/message.rs
+++ b/crates/proxy/src/handover/message.rs
@@ -1,6 +1,8 @@
 //! What the two processes say to each other: a JSON object a line.
 
 use super::core::ByHand;
+use crate::clock::ClockReading;
+use crate::start_times::StartTime;
 use olivecart_decisions::Knowledge;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,8 +42,17 @@
     pub knowledge: Option<Knowledge>,
     /// Backends out by hand.
     pub out: BTreeSet<String>,
-    /// When others were put back, in nanoseconds of Unix time.
+    /// When others were put back, on the process's clock.
     pub back: BTreeMap<String, u64>,
+    /// The process's clock, which all times here are on; none from builds that did not hand it over.
+    #[serde(default)]
+    pub clock: Option<ClockReading>,
+    /// When the list was last known to be complete.
+    #[serde(default)]
+    pub list_complete_at: Option<u64>,
+    /// Endpoints that count as started at another time than the list says.
+    #[serde(default)]
+    pub start_times: BTreeMap<String, StartTime>,
 }
 
 impl From<ByHand> for Message {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -31,6 +31,7 @@
 mod shutdown;
 mod sidecar;
 mod stages;
+mod start_times;
 mod stats;
 mod tools;
 mod trace;
--- a/crates/proxy/src/overlay.rs
+++ b/crates/proxy/src/overlay.rs
@@ -99,6 +99,11 @@
         ready.peek().is_some() && ready.all(|(entry, _)| self.out.contains(&entry.name))
     }
 
+    /// Whether the list names an endpoint.
+    pub fn is_listed(&self, name: &str) -> bool {
+        self.listed.contains_key(name)
+    }
+
     /// What is listed, by name.
     pub fn listed(&self) -> impl Iterator<Item = &Place> {
         self.listed.values()
