--- a/crates/proxy/src/console/mod.rs
+++ b/crates/proxy/src/console/mod.rs
@@ -5,9 +5,10 @@
 
 pub mod call;
 
+use crate::accept::Acceptor;
 use crate::stats::Stats;
 use call::{Call, No};
-use slog::{Logger, debug, info, warn};
+use slog::{Logger, info, warn};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
@@ -19,7 +20,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
-use tokio::time::{sleep, timeout};
+use tokio::time::timeout;
 
 /// Connections at a time; so many descriptors are set aside for them.
 pub const CONNECTIONS: usize = 24;
@@ -103,17 +104,10 @@
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
+        let mut acceptor = Acceptor::new(listener, "console", self.log.clone());
         for number in 0.. {
             self.make_room().await;
-            let stream = loop {
-                match listener.accept().await {
-                    Ok((stream, _)) => break stream,
-                    Err(e) => {
-                        debug!(self.log, "console: accept failed"; "error" => %e);
-                        sleep(FRESH).await;
-                    }
-                }
-            };
+            let (stream, _) = acceptor.accept(|| _ = self.give_up_oldest(FRESH)).await;
             let open = Open(self.open.clone(), self.left.clone());
             let serving = self.clone().serve(number, stream, open);
             let task = spawn_local(serving).abort_handle();
@@ -125,20 +119,25 @@
     /// moment to make it.
     async fn make_room(&self) {
         while Rc::strong_count(&self.open) > CONNECTIONS {
-            let oldest = self.owed.borrow().front().map(|(_, since, _)| since.elapsed());
-            let wait = match oldest {
-                Some(age) if age >= FRESH => {
-                    let given_up = self.owed.borrow_mut().pop_front();
-                    given_up.into_iter().for_each(|(_, _, task)| task.abort());
-                    FRESH
-                }
-                Some(age) => FRESH - age,
-                None => FRESH,
-            };
+            let wait = self.give_up_oldest(FRESH);
             let _ = timeout(wait, self.left.notified()).await;
         }
     }
 
+    /// Gives up the oldest connection without a whole call, if it is of that age at least. How long to wait for room.
+    fn give_up_oldest(&self, least_age: Duration) -> Duration {
+        let oldest = self.owed.borrow().front().map(|(_, since, _)| since.elapsed());
+        match oldest {
+            Some(age) if age >= least_age => {
+                let given_up = self.owed.borrow_mut().pop_front();
+                given_up.into_iter().for_each(|(_, _, task)| task.abort());
+                least_age
+            }
+            Some(age) => least_age - age,
+            None => least_age,
+        }
+    }
+
     async fn serve(self: Rc<Self>, number: u64, mut stream: TcpStream, _open: Open) {
         let call = timeout(WHOLE, receive(&mut stream)).await;
         self.owed.borrow_mut().retain(|(other, ..)| *other != number);
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -9,6 +9,7 @@
 pub use message::State;
 
 use self::core::{Action, ByHand, Core, Event, Side};
+use crate::accept::Acceptor;
 use message::{LONGEST, Message, PROTOCOL};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -337,23 +338,17 @@
 }
 
 async fn accept(listener: UnixListener, handover: Weak<Handover>) {
+    let Some(log) = handover.upgrade().map(|handover| handover.log.clone()) else { return };
+    let mut acceptor = Acceptor::new(listener, "upgrade", log.clone());
     loop {
-        let accepted = listener.accept().await;
+        let stream = acceptor.accept(|| {}).await; // it has nothing to give up
         let Some(handover) = handover.upgrade() else { return };
-        match accepted {
-            Ok((stream, _)) => {
-                let log = handover.log.clone();
-                actix_rt::spawn(async move {
-                    if let Err(e) = handover.let_in(stream).await {
-                        warn!(log, "a process was not let in"; "error" => %e);
-                    }
-                });
-            }
-            Err(e) => {
-                warn!(handover.log, "upgrade: accept failed"; "error" => %e);
-                tokio::time::sleep(SAYS).await;
+        let log = log.clone();
+        actix_rt::spawn(async move {
+            if let Err(e) = handover.let_in(stream).await {
+                warn!(log, "a process was not let in"; "error" => %e);
             }
-        }
+        });
     }
 }
 
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -1,5 +1,6 @@
 //! The clients' side: accepts connections, speaks HTTP on them, and takes each request through the stages.
 
+use crate::accept::{Accept, Acceptor};
 use crate::bodies::{Budget, Download};
 use crate::call::{AnswerBody, Body, Call, Verdict};
 use crate::clients::{Client, Clients, Connection, Stream};
@@ -22,7 +23,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 use tokio::time::timeout;
 
@@ -171,7 +172,11 @@
 }
 
 /// Accepts connections for good.
-pub async fn serve(listener: TcpListener, gate: Rc<Gate>) {
+pub async fn serve<L>(listener: L, gate: Rc<Gate>)
+where
+    L: Accept<Connection = (TcpStream, SocketAddr)>,
+{
+    let mut acceptor = Acceptor::new(listener, "clients", gate.log.clone());
     let handler_gate = gate.clone();
     let mut accepting = gate.accepting.subscribe();
     // Timeouts are enforced in clients.rs: actix-http has one for the head of a first request only. The close is
@@ -193,19 +198,10 @@
             return; // the gate is gone
         }
         gate.make_room().await;
-        let accepted = tokio::select! {
+        let (stream, peer) = tokio::select! {
             biased;
             _ = accepting.wait_for(|accepting| !*accepting) => continue,
-            accepted = listener.accept() => accepted,
-        };
-        let (stream, peer) = match accepted {
-            Ok(accepted) => accepted,
-            Err(e) => {
-                // Out of descriptors, or the peer went away at once: neither ends the proxy.
-                warn!(gate.log, "accept failed"; "error" => %e);
-                tokio::time::sleep(Duration::from_millis(10)).await;
-                continue;
-            }
+            accepted = acceptor.accept(|| gate.clients.make_room()) => accepted,
         };
         let client = gate.clients.enter();
         let _ = stream.set_nodelay(true);
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,6 +3,7 @@
 //! A request passes the stages in [`stages`]; [`driver`] puts what happens to the module and does what it
 //! answers; [`platform`] alone knows the names of this protocol.
 
+mod accept;
 mod answer;
 mod backends;
 mod bodies;
--- a/crates/proxy/src/sidecar/admin.rs
+++ b/crates/proxy/src/sidecar/admin.rs
@@ -2,6 +2,7 @@
 //! word to end.
 
 use super::Sidecar;
+use crate::accept::Acceptor;
 use actix_http::{HttpService, Method, Request, Response, StatusCode};
 use actix_service::{IntoServiceFactory, Service, ServiceFactory, fn_service};
 use bytes::Bytes;
@@ -23,33 +24,26 @@
 
 /// Serves for good.
 pub async fn serve(listener: TcpListener, sidecar: Rc<Sidecar>, log: Logger) {
-    let service = HttpService::build()
-        .client_request_timeout(Duration::from_secs(2))
-        .h1(fn_service(move |request: Request| {
+    let service = HttpService::build().client_request_timeout(Duration::from_secs(2)).h1(fn_service(
+        move |request: Request| {
             let answer = answer(&sidecar, &request);
             async move { Ok::<_, Infallible>(answer) }
-        })
-        .into_factory())
-        .tcp();
+        },
+    )
+    .into_factory());
     let Ok(service) = service.new_service(()).await else {
         return warn!(log, "the admin service did not start");
     };
     let (service, room) = (Rc::new(service), Arc::new(Semaphore::new(MOST)));
+    let mut acceptor = Acceptor::new(listener, "admin", log);
     loop {
         let Ok(permit) = room.clone().acquire_owned().await else { return };
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                let service = service.clone();
-                actix_rt::spawn(async move {
-                    let _ = service.call(stream).await;
-                    drop(permit);
-                });
-            }
-            Err(error) => {
-                warn!(log, "accept failed"; "error" => %error);
-                tokio::time::sleep(Duration::from_millis(10)).await;
-            }
-        }
+        let (stream, peer) = acceptor.accept(|| {}).await; // its few connections are all in use
+        let service = service.clone();
+        actix_rt::spawn(async move {
+            let _ = service.call((stream, Some(peer))).await;
+            drop(permit);
+        });
     }
 }
 
