--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -4,7 +4,7 @@
 //! between two; or is being closed (`closing.rs`). One with a request in flight is never cut off. The others are kept in
 //! the order in which they came to be what they are, so that nothing here looks at all connections.
 
-mod stream;
+pub mod stream;
 
 use crate::closing::{Closing, Event, Step};
 use std::cell::{Cell, RefCell};
--- a/crates/proxy/src/clients/stream.rs
+++ b/crates/proxy/src/clients/stream.rs
@@ -10,6 +10,7 @@
 
 use super::{Client, Ending, State};
 use crate::closing::{Event, Step};
+use crate::interrupted::poll_uninterrupted;
 use actix_rt::net::{ActixStream, Ready};
 use bytes::{Buf, BytesMut};
 use futures_util::FutureExt;
@@ -33,9 +34,27 @@
 /// Bytes read at a time where they are dropped or kept here.
 const READ: usize = 16 * 1024;
 
+/// The system calls on a client's socket. Tests have one whose calls fail.
+pub trait ClientSocket: ActixStream {
+    /// The socket itself, for what the runtime knows of it.
+    fn tcp(&self) -> &TcpStream;
+    /// Reads what has come, whether or not the runtime has heard of it.
+    fn read_directly(&self, buf: &mut [u8]) -> io::Result<usize>;
+}
+
+impl ClientSocket for TcpStream {
+    fn tcp(&self) -> &TcpStream {
+        self
+    }
+
+    fn read_directly(&self, buf: &mut [u8]) -> io::Result<usize> {
+        (&*SockRef::from(self)).read(buf)
+    }
+}
+
 /// One connection, shared between the HTTP library and the task that ends it.
-pub struct Connection {
-    stream: RefCell<TcpStream>,
+pub struct Connection<S = TcpStream> {
+    stream: RefCell<S>,
     client: Rc<Client>,
     /// Read and not yet given to the library.
     ahead: RefCell<BytesMut>,
@@ -52,11 +71,11 @@
 }
 
 /// The HTTP library's end of it.
-pub struct Stream(pub Rc<Connection>);
+pub struct Stream<S = TcpStream>(pub Rc<Connection<S>>);
 
-impl Connection {
+impl<S: ClientSocket> Connection<S> {
     /// A connection that was accepted.
-    pub fn new(stream: TcpStream, client: Rc<Client>) -> Connection {
+    pub fn new(stream: S, client: Rc<Client>) -> Connection<S> {
         let (ahead, flag) = (RefCell::default(), || Cell::new(false));
         let stream = RefCell::new(stream);
         Connection {
@@ -167,12 +186,12 @@
         let before = buf.filled().len();
         let mut read = self.read_on(cx, buf);
         if read.is_pending() && self.ends_unless_spoken_on() {
-            read = match self.read_now(buf) {
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {
+            read = match self.read_now(cx, buf) {
+                Poll::Ready(Err(e)) if e.kind() == ErrorKind::WouldBlock => {
                     client.ends(Ending::Now);
                     return Poll::Ready(Ok(()));
                 }
-                read => Poll::Ready(read),
+                read => read,
             };
         }
         match &read {
@@ -208,21 +227,24 @@
 
     fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.untried.get() {
-            match self.read_now(buf) {
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.untried.set(false),
-                read => return Poll::Ready(read),
+            match self.read_now(cx, buf) {
+                Poll::Ready(Err(e)) if e.kind() == ErrorKind::WouldBlock => self.untried.set(false),
+                read => return read,
             }
         }
-        Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf)
+        let mut stream = self.stream.borrow_mut();
+        poll_uninterrupted(cx, |cx| Pin::new(&mut *stream).poll_read(cx, buf))
     }
 
     /// What the socket has, whether or not the runtime has heard of it. Danger: of what came in this turn it has not.
-    fn read_now(&self, buf: &mut ReadBuf<'_>) -> io::Result<()> {
+    /// Pending, with the task woken, where it was interrupted too often in a row to know; nothing to read is an error.
+    fn read_now(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let stream = self.stream.borrow();
-        let socket = SockRef::from(&*stream);
-        let read = (&*socket).read(buf.initialize_unfilled())?;
-        buf.advance(read);
-        Ok(())
+        poll_uninterrupted(cx, |_| {
+            let read = stream.read_directly(buf.initialize_unfilled())?;
+            buf.advance(read);
+            Poll::Ready(Ok(()))
+        })
     }
 
     /// Sees to it that the client's end is heard of while the library waits for nothing from it.
@@ -261,6 +283,7 @@
     /// The end of the stream behind bytes that are left unread: back-pressure for who sends them.
     fn poll_end(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let stream = self.stream.borrow();
+        let stream = stream.tcp();
         loop {
             match stream.ready(Interest::READABLE).now_or_never() {
                 Some(Ok(ready)) if !ready.is_read_closed() => {}
@@ -278,20 +301,21 @@
     }
 }
 
-impl AsyncRead for Stream {
+impl<S: ClientSocket> AsyncRead for Stream<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         self.0.poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Stream {
+impl<S: ClientSocket> AsyncWrite for Stream<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let Connection { stream, client, .. } = &*self.0;
         // Danger: nothing else bounds how long the library waits for a client that does not read its answer.
         if client.is_given_up() {
             return Poll::Ready(Err(ErrorKind::TimedOut.into()));
         }
-        let wrote = Pin::new(&mut *stream.borrow_mut()).poll_write(cx, buf);
+        let mut stream = stream.borrow_mut();
+        let wrote = poll_uninterrupted(cx, |cx| Pin::new(&mut *stream).poll_write(cx, buf));
         if matches!(wrote, Poll::Ready(Ok(n)) if n > 0) {
             client.close_after(Event::Wrote);
         }
@@ -309,7 +333,7 @@
     }
 }
 
-impl ActixStream for Stream {
+impl<S: ClientSocket> ActixStream for Stream<S> {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&*self.0.stream.borrow(), cx)
     }
--- a/crates/proxy/src/clients/stream/tests.rs
+++ b/crates/proxy/src/clients/stream/tests.rs
@@ -1,5 +1,6 @@
 use super::super::{Clients, FRESH, IDLE, SLOW};
 use super::*;
+use crate::interrupted::tests::{InterruptedSocket, Interruptions};
 use std::io::Write;
 use std::net::Shutdown;
 use std::time::Duration;
@@ -222,3 +223,96 @@
         assert_eq!(ended.expect_err("not taken").kind(), ErrorKind::TimedOut);
     });
 }
+
+/// A client, and its connection with a socket whose calls are interrupted.
+async fn interrupted() -> (std::net::TcpStream, Rc<Connection<Interrupted>>, Interruptions) {
+    let (peer, connection, _) = connected().await;
+    let Ok(connection) = Rc::try_unwrap(connection) else { panic!("nobody else holds it") };
+    let interruptions = Interruptions::default();
+    let socket =
+        InterruptedSocket { socket: connection.stream.into_inner(), interruptions: interruptions.clone() };
+    (peer, Rc::new(Connection::new(socket, connection.client)), interruptions)
+}
+
+type Interrupted = InterruptedSocket<TcpStream>;
+
+/// Runs a connection whose library reads nothing, and says when it has ended.
+fn serve_unread(connection: &Rc<Connection<Interrupted>>) {
+    let connection = connection.clone();
+    spawn_local(async move { connection.serve(std::future::pending::<()>()).await });
+}
+
+#[test]
+fn a_hundred_interruptions_while_a_request_is_in_flight_do_not_cancel_it_and_its_clients_end_is_heard() {
+    for whole in [true, false] {
+        play(async {
+            let (mut peer, connection, interruptions) = interrupted().await;
+            let client = connection.client().clone();
+            client.in_flight(whole);
+            connection.untried.set(true);
+            interruptions.reads.set(100);
+            interruptions.direct_reads.set(100);
+            serve_unread(&connection);
+            peer.write_all(b"more").expect("taken");
+            while connection.ahead.borrow().len() < 4 && !client.has_gone() {
+                yield_now().await;
+            }
+            assert!(!client.has_gone(), "an interruption counts as its end");
+            assert_eq!((interruptions.reads.get(), interruptions.direct_reads.get()), (0, 0));
+            drop(peer);
+            client.gone().await;
+        });
+    }
+}
+
+#[test]
+fn a_hundred_interruptions_of_the_last_look_before_a_close_lose_no_request() {
+    for comes in [true, false] {
+        play(async {
+            let (mut peer, connection, interruptions) = interrupted().await;
+            let client = connection.client().clone();
+            client.in_flight(true);
+            client.idles();
+            let reading = {
+                let connection = connection.clone();
+                let mut stream = Stream(connection.clone());
+                spawn_local(async move {
+                    let mut space = [0; 64];
+                    let read = connection.serve(stream.read(&mut space)).await;
+                    read.map(|n| space[..n].to_vec())
+                })
+            };
+            while !connection.waits.get() {
+                yield_now().await;
+            }
+            if comes {
+                peer.write_all(b"GET").expect("taken");
+                let mut space = [MaybeUninit::uninit(); 64];
+                let mut there =
+                    || SockRef::from(connection.stream.borrow().tcp()).peek(&mut space).is_ok_and(|n| n >= 3);
+                while !there() {}
+            }
+            interruptions.direct_reads.set(100);
+            interruptions.reads.set(100);
+            client.all.retire();
+            let read = reading.await.expect("no panic").expect("no error");
+            assert_eq!(read, if comes { &b"GET"[..] } else { b"" });
+            assert_eq!(client.is_ending(), !comes);
+        });
+    }
+}
+
+#[test]
+fn a_hundred_interruptions_of_writes_lose_no_byte_of_an_answer() {
+    play(async {
+        let (mut peer, connection, interruptions) = interrupted().await;
+        interruptions.writes.set(100);
+        let mut stream = Stream(connection.clone());
+        // One call, as the HTTP library makes it.
+        assert_eq!(connection.serve(stream.write(b"answer")).await.expect("no error"), 6);
+        assert_eq!(interruptions.writes.get(), 0);
+        let mut answer = [0; 6];
+        peer.read_exact(&mut answer).expect("all of it");
+        assert_eq!(&answer, b"answer");
+    });
+}
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -152,3 +152,34 @@
     clients.expire_at(since + SLOW);
     assert!(is_ending(&silent) && !silent.is_ending(), "after a last look");
 }
+
+/// Longest that a client which stops in the middle of its request and stays waits for its error or a close.
+const LONGEST_WAIT: Duration = Duration::from_secs(3);
+
+#[test]
+fn clients_that_stop_anywhere_in_a_request_and_stay_are_ended_within_three_seconds() {
+    let clients: Rc<Clients> = Rc::default();
+    let [silent, partial, trickles, uploads, again] = [0; 5].map(|_| clients.enter());
+    partial.came();
+    trickles.came();
+    uploads.came();
+    uploads.uploads();
+    // A second request on a connection that has had its answer.
+    again.in_flight(true);
+    again.idles();
+    again.came();
+    // The last byte of a head that never ends came just now; its first one long before.
+    let stopped = Instant::now();
+    trickles.came();
+    // Ended no later than the tick before the wait is over, since ticks come that far apart.
+    clients.expire_at(stopped + LONGEST_WAIT - crate::listen::TIMEOUTS);
+    for (what, client) in
+        [("partial", &partial), ("trickles", &trickles), ("uploads", &uploads), ("again", &again)]
+    {
+        assert!(client.is_ending(), "{what}");
+        // Nothing is to be written for it, so that the close is seen at once.
+        client.close_after(Event::Flushed);
+        assert_eq!(client.next_step(stopped), Step::HalfClose, "{what}");
+    }
+    assert!(is_ending(&silent), "after a last look");
+}
--- a/crates/proxy/src/console/mod.rs
+++ b/crates/proxy/src/console/mod.rs
@@ -6,6 +6,7 @@
 pub mod call;
 
 use crate::accept::Acceptor;
+use crate::interrupted::Uninterrupted;
 use crate::stats::Stats;
 use call::{Call, No};
 use slog::{Logger, info, warn};
@@ -138,7 +139,8 @@
         }
     }
 
-    async fn serve(self: Rc<Self>, number: u64, mut stream: TcpStream, _open: Open) {
+    async fn serve(self: Rc<Self>, number: u64, stream: TcpStream, _open: Open) {
+        let mut stream = Uninterrupted(stream);
         let call = timeout(WHOLE, receive(&mut stream)).await;
         self.owed.borrow_mut().retain(|(other, ..)| *other != number);
         let answer = match call {
@@ -175,7 +177,7 @@
 }
 
 /// A whole call. The outer error: there will be none.
-async fn receive(stream: &mut TcpStream) -> io::Result<Result<Call, No>> {
+async fn receive(stream: &mut Uninterrupted<TcpStream>) -> io::Result<Result<Call, No>> {
     let mut came = Vec::with_capacity(1024);
     loop {
         match call::read(&came) {
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -10,7 +10,9 @@
 
 use self::core::{Action, ByHand, Core, Event, Side};
 use crate::accept::Acceptor;
+use crate::interrupted::Uninterrupted;
 use message::{LONGEST, Message, PROTOCOL};
+use rustix::io::retry_on_intr;
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -130,7 +132,9 @@
     let mut bytes = vec![0; 64 * 1024];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
     let mut passed = RecvAncillaryBuffer::new(&mut space);
-    let read = recvmsg(link, &mut [IoSliceMut::new(&mut bytes)], &mut passed, RecvFlags::CMSG_CLOEXEC)?.bytes;
+    let mut buffers = [IoSliceMut::new(&mut bytes)];
+    let received = retry_on_intr(|| recvmsg(link, &mut buffers, &mut passed, RecvFlags::CMSG_CLOEXEC))?;
+    let read = received.bytes;
     let rights = |message| match message {
         RecvAncillaryMessage::ScmRights(fds) => Some(fds),
         _ => None,
@@ -245,7 +249,7 @@
     /// A process that asks to be let in.
     async fn let_in(self: Rc<Self>, mut stream: UnixStream) -> io::Result<()> {
         let mut line = Vec::new();
-        let hello = (&mut stream).take(LONGEST as u64);
+        let hello = Uninterrupted(&mut stream).take(LONGEST as u64);
         timeout(SAYS, BufReader::new(hello).read_until(b'\n', &mut line)).await??;
         if !matches!(serde_json::from_slice(&line), Ok(Message::Hello { protocol: PROTOCOL })) {
             return Err(io::Error::other("another protocol"));
@@ -274,10 +278,11 @@
             let mut passed = SendAncillaryBuffer::new(&mut space);
             let fds = [listener.as_fd()];
             passed.push(SendAncillaryMessage::ScmRights(&fds));
-            Ok(sendmsg(stream, &[IoSlice::new(&line[..1])], &mut passed, SendFlags::empty())?)
+            let first = [IoSlice::new(&line[..1])];
+            Ok(retry_on_intr(|| sendmsg(stream, &first, &mut passed, SendFlags::empty()))?)
         };
         let sent = stream.async_io(Interest::WRITABLE, || with_socket(stream)).await?;
-        stream.write_all(&line[sent..]).await
+        Uninterrupted(stream).write_all(&line[sent..]).await
     }
 
     /// Where lines to a process wait.
@@ -306,7 +311,7 @@
     }
 
     async fn read(self: &Rc<Self>, side: Side, reader: OwnedReadHalf, rest: Vec<u8>) -> io::Error {
-        let mut reader = BufReader::new(io::Cursor::new(rest).chain(reader));
+        let mut reader = BufReader::new(io::Cursor::new(rest).chain(Uninterrupted(reader)));
         loop {
             let mut line = Vec::new();
             match (&mut reader).take(LONGEST as u64).read_until(b'\n', &mut line).await {
@@ -325,7 +330,8 @@
         }
     }
 
-    async fn write(self: Rc<Self>, mut writer: OwnedWriteHalf, mut queue: mpsc::Receiver<Message>) {
+    async fn write(self: Rc<Self>, writer: OwnedWriteHalf, mut queue: mpsc::Receiver<Message>) {
+        let mut writer = Uninterrupted(writer);
         while let Some(message) = queue.recv().await {
             if writer.write_all(&message.line()).await.is_err() {
                 return;
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -32,7 +32,7 @@
 /// Longest wait for such a one to end before another is chosen.
 const ANOTHER: Duration = Duration::from_millis(5);
 /// How often it is seen whose time is up.
-const TIMEOUTS: Duration = Duration::from_millis(100);
+pub const TIMEOUTS: Duration = Duration::from_millis(100);
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -21,6 +21,7 @@
 mod discovery;
 mod driver;
 mod handover;
+mod interrupted;
 mod invariant;
 mod latency;
 mod listen;
--- a/crates/proxy/src/sidecar/admin.rs
+++ b/crates/proxy/src/sidecar/admin.rs
@@ -3,6 +3,7 @@
 
 use super::Sidecar;
 use crate::accept::Acceptor;
+use crate::interrupted::Uninterrupted;
 use actix_http::{HttpService, Method, Request, Response, StatusCode};
 use actix_service::{IntoServiceFactory, Service, ServiceFactory, fn_service};
 use bytes::Bytes;
@@ -41,7 +42,7 @@
         let (stream, peer) = acceptor.accept(|| {}).await; // its few connections are all in use
         let service = service.clone();
         actix_rt::spawn(async move {
-            let _ = service.call((stream, Some(peer))).await;
+            let _ = service.call((Uninterrupted(stream), Some(peer))).await;
             drop(permit);
         });
     }
