--- a/crates/proxy/src/handover/message.rs
+++ b/crates/proxy/src/handover/message.rs
@@ -3,7 +3,7 @@
 use super::core::ByHand;
 use crate::clock::ClockReading;
 use crate::start_times::StartTime;
-use olivecart_decisions::Knowledge;
+use olivecart_decisions::LearnedState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -39,7 +39,7 @@
     /// The list as it is held, in discovery's form.
     pub list: Option<String>,
     /// What the decisions have learned of it.
-    pub knowledge: Option<Knowledge>,
+    pub knowledge: Option<LearnedState>,
     /// Backends out by hand.
     pub out: BTreeSet<String>,
     /// When others were put back, on the process's clock.
