--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -6,6 +6,7 @@
 use crate::config::{Changes, Config};
 use crate::descriptors::Descriptors;
 use crate::handover::{self, Handover};
+use crate::listen::{AcceptControl, ListenerParts};
 use crate::operators::Operators;
 use crate::stats::Stats;
 use crate::{catalog, config_tool, console, listen, reload, shutdown, sidecar, tools, upgrade};
@@ -173,14 +174,14 @@
 async fn publish(
     stats: Arc<Stats>,
     clusters: Rc<Clusters>,
-    gate: Rc<listen::Gate>,
+    control: Rc<AcceptControl>,
     mut beside: Option<Rc<Handover>>,
 ) {
     let mut every = tokio::time::interval(PUBLISHED);
     loop {
         every.tick().await;
-        stats.publish(clusters.pool(), gate.is_ready());
-        if gate.is_ready() {
+        stats.publish(clusters.pool(), control.is_ready());
+        if control.is_ready() {
             beside.take().iter().for_each(|beside| beside.ready());
         }
     }
@@ -191,7 +192,7 @@
     mut changes: Receiver<console::Change>,
     stats: Arc<Stats>,
     clusters: Rc<Clusters>,
-    gate: Rc<listen::Gate>,
+    control: Rc<AcceptControl>,
     beside: Option<Rc<Handover>>,
 ) {
     while let Some(console::Change { call, done }) = changes.recv().await {
@@ -199,7 +200,7 @@
         if let (Ok(()), Some(beside), Some(change)) = (&answer, &beside, upgrade::told(&call)) {
             beside.by_hand(change);
         }
-        stats.publish(clusters.pool(), gate.is_ready());
+        stats.publish(clusters.pool(), control.is_ready());
         let _ = done.send(answer); // nobody waits any more; it is done all the same
     }
 }
@@ -208,7 +209,7 @@
     let (log, guard) = logger(config.name.clone());
     let done = actix_rt::System::new().block_on(async {
         let hang_up = reload::register()?; // before anything that takes time
-        let mut signals = shutdown::Signals::register()?;
+        let mut signals = shutdown::ShutdownSignals::register()?;
         let Config { listen, discovery, console, seed, sockets, bodies, known, origin, operators, .. } =
             config;
         // Danger: unregistered, the signal ends the program. Without an operators' file it does, as ever.
@@ -218,7 +219,7 @@
         let begun = match &console {
             Some(_) => Some(tokio::select! {
                 begun = upgrade::begin(listen, &log) => begun.map_err(|e| format!("listen: {listen}: {e}"))?,
-                () = signals.come() => return Ok(()), // nothing was taken yet
+                () = signals.received() => return Ok(()), // nothing was taken yet
             }),
             None => None,
         };
@@ -232,7 +233,7 @@
         let listener = tokio::net::TcpListener::from_std(listener)?;
         info!(log, "listening"; "on" => %listen, "version" => env!("CARGO_PKG_VERSION"));
         let longest = config.site.settings.classes.iter().map(|class| class.client_deadline).max();
-        let times = shutdown::Times::new(Duration::from_nanos(longest.unwrap_or(0)));
+        let times = shutdown::ShutdownTimes::new(Duration::from_nanos(longest.unwrap_or(0)));
         let stats = console.is_some().then(|| Arc::new(Stats::new(config.site.classes.names())));
         let site = Rc::new(RefCell::new(config.site));
         let handed_clock = taken_over.as_ref().and_then(|state| state.clock);
@@ -262,16 +263,16 @@
             actix_rt::spawn(clusters.clone().keep_reporting(asked.clone()));
             actix_rt::spawn(pass_on(ask, asked, catalog.report));
         }
-        let gate = Rc::new(listen::Gate::new(
-            clusters.routes.clone(),
+        let control = Rc::new(AcceptControl::new(ListenerParts {
+            routes: clusters.routes.clone(),
             site,
-            log.clone(),
+            log: log.clone(),
             sockets,
-            budget.clone(),
-            stats.clone(),
-        ));
+            budget: budget.clone(),
+            stats: stats.clone(),
+        }));
         let process = Rc::new(upgrade::Process::new(
-            gate.clone(),
+            control.clone(),
             clusters.clone(),
             kept,
             sockets,
@@ -279,10 +280,10 @@
         ));
         let beside = path.map(|path| Handover::start(process.clone(), path, link, log.clone()));
         if let (Some(console), Some(stats)) = (console, stats) {
-            stats.publish(clusters.pool(), gate.is_ready());
-            actix_rt::spawn(publish(stats.clone(), clusters.clone(), gate.clone(), beside.clone()));
+            stats.publish(clusters.pool(), control.is_ready());
+            actix_rt::spawn(publish(stats.clone(), clusters.clone(), control.clone(), beside.clone()));
             let changes = console::start(console, stats.clone(), log.clone())?;
-            actix_rt::spawn(by_hand(changes, stats, clusters.clone(), gate.clone(), beside.clone()));
+            actix_rt::spawn(by_hand(changes, stats, clusters.clone(), control.clone(), beside.clone()));
         }
         let adopt = {
             move |changes: &Changes| {
@@ -291,9 +292,9 @@
             }
         };
         actix_rt::spawn(reload::on_signal(hang_up, origin, adopt, log.clone()));
-        let front = actix_rt::spawn(listen::serve(listener, gate.clone()));
+        let front = actix_rt::spawn(listen::serve(listener, control.clone()));
         let leave = || beside.as_ref().is_some_and(Handover::leave);
-        shutdown::on_signal(signals, gate, times, leave, log.clone()).await;
+        shutdown::on_signal(signals, control, times, leave, log.clone()).await;
         front.abort();
         info!(log, "stopped"; "long_bodies_peak" => budget.peak(), "of" => bodies);
         Ok::<_, Box<dyn std::error::Error>>(())
--- a/crates/proxy/src/clients/stream.rs
+++ b/crates/proxy/src/clients/stream.rs
@@ -1,14 +1,17 @@
-//! A client's connection: what the HTTP library reads and writes of it, what is seen of it while the library does
-//! neither, and its close.
+//! The socket of one client: what the HTTP library reads and writes on it, detection of its close while the library
+//! does neither, and its own close.
+//!
+//! `listen.rs` makes a [`Connection`] for each accepted socket, and gives the HTTP library a [`Stream`] of it. What the
+//! connection is waiting for and when it is evicted is the [`Client`]'s; nothing here interprets a request.
 //!
 //! actix-http reads on while a request is in flight and takes what comes for further requests; or it does not read at
-//! all: after something that is no request, and while a body waits for its backend. Then nobody hears that the client
-//! has closed. So what comes behind a request in flight stays here, and whatever the library leaves unread is read
-//! ahead of it, so far. Who sends more behind a whole request has its answer as the last one, and the rest is dropped:
-//! behind what is left unread, an end need never arrive. A body that waits is left unread, which holds its client back,
-//! and the runtime tells of an end behind it.
+//! all: after something that is no request, and while a body waits for its endpoint. In neither case would it notice that
+//! the client has closed. So what comes behind a request in flight is kept here, and what the library leaves unread is
+//! read ahead of it, up to [`READ_AHEAD_BYTES`]. A client that sends more behind a complete request gets its response as
+//! the last one, and the rest is dropped: behind bytes that are left unread, its close need never arrive. A body that
+//! waits is left unread, which holds its client back, and the runtime tells of a close behind it.
 
-use super::{Client, Ending, State};
+use super::{Client, CloseIntent, State};
 use crate::closing::{Event, Step};
 use crate::interrupted::poll_uninterrupted;
 use actix_rt::net::{ActixStream, Ready};
@@ -27,12 +30,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-/// So much is read ahead of the HTTP library. Danger: each of hundreds of clients may send as much as it likes.
-const AHEAD: usize = 16 * 1024;
-/// Who sends so much behind a request in flight is taken to have gone.
-const FLOOD: usize = 4 * 1024 * 1024;
-/// Bytes read at a time where they are dropped or kept here.
-const READ: usize = 16 * 1024;
+/// Most bytes that are read ahead of the HTTP library. Danger: each of hundreds of clients may send as much as it likes.
+const READ_AHEAD_BYTES: usize = 16 * 1024;
+/// A client that sends this much behind a request in flight counts as closed.
+const FLOOD_BYTES: usize = 4 * 1024 * 1024;
+/// Most bytes read at a time where they are dropped or kept here.
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// The system calls on a client's socket. Tests have one whose calls fail.
 pub trait ClientSocket: ActixStream {
@@ -57,57 +60,55 @@
     stream: RefCell<S>,
     client: Rc<Client>,
     /// Read and not yet given to the library.
-    ahead: RefCell<BytesMut>,
-    /// Dropped behind the request in flight, which is the last.
-    dropped: Cell<usize>,
-    /// In this turn of the task the library has asked for bytes and waits for the socket.
-    waits: Cell<bool>,
-    /// In this turn it has had some bytes.
-    fed: Cell<bool>,
-    /// It has asked for bytes and was told to wait, without the socket being asked.
-    held_back: Cell<bool>,
-    /// The runtime was told that the socket has nothing more to read, which nobody has tried.
-    untried: Cell<bool>,
+    read_ahead: RefCell<BytesMut>,
+    /// Bytes dropped behind the request in flight, which is the last.
+    dropped_bytes: Cell<usize>,
+    /// In this poll of the task the library has asked for bytes and waits for the socket.
+    library_awaits_socket: Cell<bool>,
+    /// In this poll it was given some bytes.
+    library_was_fed: Cell<bool>,
+    /// The library has asked for bytes and was told to wait, without a read of the socket.
+    read_was_deferred: Cell<bool>,
+    /// The runtime was told that the socket is not readable, without a read that showed it.
+    readiness_unknown: Cell<bool>,
 }
 
-/// The HTTP library's end of it.
+/// The side of a connection that the HTTP library has.
 pub struct Stream<S = TcpStream>(pub Rc<Connection<S>>);
 
 impl<S: ClientSocket> Connection<S> {
-    /// A connection that was accepted.
+    /// A socket that was accepted, and its state.
     pub fn new(stream: S, client: Rc<Client>) -> Connection<S> {
-        let (ahead, flag) = (RefCell::default(), || Cell::new(false));
-        let stream = RefCell::new(stream);
         Connection {
-            stream,
+            stream: RefCell::new(stream),
             client,
-            ahead,
-            dropped: Cell::new(0),
-            waits: flag(),
-            fed: flag(),
-            held_back: flag(),
-            untried: flag(),
+            read_ahead: RefCell::default(),
+            dropped_bytes: Cell::new(0),
+            library_awaits_socket: Cell::new(false),
+            library_was_fed: Cell::new(false),
+            read_was_deferred: Cell::new(false),
+            readiness_unknown: Cell::new(false),
         }
     }
 
-    /// Whose it is.
+    /// Its state.
     pub fn client(&self) -> &Rc<Client> {
         &self.client
     }
 
-    /// Runs what serves the connection, and watches for its client's end meanwhile.
+    /// Runs what serves the connection, and notices its client's close meanwhile.
     pub async fn serve<T>(&self, serving: impl Future<Output = T>) -> T {
         let mut serving = pin!(serving);
         poll_fn(|cx| {
-            self.hears(cx);
-            self.waits.set(false);
+            self.register_task(cx);
+            self.library_awaits_socket.set(false);
             let polled = serving.as_mut().poll(cx);
-            self.fed.set(false);
-            if polled.is_pending() && !self.waits.get() {
-                if !self.holds_back() && self.held_back.take() {
+            self.library_was_fed.set(false);
+            if polled.is_pending() && !self.library_awaits_socket.get() {
+                if !self.defers_reads() && self.read_was_deferred.take() {
                     cx.waker().wake_by_ref();
                 } else {
-                    self.watch(cx);
+                    self.poll_peer_closed(cx);
                 }
             }
             polled
@@ -115,26 +116,26 @@
         .await
     }
 
-    /// The close: whatever ended the connection, its client can read what was written for it. Resolves when nothing is
-    /// left but to drop the connection.
+    /// Closes gracefully: whatever ended the connection, its client can read what was written for it. Resolves when
+    /// nothing is left but to drop the connection.
     pub async fn close(&self) {
         let client = &self.client;
-        client.ends(Ending::Now);
-        client.close_after(Event::Flushed);
+        client.begin_close(CloseIntent::Now);
+        client.on_close_event(Event::Flushed);
         loop {
             match client.next_step(Instant::now()) {
                 Step::Close => return,
-                Step::Flush { .. } => client.close_after(Event::Flushed), // whatever is left, nobody writes it
+                Step::Flush { .. } => client.on_close_event(Event::Flushed), // the library writes no more
                 Step::HalfClose => {
                     let shut = poll_fn(|cx| Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(cx)).await;
-                    client.close_after(if shut.is_ok() { Event::HalfClosed } else { Event::Over });
+                    client.on_close_event(if shut.is_ok() { Event::HalfClosed } else { Event::Over });
                 }
                 Step::Drain { at_most, until } => {
-                    let dropped = timeout_at(until.into(), self.drop_some(at_most)).await;
-                    client.close_after(match dropped {
+                    let dropped = timeout_at(until.into(), self.drop_bytes(at_most)).await;
+                    client.on_close_event(match dropped {
                         Ok(0) => Event::Over,
                         Ok(n) => Event::Dropped(n),
-                        Err(_) => continue, // it is past that time
+                        Err(_elapsed) => continue, // the next step says so
                     });
                 }
             }
@@ -142,53 +143,53 @@
     }
 
     /// Reads and drops some bytes; none if the client has closed, the stream broke, or the descriptor is needed.
-    async fn drop_some(&self, at_most: usize) -> usize {
+    async fn drop_bytes(&self, at_most: usize) -> usize {
         poll_fn(|cx| {
-            self.hears(cx);
+            self.register_task(cx);
             if self.client.next_step(Instant::now()) == Step::Close {
                 return Poll::Ready(0);
             }
-            let mut space = [MaybeUninit::uninit(); READ];
-            let mut came = ReadBuf::uninit(&mut space[..at_most.min(READ)]);
-            self.read(cx, &mut came).map(|read| read.map_or(0, |()| came.filled().len()))
+            let mut space = [MaybeUninit::uninit(); CHUNK_BYTES];
+            let mut came = ReadBuf::uninit(&mut space[..at_most.min(CHUNK_BYTES)]);
+            self.poll_read_socket(cx, &mut came).map(|read| read.map_or(0, |()| came.filled().len()))
         })
         .await
     }
 
-    fn hears(&self, cx: &Context<'_>) {
+    fn register_task(&self, cx: &Context<'_>) {
         let mut task = self.client.task.borrow_mut();
         if !task.as_ref().is_some_and(|task| task.will_wake(cx.waker())) {
             *task = Some(cx.waker().clone());
         }
     }
 
-    /// Whether the library is given nothing now. Danger: it makes requests of all that it has, however many, and
-    /// answers what is none by never reading again.
-    fn holds_back(&self) -> bool {
+    /// Whether the library is given no bytes now. Danger: it makes requests of all that it has, however many, and after
+    /// what is no request it never reads again.
+    fn defers_reads(&self) -> bool {
         let client = &self.client;
         match client.state.get() {
-            State::InFlight => client.whole.get(),
-            State::Silent(_) | State::Partial(..) | State::Idle(_) => self.fed.get(),
-            State::Uploads(_) | State::Closing(_) | State::Gone => false,
+            State::InFlight => client.request_is_complete.get(),
+            State::Silent(_) | State::Partial(..) | State::Idle(_) => self.library_was_fed.get(),
+            State::Uploading(_) | State::Closing(_) | State::Closed => false,
         }
     }
 
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let client = &self.client;
-        if self.holds_back() {
-            self.held_back.set(true);
+        if self.defers_reads() {
+            self.read_was_deferred.set(true);
             return Poll::Pending;
         }
         let in_flight = client.state.get() == State::InFlight;
-        if client.ended.get() || client.is_ending() && !in_flight {
+        if client.peer_closed.get() || client.is_ending() && !in_flight {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
-        let mut read = self.read_on(cx, buf);
-        if read.is_pending() && self.ends_unless_spoken_on() {
-            read = match self.read_now(cx, buf) {
+        let mut read = self.poll_read_buffered(cx, buf);
+        if read.is_pending() && self.closes_unless_request_arrives() {
+            read = match self.poll_read_directly(cx, buf) {
                 Poll::Ready(Err(e)) if e.kind() == ErrorKind::WouldBlock => {
-                    client.ends(Ending::Now);
+                    client.begin_close(CloseIntent::Now);
                     return Poll::Ready(Ok(()));
                 }
                 read => read,
@@ -196,25 +197,27 @@
         }
         match &read {
             Poll::Ready(Ok(())) if buf.filled().len() > before => {
-                self.fed.set(true);
-                client.came();
+                self.library_was_fed.set(true);
+                client.on_bytes_received();
             }
-            Poll::Ready(_) => client.notes_end(),
-            Poll::Pending => self.waits.set(true),
+            Poll::Ready(_) => client.on_peer_closed(),
+            Poll::Pending => self.library_awaits_socket.set(true),
         }
         read
     }
 
-    fn ends_unless_spoken_on(&self) -> bool {
-        let retires = || self.client.all.retiring.get() && matches!(self.client.state.get(), State::Idle(_));
-        matches!(self.client.ending.get(), Ending::Unless(_)) || retires()
+    fn closes_unless_request_arrives(&self) -> bool {
+        let client = &self.client;
+        let is_evicted = matches!(client.close_intent.get(), CloseIntent::UnlessRequestArrives(_));
+        let is_retired = client.all.retiring.get() && matches!(client.state.get(), State::Idle(_));
+        is_evicted || is_retired
     }
 
     /// What was read ahead, or else what the socket has.
-    fn read_on(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut ahead = self.ahead.borrow_mut();
+    fn poll_read_buffered(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let mut ahead = self.read_ahead.borrow_mut();
         if ahead.is_empty() {
-            return self.read(cx, buf);
+            return self.poll_read_socket(cx, buf);
         }
         let part = ahead.len().min(buf.remaining());
         buf.put_slice(&ahead[..part]);
@@ -225,10 +228,10 @@
         Poll::Ready(Ok(()))
     }
 
-    fn read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if self.untried.get() {
-            match self.read_now(cx, buf) {
-                Poll::Ready(Err(e)) if e.kind() == ErrorKind::WouldBlock => self.untried.set(false),
+    fn poll_read_socket(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        if self.readiness_unknown.get() {
+            match self.poll_read_directly(cx, buf) {
+                Poll::Ready(Err(e)) if e.kind() == ErrorKind::WouldBlock => self.readiness_unknown.set(false),
                 read => return read,
             }
         }
@@ -236,9 +239,9 @@
         poll_uninterrupted(cx, |cx| Pin::new(&mut *stream).poll_read(cx, buf))
     }
 
-    /// What the socket has, whether or not the runtime has heard of it. Danger: of what came in this turn it has not.
-    /// Pending, with the task woken, where it was interrupted too often in a row to know; nothing to read is an error.
-    fn read_now(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    /// Reads the socket whether or not the runtime knows it to be readable. Danger: of what came in this poll it does not
+    /// know. Nothing to read is [`ErrorKind::WouldBlock`]; pending, with the task woken, after too many interruptions.
+    fn poll_read_directly(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let stream = self.stream.borrow();
         poll_uninterrupted(cx, |_| {
             let read = stream.read_directly(buf.initialize_unfilled())?;
@@ -247,41 +250,42 @@
         })
     }
 
-    /// Sees to it that the client's end is heard of while the library waits for nothing from it.
-    fn watch(&self, cx: &mut Context<'_>) {
+    /// Notices the client's close while the library waits for nothing from it, and reads ahead as far as that takes.
+    fn poll_peer_closed(&self, cx: &mut Context<'_>) {
         let client = &self.client;
-        while !client.ended.get() {
-            let whole = client.state.get() == State::InFlight && client.whole.get();
-            let mut room = AHEAD.saturating_sub(self.ahead.borrow().len());
-            if room == 0 && whole {
-                client.last_answer();
+        while !client.peer_closed.get() {
+            let is_complete = client.state.get() == State::InFlight && client.request_is_complete.get();
+            let mut room = READ_AHEAD_BYTES.saturating_sub(self.read_ahead.borrow().len());
+            if room == 0 && is_complete {
+                client.end_after_response();
             }
-            let drops = whole && client.is_ending();
+            let drops = is_complete && client.is_ending();
             if drops {
-                self.ahead.take();
-                room = READ;
+                self.read_ahead.take();
+                room = CHUNK_BYTES;
             }
-            let mut space = [MaybeUninit::uninit(); READ];
-            let mut came = ReadBuf::uninit(&mut space[..room.min(READ)]);
-            let seen = if room == 0 { self.poll_end(cx) } else { self.read(cx, &mut came) };
+            let mut space = [MaybeUninit::uninit(); CHUNK_BYTES];
+            let mut came = ReadBuf::uninit(&mut space[..room.min(CHUNK_BYTES)]);
+            let seen =
+                if room == 0 { self.poll_end_of_stream(cx) } else { self.poll_read_socket(cx, &mut came) };
             let came = came.filled();
             match seen {
                 Poll::Pending => return,
-                Poll::Ready(Ok(())) if came.is_empty() => client.notes_end(),
-                Poll::Ready(Err(_)) => client.notes_end(),
+                Poll::Ready(Ok(())) if came.is_empty() => client.on_peer_closed(),
+                Poll::Ready(Err(_)) => client.on_peer_closed(),
                 Poll::Ready(Ok(())) if drops => {
-                    self.dropped.set(self.dropped.get() + came.len());
-                    if self.dropped.get() >= FLOOD {
-                        client.notes_end();
+                    self.dropped_bytes.set(self.dropped_bytes.get() + came.len());
+                    if self.dropped_bytes.get() >= FLOOD_BYTES {
+                        client.on_peer_closed();
                     }
                 }
-                Poll::Ready(Ok(())) => self.ahead.borrow_mut().extend_from_slice(came),
+                Poll::Ready(Ok(())) => self.read_ahead.borrow_mut().extend_from_slice(came),
             }
         }
     }
 
-    /// The end of the stream behind bytes that are left unread: back-pressure for who sends them.
-    fn poll_end(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    /// The end of the stream behind bytes that are left unread, which holds their sender back.
+    fn poll_end_of_stream(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let stream = self.stream.borrow();
         let stream = stream.tcp();
         loop {
@@ -290,9 +294,9 @@
                 Some(_) => return Poll::Ready(Ok(())),
                 None => {}
             }
-            // Forgets that there is something to read, or each turn of the task would find it again. What comes next
-            // is heard, and so is the end, which is not forgotten.
-            self.untried.set(true);
+            // Clears the readiness, or each poll of the task would find it again. What comes next is noticed, and so is
+            // the end, which is not cleared.
+            self.readiness_unknown.set(true);
             let _ = stream.try_io(Interest::READABLE, || Err::<(), _>(ErrorKind::WouldBlock.into()));
             if stream.poll_read_ready(cx).is_pending() {
                 return Poll::Pending;
@@ -311,13 +315,13 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let Connection { stream, client, .. } = &*self.0;
         // Danger: nothing else bounds how long the library waits for a client that does not read its answer.
-        if client.is_given_up() {
+        if client.is_abandoned() {
             return Poll::Ready(Err(ErrorKind::TimedOut.into()));
         }
         let mut stream = stream.borrow_mut();
         let wrote = poll_uninterrupted(cx, |cx| Pin::new(&mut *stream).poll_write(cx, buf));
         if matches!(wrote, Poll::Ready(Ok(n)) if n > 0) {
-            client.close_after(Event::Wrote);
+            client.on_close_event(Event::Wrote);
         }
         wrote
     }
--- a/crates/proxy/src/clients/stream/tests.rs
+++ b/crates/proxy/src/clients/stream/tests.rs
@@ -1,4 +1,4 @@
-use super::super::{Clients, FRESH, IDLE, SLOW};
+use super::super::{Clients, EVICTION_GRACE, IDLE_TIMEOUT, RequestBody, SILENT_EVICTION_AGE};
 use super::*;
 use crate::interrupted::tests::{InterruptedSocket, Interruptions};
 use std::io::Write;
@@ -19,7 +19,7 @@
     peer.set_nodelay(true).expect("set");
     let (stream, _) = listener.accept().await.expect("it is there");
     let clients: Rc<Clients> = Rc::default();
-    let client = clients.enter();
+    let client = clients.register();
     (peer, Rc::new(Connection::new(stream, client)), clients)
 }
 
@@ -48,20 +48,20 @@
 fn a_request_that_has_come_in_the_moment_of_an_end_is_read_and_nothing_else_keeps_the_connection() {
     let ends: [(&str, End); 4] = [
         ("eviction", Clients::make_room),
-        ("idle timeout", |clients| clients.expire_at(Instant::now() + IDLE)),
-        ("retirement", Clients::retire),
-        ("eviction of a silent one", |clients| clients.make_room_at(Instant::now() + SLOW)),
+        ("idle timeout", |clients| clients.expire_at(Instant::now() + IDLE_TIMEOUT)),
+        ("retirement", Clients::close_idle),
+        ("eviction of a silent one", |clients| clients.make_room_at(Instant::now() + SILENT_EVICTION_AGE)),
     ];
     for (n, (end, ends)) in ends.into_iter().enumerate() {
         for comes in [true, false] {
             play(async {
                 let (mut peer, connection, clients) = connected().await;
                 if n < 3 {
-                    connection.client().in_flight(true);
-                    connection.client().idles();
+                    connection.client().on_request_taken(RequestBody::Complete);
+                    connection.client().on_response_sent();
                 }
                 let reading = spawn_local(read_once(connection.clone()));
-                while !connection.waits.get() {
+                while !connection.library_awaits_socket.get() {
                     yield_now().await;
                 }
                 if comes {
@@ -86,22 +86,25 @@
 #[test]
 fn an_end_behind_bytes_that_the_library_leaves_unread_is_heard_of() {
     // Behind a whole request the rest is dropped; of a body that waits no more is read than has room.
-    for whole in [true, false] {
-        for bytes in [0, 1, AHEAD, AHEAD + 1, 4 * AHEAD] {
+    for body in [RequestBody::Complete, RequestBody::Streaming] {
+        for bytes in [0, 1, READ_AHEAD_BYTES, READ_AHEAD_BYTES + 1, 4 * READ_AHEAD_BYTES] {
             play(async {
                 let (mut peer, connection, _) = connected().await;
                 let client = connection.client();
-                client.in_flight(whole);
+                client.on_request_taken(body);
                 unread(&connection);
                 peer.write_all(&vec![b'x'; bytes]).expect("taken");
-                while bytes >= AHEAD && connection.ahead.borrow().len() < AHEAD && !client.is_ending() {
+                while bytes >= READ_AHEAD_BYTES
+                    && connection.read_ahead.borrow().len() < READ_AHEAD_BYTES
+                    && !client.is_ending()
+                {
                     yield_now().await;
                 }
-                assert!(!client.has_gone());
+                assert!(!client.has_closed());
                 drop(peer);
-                client.gone().await;
-                assert_eq!(client.is_ending(), whole && bytes >= AHEAD);
-                assert!(connection.ahead.borrow().len() <= AHEAD);
+                client.wait_for_close().await;
+                assert_eq!(client.is_ending(), body == RequestBody::Complete && bytes >= READ_AHEAD_BYTES);
+                assert!(connection.read_ahead.borrow().len() <= READ_AHEAD_BYTES);
             });
         }
     }
@@ -111,12 +114,15 @@
 fn who_goes_on_sending_behind_a_request_in_flight_is_taken_to_have_gone() {
     play(async {
         let (mut peer, connection, _) = connected().await;
-        connection.client().in_flight(true);
+        connection.client().on_request_taken(RequestBody::Complete);
         unread(&connection);
         let other = peer.try_clone().expect("a descriptor");
-        let sending = std::thread::spawn(move || peer.write_all(&vec![b'x'; 2 * FLOOD]).map(|()| peer));
-        connection.client().gone().await;
-        assert!(connection.ahead.borrow().is_empty() && connection.dropped.get() < FLOOD + READ);
+        let sending = std::thread::spawn(move || peer.write_all(&vec![b'x'; 2 * FLOOD_BYTES]).map(|()| peer));
+        connection.client().wait_for_close().await;
+        assert!(
+            connection.read_ahead.borrow().is_empty()
+                && connection.dropped_bytes.get() < FLOOD_BYTES + CHUNK_BYTES
+        );
         other.shutdown(Shutdown::Both).expect("there");
         let _ = sending.join(); // it may have sent all by then
     });
@@ -124,10 +130,15 @@
 
 #[test]
 fn what_waited_while_a_request_was_in_flight_is_read_in_order_once_it_is_answered() {
-    for (whole, bytes) in [(true, 0), (true, AHEAD - 1), (false, AHEAD), (false, 4 * AHEAD)] {
+    for (body, bytes) in [
+        (RequestBody::Complete, 0),
+        (RequestBody::Complete, READ_AHEAD_BYTES - 1),
+        (RequestBody::Streaming, READ_AHEAD_BYTES),
+        (RequestBody::Streaming, 4 * READ_AHEAD_BYTES),
+    ] {
         play(async {
             let (mut peer, connection, _) = connected().await;
-            connection.client().in_flight(whole);
+            connection.client().on_request_taken(body);
             let text: Vec<u8> = (0..bytes).map(|n| (n % 251) as u8).collect();
             let reading = {
                 let connection = connection.clone();
@@ -137,14 +148,14 @@
                         .serve(async {
                             // The library does not read until all that may be kept is, as where a body waits.
                             poll_fn(|cx| {
-                                if connection.ahead.borrow().len() >= bytes.min(AHEAD) {
+                                if connection.read_ahead.borrow().len() >= bytes.min(READ_AHEAD_BYTES) {
                                     return Poll::Ready(());
                                 }
                                 cx.waker().wake_by_ref();
                                 Poll::Pending
                             })
                             .await;
-                            connection.client().in_flight(false);
+                            connection.client().on_request_taken(RequestBody::Streaming);
                             let mut all = vec![0; bytes];
                             stream.read_exact(&mut all).await.map(|_| all)
                         })
@@ -195,9 +206,9 @@
         while !matches!(connection.client().next_step(Instant::now()), Step::Drain { .. }) {
             yield_now().await;
         }
-        clients.make_room_at(Instant::now() + FRESH);
+        clients.make_room_at(Instant::now() + EVICTION_GRACE);
         closing.await.expect("no panic");
-        assert!(connection.client().is_given_up());
+        assert!(connection.client().is_abandoned());
     });
 }
 
@@ -205,7 +216,7 @@
 fn a_client_that_never_reads_its_last_answer_is_not_waited_for() {
     play(async {
         let (_peer, connection, clients) = connected().await;
-        connection.client().turned_away();
+        connection.client().on_request_rejected();
         let writing = spawn_local({
             let connection = connection.clone();
             async move {
@@ -244,23 +255,23 @@
 
 #[test]
 fn a_hundred_interruptions_while_a_request_is_in_flight_do_not_cancel_it_and_its_clients_end_is_heard() {
-    for whole in [true, false] {
+    for body in [RequestBody::Complete, RequestBody::Streaming] {
         play(async {
             let (mut peer, connection, interruptions) = interrupted().await;
             let client = connection.client().clone();
-            client.in_flight(whole);
-            connection.untried.set(true);
+            client.on_request_taken(body);
+            connection.readiness_unknown.set(true);
             interruptions.reads.set(100);
             interruptions.direct_reads.set(100);
             serve_unread(&connection);
             peer.write_all(b"more").expect("taken");
-            while connection.ahead.borrow().len() < 4 && !client.has_gone() {
+            while connection.read_ahead.borrow().len() < 4 && !client.has_closed() {
                 yield_now().await;
             }
-            assert!(!client.has_gone(), "an interruption counts as its end");
+            assert!(!client.has_closed(), "an interruption counts as its end");
             assert_eq!((interruptions.reads.get(), interruptions.direct_reads.get()), (0, 0));
             drop(peer);
-            client.gone().await;
+            client.wait_for_close().await;
         });
     }
 }
@@ -271,8 +282,8 @@
         play(async {
             let (mut peer, connection, interruptions) = interrupted().await;
             let client = connection.client().clone();
-            client.in_flight(true);
-            client.idles();
+            client.on_request_taken(RequestBody::Complete);
+            client.on_response_sent();
             let reading = {
                 let connection = connection.clone();
                 let mut stream = Stream(connection.clone());
@@ -282,7 +293,7 @@
                     read.map(|n| space[..n].to_vec())
                 })
             };
-            while !connection.waits.get() {
+            while !connection.library_awaits_socket.get() {
                 yield_now().await;
             }
             if comes {
@@ -294,7 +305,7 @@
             }
             interruptions.direct_reads.set(100);
             interruptions.reads.set(100);
-            client.all.retire();
+            client.all.close_idle();
             let read = reading.await.expect("no panic").expect("no error");
             assert_eq!(read, if comes { &b"GET"[..] } else { b"" });
             assert_eq!(client.is_ending(), !comes);
--- a/crates/proxy/src/discovery/lines.rs
+++ b/crates/proxy/src/discovery/lines.rs
@@ -1,39 +1,41 @@
-//! Tells apart what comes on a watch: empty lines, and objects, each on a line of its own or indented over several.
+//! Splits the body of a discovery response into lines: empty ones, and JSON objects, each on a line of its own or
+//! indented over several.
 //!
-//! It looks at the form only as far as that tells where an object ends, or that it never will: a torn one is seen
-//! with the first byte that cannot belong to it, not when all that follows has been swallowed.
+//! [`super`] feeds it the chunks as they come. It looks at the form only as far as that tells where an object ends, or
+//! that it never will: a malformed one is seen with the first byte that cannot belong to it, not when all that follows
+//! has been read. It never interprets an object.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest object, with the white space in it.
-const LARGEST: usize = 4 << 20;
-/// Objects and lists within each other.
-const DEEPEST: usize = 16;
+/// Largest object, in bytes, with the white space in it.
+const LARGEST_OBJECT_BYTES: usize = 4 << 20;
+/// Most objects and arrays within each other.
+const DEEPEST_NESTING: usize = 16;
 
-/// Why what came is no line.
+/// Why a response cannot be split further.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadLine {
+pub enum LineError {
     /// Neither an object nor an empty line.
     #[error("a line that begins with {0:?} and not with an object")]
-    NoObject(char),
+    NotAnObject(char),
     /// The object breaks off.
     #[error("an object that breaks off: {0:?} at byte {1} of it")]
-    Torn(char, usize),
+    Malformed(char, usize),
     /// Something stands behind the object.
     #[error("a line that goes on with {0:?} behind its object")]
-    Surplus(char),
+    TrailingData(char),
     /// No end of it.
-    #[error("an object larger than {LARGEST} bytes")]
+    #[error("an object larger than {LARGEST_OBJECT_BYTES} bytes")]
     TooLarge,
     /// Too much nesting.
-    #[error("an object nested more than {DEEPEST} deep")]
+    #[error("an object nested more than {DEEPEST_NESTING} deep")]
     TooDeep,
     /// The answer has none.
     #[error("an answer without an object")]
-    Nothing,
+    NoData,
     /// The answer ended within it.
     #[error("an answer that ends within an object")]
-    Unfinished,
+    Truncated,
 }
 
 /// A whole line, or several that are one object.
@@ -45,16 +47,17 @@
     Object(Bytes),
 }
 
-/// What came and is not yet told apart.
+/// What came and is not yet split.
 #[derive(Default)]
-pub struct Lines {
-    held: BytesMut,
-    /// So much of it has been looked at.
-    looked: usize,
-    /// What is open: `{` or `[`.
-    open: Vec<u8>,
+pub struct LineSplitter {
+    buffer: BytesMut,
+    /// So many bytes of it have been scanned.
+    scanned: usize,
+    /// The brackets that are open: `{` or `[`.
+    open_brackets: Vec<u8>,
     /// The last byte that was not white space; none before an object.
-    last: Option<u8>,
+    last_byte: Option<u8>,
+    /// Within a string: whether the next byte is escaped.
     string: Option<Escape>,
 }
 
@@ -64,75 +67,94 @@
     Next,
 }
 
-impl Lines {
+impl LineSplitter {
     /// Some more came.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole line; none: there is no more yet.
+    /// The next whole line; none if it has not come yet.
     ///
     /// # Errors
-    /// What came is no line; nothing behind it can be told apart.
-    pub fn next(&mut self) -> Result<Option<Line>, BadLine> {
-        while let Some(&byte) = self.held.get(self.looked) {
-            self.looked += 1;
-            if self.looked > LARGEST {
-                return Err(BadLine::TooLarge);
+    /// What came is no line; nothing behind it can be split.
+    pub fn next(&mut self) -> Result<Option<Line>, LineError> {
+        while let Some(&byte) = self.buffer.get(self.scanned) {
+            self.scanned += 1;
+            if self.scanned > LARGEST_OBJECT_BYTES {
+                return Err(LineError::TooLarge);
             }
-            if self.look(byte)? {
-                let line = self.held.split_to(self.looked).freeze();
-                self.looked = 0;
-                let empty = self.last.take().is_none();
+            if self.scan(byte)? {
+                let line = self.buffer.split_to(self.scanned).freeze();
+                self.scanned = 0;
+                let empty = self.last_byte.take().is_none();
                 return Ok(Some(if empty { Line::Empty } else { Line::Object(line) }));
             }
         }
         Ok(None)
     }
 
-    /// The answer has ended: what is left, if it is an object.
+    /// What is left at the end of the response, if it is an object.
     ///
     /// # Errors
     /// It is none, or a part of one.
-    pub fn finish(&mut self) -> Result<Option<Bytes>, BadLine> {
-        match self.last.take() {
+    pub fn finish(&mut self) -> Result<Option<Bytes>, LineError> {
+        match self.last_byte.take() {
             None => Ok(None),
-            Some(_) if self.open.is_empty() => Ok(Some(self.held.split().freeze())),
-            Some(_) => Err(BadLine::Unfinished),
+            Some(_) if self.open_brackets.is_empty() => Ok(Some(self.buffer.split().freeze())),
+            Some(_) => Err(LineError::Truncated),
         }
     }
 
     /// Whether a line ends with this byte.
-    fn look(&mut self, byte: u8) -> Result<bool, BadLine> {
-        let shown = char::from(byte);
-        let torn = Err(BadLine::Torn(shown, self.looked));
+    fn scan(&mut self, byte: u8) -> Result<bool, LineError> {
         match self.string {
-            Some(Escape::Next) if byte >= b' ' => self.string = Some(Escape::No),
-            Some(_) if byte < b' ' => return torn, // above all a line's end
-            Some(_) if byte == b'\\' => self.string = Some(Escape::Next),
-            Some(_) if byte == b'"' => self.string = None,
-            Some(_) => {}
-            None if byte.is_ascii_whitespace() => return Ok(byte == b'\n' && self.open.is_empty()),
+            Some(escape) => {
+                self.scan_in_string(byte, escape)?;
+                Ok(false)
+            }
+            None if byte.is_ascii_whitespace() => Ok(byte == b'\n' && self.open_brackets.is_empty()),
             None => {
-                match (byte, self.open.last(), self.last) {
-                    (b'{', None, None) => self.open.push(byte),
-                    (_, None, None) => return Err(BadLine::NoObject(shown)),
-                    (_, None, Some(_)) => return Err(BadLine::Surplus(shown)),
-                    (b'{' | b'[', Some(_), Some(b':' | b'[')) => self.open.push(byte),
-                    (b'{' | b'[', Some(b'['), Some(b',')) => self.open.push(byte),
-                    (b'"', Some(_), Some(b'{' | b'[' | b':' | b',')) => self.string = Some(Escape::No),
-                    (b'{' | b'[' | b'"', ..) => return torn,
-                    (b'}', Some(b'{'), _) | (b']', Some(b'['), _) => _ = self.open.pop(),
-                    (b'}' | b']', ..) => return torn,
-                    _ => {}
-                }
-                if self.open.len() > DEEPEST {
-                    return Err(BadLine::TooDeep);
-                }
-                self.last = Some(byte);
+                self.scan_token(byte)?;
+                Ok(false)
             }
         }
-        Ok(false)
+    }
+
+    fn scan_in_string(&mut self, byte: u8, escape: Escape) -> Result<(), LineError> {
+        match escape {
+            Escape::Next if byte >= b' ' => self.string = Some(Escape::No),
+            _ if byte < b' ' => return Err(self.malformed(byte)), // above all a line's end
+            _ if byte == b'\\' => self.string = Some(Escape::Next),
+            _ if byte == b'"' => self.string = None,
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// A byte outside of strings that is no white space.
+    fn scan_token(&mut self, byte: u8) -> Result<(), LineError> {
+        let shown = char::from(byte);
+        match (byte, self.open_brackets.last(), self.last_byte) {
+            (b'{', None, None) => self.open_brackets.push(byte),
+            (_, None, None) => return Err(LineError::NotAnObject(shown)),
+            (_, None, Some(_)) => return Err(LineError::TrailingData(shown)),
+            (b'{' | b'[', Some(_), Some(b':' | b'[')) => self.open_brackets.push(byte),
+            (b'{' | b'[', Some(b'['), Some(b',')) => self.open_brackets.push(byte),
+            (b'"', Some(_), Some(b'{' | b'[' | b':' | b',')) => self.string = Some(Escape::No),
+            (b'{' | b'[' | b'"', ..) => return Err(self.malformed(byte)),
+            (b'}', Some(b'{'), _) | (b']', Some(b'['), _) => _ = self.open_brackets.pop(),
+            (b'}' | b']', ..) => return Err(self.malformed(byte)),
+            _ => {}
+        }
+        if self.open_brackets.len() > DEEPEST_NESTING {
+            return Err(LineError::TooDeep);
+        }
+        self.last_byte = Some(byte);
+        Ok(())
+    }
+
+    fn malformed(&self, byte: u8) -> LineError {
+        LineError::Malformed(char::from(byte), self.scanned)
     }
 }
 
--- a/crates/proxy/src/discovery/lines/tests.rs
+++ b/crates/proxy/src/discovery/lines/tests.rs
@@ -8,7 +8,7 @@
 
 /// All lines of a text that comes in pieces of so many bytes, as `.` and what was read, and the error that ended it.
 fn told(text: &[u8], piece: usize) -> (Vec<String>, Option<String>) {
-    let (mut lines, mut told) = (Lines::default(), Vec::new());
+    let (mut lines, mut told) = (LineSplitter::default(), Vec::new());
     for piece in text.chunks(piece) {
         lines.push(piece);
         loop {
@@ -48,7 +48,7 @@
     let next = format!("\n{ONE}\n");
     let deep = format!("{{\"version\":1,\"x\":{}", "[".repeat(16));
     let cases: Vec<(&str, &str)> = vec![
-        // Torn, and a whole line behind: within a name, a text, a number, behind each mark.
+        // Malformed, and a whole line behind: within a name, a text, a number, behind each mark.
         (r#"{"vers"#, "breaks off: '\\n'"),
         (r#"{"version":43,"servers":[{"id":"a"#, "breaks off: '\\n'"),
         (r#"{"version":43,"servers":[{"id":"a\"#, "breaks off: '\\n'"),
@@ -97,7 +97,7 @@
 
 #[test]
 fn an_object_without_end_is_ended_by_its_size_and_held_no_longer() {
-    let mut lines = Lines::default();
+    let mut lines = LineSplitter::default();
     lines.push(br#"{"version":43,"servers":["#);
     let part = br#"{"id":"a","state":"ready"},"#.repeat(1000);
     let mut pushed = 0;
@@ -105,22 +105,22 @@
         lines.push(&part);
         pushed += part.len();
         match lines.next() {
-            Ok(None) => assert!(pushed <= LARGEST + part.len()),
+            Ok(None) => assert!(pushed <= LARGEST_OBJECT_BYTES + part.len()),
             Ok(Some(line)) => panic!("{line:?}"),
             Err(error) => break error,
         }
     };
-    assert_eq!(error, BadLine::TooLarge);
-    assert!(pushed > LARGEST);
-    let mut lines = Lines::default();
-    lines.push(&vec![b' '; LARGEST + 1]);
-    assert_eq!(lines.next(), Err(BadLine::TooLarge), "nor does white space go on");
+    assert_eq!(error, LineError::TooLarge);
+    assert!(pushed > LARGEST_OBJECT_BYTES);
+    let mut lines = LineSplitter::default();
+    lines.push(&vec![b' '; LARGEST_OBJECT_BYTES + 1]);
+    assert_eq!(lines.next(), Err(LineError::TooLarge), "nor does white space go on");
 }
 
 #[test]
 fn a_whole_answer_needs_no_line_end_and_half_of_one_is_none() {
     let ends = |text: &str| {
-        let mut lines = Lines::default();
+        let mut lines = LineSplitter::default();
         lines.push(text.as_bytes());
         let line = lines.next();
         (line, lines.finish().map(|rest| rest.map(|rest| registry::read(&rest).expect("read").version)))
@@ -130,7 +130,7 @@
     assert_eq!(ends(""), (Ok(None), Ok(None)));
     assert_eq!(ends(" "), (Ok(None), Ok(None)));
     for cut in 1..ONE.len() {
-        assert_eq!(ends(&ONE[..cut]).1, Err(BadLine::Unfinished), "{}", &ONE[..cut]);
+        assert_eq!(ends(&ONE[..cut]).1, Err(LineError::Truncated), "{}", &ONE[..cut]);
     }
 }
 
@@ -150,7 +150,7 @@
         let whole = format!("5 {}", names.len());
         let both = format!("{text}\n\n{text}\n");
         prop_assert_eq!(told(both.as_bytes(), piece), (vec![whole.clone(), ".".into(), whole], None));
-        // Torn anywhere, with whole lines behind: what is taken has all names, and comes from a whole line.
+        // Malformed anywhere, with whole lines behind: what is taken has all names, and comes from a whole line.
         let cut = cut.index(text.len());
         if cut > 0 {
             let torn = format!("{}\n{text}\n{text}\n", String::from_utf8_lossy(&text.as_bytes()[..cut]));
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,5 +1,8 @@
-//! Calls discovery: a watch on what changes, or the whole list once. When to call, when to give up and when to call
-//! again is up to [`watch`]; here is what does it.
+//! Client of the discovery service: keeps a watch on changes open, and fetches the whole list on demand.
+//!
+//! A cluster's driver owns a [`Discovery`] and is its [`Subscriber`]. Two tasks, one a [`Query`], run for as long as it
+//! lives: dropping it ends both. [`watch`] decides when to call, when to abandon a call and when to call again; this
+//! module does the I/O. It never interprets a list beyond its version.
 
 mod lines;
 mod watch;
@@ -8,9 +11,11 @@
 use crate::backends;
 use crate::membership::News;
 use crate::platform::registry;
+use awc::error::{PayloadError, SendRequestError};
 use awc::http::Uri;
-use futures_util::StreamExt;
-use lines::{BadLine, Line, Lines};
+use bytes::Bytes;
+use futures_util::{Stream, StreamExt};
+use lines::{Line, LineError, LineSplitter};
 use slog::{Logger, debug, info};
 use std::cell::{Cell, RefCell};
 use std::future::{Future, pending};
@@ -21,115 +26,120 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 use tokio::time::sleep_until;
-use watch::{Action, Asks, CallId, Event, Older, Watch};
+use watch::{Action, CallId, Event, HeldList, Query, ReceivedUpdate, StaleUpdate, Watch};
 
-/// Longer than any call: the watch's own times end it.
-const NO_LIMIT: Duration = Duration::from_secs(3600);
+/// Longer than any call: the timeouts in [`watch`] end it.
+const NO_TIMEOUT: Duration = Duration::from_secs(3600);
 
 /// Why a call to discovery ended.
 #[derive(Debug, thiserror::Error)]
-enum Ended {
+enum CallEnd {
     #[error("no connection or no answer: {0}")]
-    Call(#[from] awc::error::SendRequestError),
+    Request(#[from] SendRequestError),
     #[error("status {0}")]
     Status(u16),
     #[error("the answer broke off: {0}")]
-    Broken(#[from] awc::error::PayloadError),
+    Truncated(#[from] PayloadError),
     #[error("unreadable: {0}")]
-    Line(#[from] BadLine),
+    Line(#[from] LineError),
     #[error("unreadable: {0}")]
     Object(#[from] serde_json::Error),
     #[error("a list that goes back: {0}")]
-    Older(#[from] Older),
+    Stale(#[from] StaleUpdate),
     #[error("no answer in time")]
-    Slow,
+    ResponseTimeout,
     #[error("no whole line in time")]
-    Silent,
+    SilenceTimeout,
     #[error("its end")]
-    Closed,
+    StreamEnded,
 }
 
-/// Whoever is told what discovery says.
+/// Receives what discovery says.
 pub trait Subscriber {
     /// A list or a change came.
-    fn news(&self, news: News<'_>);
-    /// Discovery says that the list as it was told is all there is at this moment.
-    fn list_is_complete(&self);
+    fn on_update(&self, update: News<'_>);
+    /// Discovery says that the list as it was last told is complete at this moment.
+    fn on_list_complete(&self);
 }
 
-/// The way to discovery. Calls go on until this is dropped.
+/// The client. Calls go on until it is dropped.
 pub struct Discovery {
     shared: Rc<Shared>,
     tasks: [JoinHandle<()>; 2],
 }
 
+/// What the two tasks and the handle share.
 struct Shared {
     subscriber: Weak<dyn Subscriber>,
-    addr: Cell<SocketAddr>,
+    address: Cell<SocketAddr>,
     /// Of the list that is held.
     version: Cell<u64>,
     origin: Instant,
-    changes: Pursuit,
-    whole: Pursuit,
+    changes: QueryState,
+    snapshot: QueryState,
     log: Logger,
 }
 
-/// What is asked for, and what is to be done about it.
-struct Pursuit {
+/// One query: its state machine, and what its task has to do next.
+struct QueryState {
     watch: RefCell<Watch>,
-    /// Of several only the last counts: each drops whatever call is out.
-    order: Cell<Option<Action>>,
-    ordered: Notify,
+    /// Only the last action counts: each drops the current call.
+    pending_action: Cell<Option<Action>>,
+    action_set: Notify,
 }
 
-impl Pursuit {
-    fn new(asks: Asks, seed: u64) -> Pursuit {
-        let watch = RefCell::new(Watch::new(asks, seed));
-        Pursuit { watch, order: Cell::default(), ordered: Notify::new() }
+impl QueryState {
+    fn new(query: Query, seed: u64) -> QueryState {
+        QueryState {
+            watch: RefCell::new(Watch::new(query, seed)),
+            pending_action: Cell::default(),
+            action_set: Notify::new(),
+        }
     }
 }
 
 impl Discovery {
-    /// Nothing is asked until [`watch`](Self::watch) or [`refresh`](Self::refresh). `seed` has to differ between
-    /// copies, or they call in step.
-    pub fn new(addr: SocketAddr, subscriber: Weak<dyn Subscriber>, seed: u64, log: Logger) -> Discovery {
+    /// No call is made until [`watch`](Self::watch) or [`refresh`](Self::refresh). `seed` has to differ between
+    /// replicas, or they call in step.
+    pub fn new(address: SocketAddr, subscriber: Weak<dyn Subscriber>, seed: u64, log: Logger) -> Discovery {
         let shared = Rc::new(Shared {
             subscriber,
-            addr: Cell::new(addr),
+            address: Cell::new(address),
             version: Cell::new(0),
             origin: Instant::now(),
-            changes: Pursuit::new(Asks::Changes, seed),
-            whole: Pursuit::new(Asks::Whole, !seed),
+            changes: QueryState::new(Query::Changes, seed),
+            snapshot: QueryState::new(Query::Snapshot, !seed),
             log,
         });
-        let pursue = |asks| actix_rt::spawn(shared.clone().pursue(asks));
-        let tasks = [pursue(Asks::Changes), pursue(Asks::Whole)];
+        let run = |query| actix_rt::spawn(shared.clone().run_query(query));
+        let tasks = [run(Query::Changes), run(Query::Snapshot)];
         Discovery { shared, tasks }
     }
 
     /// Notes the version of the list that is held.
-    pub fn holds(&self, version: u64) {
+    pub fn set_version(&self, version: u64) {
         self.shared.version.set(version);
     }
 
     /// Keeps a watch open from now on, or no longer.
     pub fn watch(&self, on: bool) {
-        self.shared.order(&self.shared.changes, if on { Event::Begin } else { Event::End });
+        let event = if on { Event::Start } else { Event::Stop };
+        self.shared.signal(&self.shared.changes, event);
     }
 
-    /// Discovery is elsewhere from now on: asks there, within moments, for what changed after the version held.
-    /// Danger: news that is still under way from the old address must not overwrite the new one's, so that
-    /// whatever is out is dropped first.
-    pub fn move_to(&self, addr: SocketAddr) {
-        if self.shared.addr.replace(addr) != addr {
-            self.shared.order(&self.shared.changes, Event::Moved);
-            self.shared.order(&self.shared.whole, Event::Moved);
+    /// Discovery has this address from now on: asks there, within moments, for what changed after the version held.
+    /// Danger: an update that is still under way from the old address must not overwrite the new one's, so that
+    /// the current calls are dropped first.
+    pub fn set_address(&self, address: SocketAddr) {
+        if self.shared.address.replace(address) != address {
+            self.shared.signal(&self.shared.changes, Event::AddressChanged);
+            self.shared.signal(&self.shared.snapshot, Event::AddressChanged);
         }
     }
 
-    /// Asks for the whole list once, until it has come.
+    /// Fetches the whole list once, retrying until it has come.
     pub fn refresh(&self) {
-        self.shared.order(&self.shared.whole, Event::Begin);
+        self.shared.signal(&self.shared.snapshot, Event::Start);
     }
 }
 
@@ -139,157 +149,189 @@
     }
 }
 
-type Calling = Pin<Box<dyn Future<Output = Result<(), Ended>>>>;
+type CallFuture = Pin<Box<dyn Future<Output = Result<(), CallEnd>>>>;
 
 impl Shared {
-    fn pursuit(&self, asks: Asks) -> &Pursuit {
-        match asks {
-            Asks::Changes => &self.changes,
-            Asks::Whole => &self.whole,
+    fn state(&self, query: Query) -> &QueryState {
+        match query {
+            Query::Changes => &self.changes,
+            Query::Snapshot => &self.snapshot,
         }
     }
 
-    fn handle(&self, pursuit: &Pursuit, event: Event) -> Option<Action> {
-        pursuit.watch.borrow_mut().handle(self.origin.elapsed(), event)
+    fn handle(&self, state: &QueryState, event: Event) -> Option<Action> {
+        state.watch.borrow_mut().handle(self.origin.elapsed(), event)
     }
 
-    fn order(&self, pursuit: &Pursuit, event: Event) {
-        if let Some(action) = self.handle(pursuit, event) {
-            pursuit.order.set(Some(action));
-            pursuit.ordered.notify_one();
+    /// Puts an event from outside of the query's task to its state machine, and has the task do what follows.
+    fn signal(&self, state: &QueryState, event: Event) {
+        if let Some(action) = self.handle(state, event) {
+            state.pending_action.set(Some(action));
+            state.action_set.notify_one();
         }
     }
 
-    /// Does what the state machine says, for good.
-    async fn pursue(self: Rc<Self>, asks: Asks) {
-        let pursuit = self.pursuit(asks);
-        let mut call: Option<(CallId, Calling)> = None;
+    /// Does what the state machine says, until the task is aborted.
+    async fn run_query(self: Rc<Self>, query: Query) {
+        let state = self.state(query);
+        let mut call: Option<(CallId, CallFuture)> = None;
         loop {
-            let due = pursuit.watch.borrow().due().map(|due| self.origin + due);
+            let due = state.watch.borrow().due().map(|due| self.origin + due);
             // Danger, in this order: a dropped call still speaks; and a watch whose lines wait to be read, since the
-            // process stood still, is given up for its silence.
+            // process stood still, is abandoned for its silence.
             let action = tokio::select! {
                 biased;
-                () = pursuit.ordered.notified() => pursuit.order.take(),
-                (id, result) = out(&mut call) => {
+                () = state.action_set.notified() => state.pending_action.take(),
+                (id, result) = call_result(&mut call) => {
                     call = None;
-                    let event = if result.is_ok() { Event::Done(id) } else { Event::Failed(id) };
-                    result.err().iter().for_each(|ended| self.remark(asks, ended));
-                    self.handle(pursuit, event)
+                    self.on_call_ended(query, id, result)
                 }
-                () = at(due) => self.handle(pursuit, Event::Due),
+                () = sleep_until_due(due) => self.handle(state, Event::TimerFired),
             };
-            let given_up = match action {
-                None => continue,
-                Some(Action::Call(id)) => {
-                    call = Some((id, Box::pin(self.clone().call(asks, id))));
+            let Some(action) = action else { continue };
+            match action {
+                Action::StartCall(id) => {
+                    call = Some((id, Box::pin(self.clone().call(query, id))));
                     continue;
                 }
-                Some(Action::Drop) => None,
-                Some(Action::GiveUpSlow) => Some(Ended::Slow),
-                Some(Action::GiveUpSilent) => Some(Ended::Silent),
-            };
+                Action::DropCall => {}
+                Action::AbandonUnanswered => self.log_call_end(query, &CallEnd::ResponseTimeout),
+                Action::AbandonSilent => self.log_call_end(query, &CallEnd::SilenceTimeout),
+            }
             call = None;
-            given_up.iter().for_each(|ended| self.remark(asks, ended));
         }
     }
 
-    fn target(&self, asks: Asks) -> String {
-        match asks {
-            Asks::Changes => registry::watch(self.version.get()),
-            Asks::Whole => registry::LIST.into(),
+    fn on_call_ended(&self, query: Query, id: CallId, result: Result<(), CallEnd>) -> Option<Action> {
+        let event = match &result {
+            Ok(()) => Event::SnapshotReceived(id),
+            Err(end) => {
+                self.log_call_end(query, end);
+                Event::CallFailed(id)
+            }
+        };
+        self.handle(self.state(query), event)
+    }
+
+    fn target(&self, query: Query) -> String {
+        match query {
+            Query::Changes => registry::watch(self.version.get()),
+            Query::Snapshot => registry::LIST.into(),
         }
     }
 
-    fn remark(&self, asks: Asks, ended: &Ended) {
-        let (peer, target) = (self.addr.get(), self.target(asks));
-        info!(self.log, "discovery"; "peer" => %peer, "target" => target, "ended" => %ended);
+    fn log_call_end(&self, query: Query, end: &CallEnd) {
+        info!(self.log, "discovery call ended"; "peer" => %self.address.get(), "target" => self.target(query),
+            "reason" => %end);
     }
 
     /// One call, on a connection of its own, to its end.
-    async fn call(self: Rc<Self>, asks: Asks, id: CallId) -> Result<(), Ended> {
-        let (pursuit, addr, target) = (self.pursuit(asks), self.addr.get(), self.target(asks));
-        let client = backends::client(addr, NO_LIMIT, &Rc::new(Seen::new(usize::MAX)));
-        debug!(self.log, "discovery is called"; "peer" => %addr, "target" => &target);
-        let uri = Uri::builder().scheme("http").authority(addr.to_string()).path_and_query(&*target);
+    async fn call(self: Rc<Self>, query: Query, id: CallId) -> Result<(), CallEnd> {
+        let address = self.address.get();
+        let target = self.target(query);
+        let client = backends::client(address, NO_TIMEOUT, &Rc::new(Seen::new(usize::MAX)));
+        debug!(self.log, "discovery call started"; "peer" => %address, "target" => &target);
+        let uri = Uri::builder().scheme("http").authority(address.to_string()).path_and_query(&*target);
         let request = client.get(uri.build().unwrap_or_default()).no_decompress();
-        let mut response = request.send().await?;
+        let response = request.send().await?;
         if response.status().as_u16() != 200 {
-            return Err(Ended::Status(response.status().as_u16()));
+            return Err(CallEnd::Status(response.status().as_u16()));
         }
-        self.handle(pursuit, Event::Head(id));
-        debug!(self.log, "discovery answers"; "peer" => %addr, "target" => &target);
-        let (mut lines, mut whole) = (Lines::default(), None);
+        self.handle(self.state(query), Event::ResponseStarted(id));
+        debug!(self.log, "discovery response started"; "peer" => %address, "target" => &target);
+        match query {
+            Query::Changes => self.read_changes(id, response).await,
+            Query::Snapshot => self.read_snapshot(id, response).await,
+        }
+    }
+
+    /// Passes on each object of a watch as it comes.
+    async fn read_changes(
+        &self,
+        id: CallId,
+        mut response: impl Stream<Item = Result<Bytes, PayloadError>> + Unpin,
+    ) -> Result<(), CallEnd> {
+        let mut lines = LineSplitter::default();
         while let Some(chunk) = response.next().await {
             lines.push(&chunk?);
             while let Some(line) = lines.next()? {
-                match (asks, line) {
-                    (Asks::Changes, Line::Empty) => {
-                        self.handle(pursuit, Event::Line(id));
-                        self.confirm_list(pursuit, id);
-                    }
-                    (Asks::Changes, Line::Object(text)) => {
-                        self.handle(pursuit, Event::Line(id));
-                        self.tell(asks, id, &text)?;
-                    }
-                    (Asks::Whole, Line::Empty) => {}
-                    (Asks::Whole, Line::Object(text)) => {
-                        if whole.replace(text).is_some() {
-                            return Err(BadLine::Surplus('{').into());
-                        }
-                    }
+                self.handle(&self.changes, Event::LineReceived(id));
+                match line {
+                    Line::Empty => self.confirm_list(id),
+                    Line::Object(text) => self.apply(Query::Changes, id, &text)?,
                 }
             }
         }
-        match asks {
-            Asks::Changes => Err(Ended::Closed),
-            Asks::Whole => {
-                let text = lines.finish()?.or(whole).ok_or(BadLine::Nothing)?;
-                self.tell(asks, id, &text)
+        Err(CallEnd::StreamEnded)
+    }
+
+    /// Reads the one object of a response to its end, and passes it on.
+    async fn read_snapshot(
+        &self,
+        id: CallId,
+        mut response: impl Stream<Item = Result<Bytes, PayloadError>> + Unpin,
+    ) -> Result<(), CallEnd> {
+        let mut lines = LineSplitter::default();
+        let mut object = None;
+        while let Some(chunk) = response.next().await {
+            lines.push(&chunk?);
+            while let Some(line) = lines.next()? {
+                match line {
+                    Line::Empty => {}
+                    Line::Object(text) => {
+                        if object.replace(text).is_some() {
+                            return Err(LineError::TrailingData('{').into());
+                        }
+                    }
+                }
             }
         }
+        let text = lines.finish()?.or(object).ok_or(LineError::NoData)?;
+        self.apply(Query::Snapshot, id, &text)
     }
 
-    /// Passes on an object that came.
-    fn tell(&self, asks: Asks, id: CallId, text: &[u8]) -> Result<(), Ended> {
-        let news = registry::read(text)?;
-        if !self.pursuit(asks).watch.borrow().is_out(id) {
-            return Ok(()); // dropped meanwhile
+    /// Passes an object on to the subscriber, unless its call was dropped meanwhile.
+    fn apply(&self, query: Query, id: CallId, text: &[u8]) -> Result<(), CallEnd> {
+        let update = registry::read(text)?;
+        if !self.state(query).watch.borrow().is_current(id) {
+            return Ok(());
         }
         let Some(subscriber) = self.subscriber.upgrade() else { return Ok(()) };
-        let open = self.changes.watch.borrow().is_open();
-        if let Err(older) = watch::fits(asks, open, self.version.get(), news.version, news.full) {
-            if asks == Asks::Changes {
+        let is_watched = self.changes.watch.borrow().is_streaming();
+        let held = HeldList { version: self.version.get(), is_watched };
+        let received = ReceivedUpdate { version: update.version, is_snapshot: update.full };
+        if let Err(stale) = watch::check_version(query, held, received) {
+            if query == Query::Changes {
                 // Discovery counts otherwise than what is held: only the entire list tells how things stand.
                 self.version.set(0);
             }
-            return Err(older.into());
+            return Err(stale.into());
         }
-        subscriber.news(news);
-        subscriber.list_is_complete();
+        subscriber.on_update(update);
+        subscriber.on_list_complete();
         Ok(())
     }
 
-    /// Passes on that nothing has changed since the last object that came.
-    fn confirm_list(&self, pursuit: &Pursuit, id: CallId) {
-        if !pursuit.watch.borrow().is_out(id) {
-            return; // dropped meanwhile
+    /// Passes on that nothing has changed since the last object of a watch, unless that was dropped meanwhile.
+    fn confirm_list(&self, id: CallId) {
+        if !self.changes.watch.borrow().is_current(id) {
+            return;
         }
         if let Some(subscriber) = self.subscriber.upgrade() {
-            subscriber.list_is_complete();
+            subscriber.on_list_complete();
         }
     }
 }
 
-/// The end of the call that is out.
-async fn out(call: &mut Option<(CallId, Calling)>) -> (CallId, Result<(), Ended>) {
+/// Resolves with the result of the current call; never if there is none.
+async fn call_result(call: &mut Option<(CallId, CallFuture)>) -> (CallId, Result<(), CallEnd>) {
     match call {
-        Some((id, calling)) => (*id, calling.await),
+        Some((id, future)) => (*id, future.await),
         None => pending().await,
     }
 }
 
-async fn at(due: Option<Instant>) {
+async fn sleep_until_due(due: Option<Instant>) {
     match due {
         Some(due) => sleep_until(due.into()).await,
         None => pending().await,
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,267 +1,305 @@
-//! When discovery is called, when a call or a watch is given up, and when it is called again: a state machine
-//! without I/O. Time is passed in, and chance comes from a seed.
+//! State machine of the calls to discovery: when one starts, when it is abandoned, and when the next one starts.
 //!
-//! What it keeps to is one sum: a change is known [`BUDGET`] after discovery has it and can be reached, with room
-//! for a second try. All times below are parts of that sum; [`CHAINS`] adds them up, and a build in which one is
-//! too long does not compile.
+//! It owns the retry and liveness timing of one [`Query`]. `discovery/mod.rs` drives it and does the I/O. It does no I/O
+//! itself and reads no clock: time is passed in, and chance comes from a seed.
+//!
+//! All timeouts and delays are parts of one sum: a change is known [`CHANGE_BUDGET_MS`] after discovery has it and can
+//! be reached, with room for a second try. [`WORST_CASE_SEQUENCES`] adds them up, and a build in which one is too long
+//! does not compile.
 
 use std::time::Duration;
 
-/// A change is known this long after discovery has it and can be reached, in milliseconds as all below.
-const BUDGET: u64 = 6000;
-/// What the network, the runtime and the reading of a list may take of it.
-const RESERVE: u64 = 300;
+/// A change is known this long after discovery has it and can be reached. All constants below are milliseconds.
+const CHANGE_BUDGET_MS: u64 = 6000;
+/// What the network, the runtime and parsing a list may take of the budget.
+const RESERVE_MS: u64 = 300;
 /// A watch brings a line this often, if only an empty one.
-const HEARTBEAT: u64 = 2000;
-/// A line may be so late.
-const LATE: u64 = 400;
-/// A watch that has brought no whole line for so long has fallen silent.
-const SILENCE: u64 = HEARTBEAT + LATE;
-/// Longest wait before a watch that fell silent, or a discovery that moved, is called. Danger: without it all
-/// copies call in one moment, since what befell one befell all.
-const REOPEN: u64 = 300;
-/// Longest wait after a watch that ended, or after the first call that failed. Danger: a copy without a watch is held to
-/// what changed since after the time that the settings give for asking, which may be 2 s.
-const FIRST_RETRY: u64 = 800;
-/// From the second failure on a copy calls in a turn of its own: its turns come this far apart,
-/// and where the first falls is chance. Danger: a queue at discovery that is longer than its patience answers nobody,
-/// and three hundred copies that call in bursts, or again sooner than it can work off their calls, keep it so for good.
-const TURNS: u64 = 2300;
-/// A turn that comes sooner after a second failure is passed over. It is more than is left of a turn by a call that
-/// waited until it was refused: discovery is busy then, and called half as often.
-const PAUSE: u64 = 400;
-/// The longest wait that comes of it.
-const RETRY: u64 = TURNS + PAUSE;
-/// The same after a call that was given up: these come apart by themselves, as they began.
-const AFTER_SLOW: u64 = 250;
-/// A call that has no answer after so long hangs. Danger: a busy discovery lets calls wait for their turn (2 s was
-/// seen) before it refuses them. Who gives up before leaves a call behind that takes somebody's turn, and never learns
-/// that it was refused.
-const ANSWER: u64 = 2150;
-/// What a discovery that has room takes to answer (0.25 s was seen).
-const TURN: u64 = 600;
-/// A new address is given with SIGHUP, and counts as told after this.
-const MOVE: u64 = 4000;
+const HEARTBEAT_INTERVAL_MS: u64 = 2000;
+/// A heartbeat may be this late.
+const HEARTBEAT_TOLERANCE_MS: u64 = 400;
+/// A watch that has brought no whole line for this long is abandoned.
+const SILENCE_TIMEOUT_MS: u64 = HEARTBEAT_INTERVAL_MS + HEARTBEAT_TOLERANCE_MS;
+/// Longest delay before the call that follows a silent watch or a change of address. Danger: without it all replicas
+/// call at the same moment, since what befell one befell all.
+const REOPEN_DELAY_MS: u64 = 300;
+/// Longest delay after a watch that ended, or after the first call that failed. Danger: a replica without a watch is
+/// held to what changed since after the time that the settings give for asking, which may be 2 s.
+const FIRST_RETRY_DELAY_MS: u64 = 800;
+/// From the second failure on a replica calls in time slots of its own, this far apart; where the first one falls is
+/// chance. Danger: a queue at discovery that is longer than its patience answers nobody, and three hundred replicas that
+/// call in bursts, or again sooner than it can work off their calls, keep it so for good.
+const RETRY_SLOT_INTERVAL_MS: u64 = 2300;
+/// A slot that comes sooner than this after a second failure is skipped. It is more than what is left of a slot by a
+/// call that waited until it was refused: discovery is busy then, and called half as often.
+const RETRY_SLOT_MARGIN_MS: u64 = 400;
+/// The longest delay that follows from the slots.
+const LONGEST_RETRY_DELAY_MS: u64 = RETRY_SLOT_INTERVAL_MS + RETRY_SLOT_MARGIN_MS;
+/// Longest delay after a call that was abandoned: these spread out by themselves, as they began.
+const RETRY_AFTER_TIMEOUT_DELAY_MS: u64 = 250;
+/// A call that has no response after this long is abandoned. Danger: a busy discovery lets calls wait for their turn
+/// (2 s was seen) before it refuses them. A caller that gives up before leaves a call behind that takes somebody's turn,
+/// and never learns that it was refused.
+const RESPONSE_TIMEOUT_MS: u64 = 2150;
+/// What a discovery with spare capacity takes to respond (0.25 s was seen).
+const EXPECTED_RESPONSE_MS: u64 = 600;
+/// A new address is given with SIGHUP, and its list has to be known after this.
+const ADDRESS_CHANGE_BUDGET_MS: u64 = 4000;
 
-/// The longest ways from the moment at which discovery has a change and can be reached to the line that brings it:
-/// by what the copy was at then, with a call that hangs on the way, but for one that was refused when its wait was
-/// over. Beside each is its bound.
-const CHAINS: [(&str, u64, u64); 6] = [
-    ("a watch has fallen silent", SILENCE + REOPEN + ANSWER + AFTER_SLOW + TURN, BUDGET),
-    ("a call hangs", ANSWER + AFTER_SLOW + ANSWER + AFTER_SLOW + TURN, BUDGET),
-    ("a watch is reset", FIRST_RETRY + ANSWER + AFTER_SLOW + TURN, BUDGET),
-    ("many calls have failed", RETRY + ANSWER + AFTER_SLOW + TURN, BUDGET),
-    ("a call waits and is refused", ANSWER + RETRY + TURN, BUDGET),
-    ("discovery moves", REOPEN + ANSWER + AFTER_SLOW + TURN, MOVE),
+/// The longest ways from the moment at which discovery has a change and can be reached to the line that brings it, by
+/// the state of the replica at that moment, with a call that hangs on the way; but for a call that was refused at the
+/// end of its wait. Beside each is its bound.
+const WORST_CASE_SEQUENCES: [(&str, u64, u64); 6] = [
+    (
+        "a watch has fallen silent",
+        SILENCE_TIMEOUT_MS
+            + REOPEN_DELAY_MS
+            + RESPONSE_TIMEOUT_MS
+            + RETRY_AFTER_TIMEOUT_DELAY_MS
+            + EXPECTED_RESPONSE_MS,
+        CHANGE_BUDGET_MS,
+    ),
+    (
+        "a call hangs",
+        RESPONSE_TIMEOUT_MS
+            + RETRY_AFTER_TIMEOUT_DELAY_MS
+            + RESPONSE_TIMEOUT_MS
+            + RETRY_AFTER_TIMEOUT_DELAY_MS
+            + EXPECTED_RESPONSE_MS,
+        CHANGE_BUDGET_MS,
+    ),
+    (
+        "a watch is reset",
+        FIRST_RETRY_DELAY_MS + RESPONSE_TIMEOUT_MS + RETRY_AFTER_TIMEOUT_DELAY_MS + EXPECTED_RESPONSE_MS,
+        CHANGE_BUDGET_MS,
+    ),
+    (
+        "many calls have failed",
+        LONGEST_RETRY_DELAY_MS + RESPONSE_TIMEOUT_MS + RETRY_AFTER_TIMEOUT_DELAY_MS + EXPECTED_RESPONSE_MS,
+        CHANGE_BUDGET_MS,
+    ),
+    (
+        "a call waits and is refused",
+        RESPONSE_TIMEOUT_MS + LONGEST_RETRY_DELAY_MS + EXPECTED_RESPONSE_MS,
+        CHANGE_BUDGET_MS,
+    ),
+    (
+        "discovery moves",
+        REOPEN_DELAY_MS + RESPONSE_TIMEOUT_MS + RETRY_AFTER_TIMEOUT_DELAY_MS + EXPECTED_RESPONSE_MS,
+        ADDRESS_CHANGE_BUDGET_MS,
+    ),
 ];
 
 const _: () = {
-    let mut at = 0;
-    while at < CHAINS.len() {
-        assert!(CHAINS[at].1 + RESERVE <= CHAINS[at].2, "a chain is longer than its bound");
-        at += 1;
+    let mut index = 0;
+    while index < WORST_CASE_SEQUENCES.len() {
+        let (_, sum, bound) = WORST_CASE_SEQUENCES[index];
+        assert!(sum + RESERVE_MS <= bound, "a sequence is longer than its bound");
+        index += 1;
     }
 };
 
-/// What is asked for.
+/// What discovery is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asks {
-    /// The changes, for good.
+pub enum Query {
+    /// The changes, on a watch that is kept open.
     Changes,
     /// The whole list, once.
-    Whole,
+    Snapshot,
 }
 
 /// The number of a call; each has another.
 pub type CallId = u64;
 
-/// What happens.
+/// What happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Discovery is to be called from now on. Nothing if it is already.
-    Begin,
-    /// No longer.
-    End,
-    /// Discovery is elsewhere from now on.
-    Moved,
-    /// The head of an answer came, and it is a good one.
-    Head(CallId),
+    /// The query is wanted from now on. No effect if it already is.
+    Start,
+    /// The query is no longer wanted.
+    Stop,
+    /// Discovery has another address from now on.
+    AddressChanged,
+    /// The head of a response came, with status 200.
+    ResponseStarted(CallId),
     /// A whole line came; an empty one too.
-    Line(CallId),
+    LineReceived(CallId),
     /// The whole list came.
-    Done(CallId),
-    /// A call was refused, broke off or brought what is unreadable.
-    Failed(CallId),
+    SnapshotReceived(CallId),
+    /// A call was refused, broke off or brought something unreadable.
+    CallFailed(CallId),
     /// The time that [`Watch::due`] names may have come.
-    Due,
+    TimerFired,
 }
 
-/// What is to be done. Each drops whatever call is out.
+/// What is to be done. Each drops the current call, if there is one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Call.
-    Call(CallId),
-    /// Nothing is out any longer.
-    Drop,
-    /// The call that is out has no answer in time.
-    GiveUpSlow,
-    /// The watch that is out has fallen silent.
-    GiveUpSilent,
+    /// Start a call.
+    StartCall(CallId),
+    /// No call is wanted.
+    DropCall,
+    /// The current call has had no response in time.
+    AbandonUnanswered,
+    /// The current watch has fallen silent.
+    AbandonSilent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Off,
-    /// Nothing is out until then.
-    Waiting(Duration),
-    /// A call is out since then, without an answer so far.
-    Calling(Duration),
-    /// The answer of a call that is out since then has begun; the last whole line came then.
-    Open {
+    Idle,
+    /// No call until then.
+    Backoff(Duration),
+    /// The current call was started then, and has no response so far.
+    AwaitingResponse(Duration),
+    /// The current call was started at `since` and its response has begun; the last whole line came at `last`.
+    Streaming {
         since: Duration,
         last: Duration,
     },
 }
 
-/// The liveness of what is asked for.
+/// The calls of one query.
 #[derive(Debug)]
 pub struct Watch {
-    asks: Asks,
+    query: Query,
     state: State,
-    /// Of the call that is out, or was last.
+    /// The current call, or the last one.
     call: CallId,
-    /// Calls that failed at once, one after the other.
+    /// Calls that failed at once, in a row.
     failures: u32,
-    /// When its first turn is.
-    turn: Duration,
+    /// When its first retry slot is.
+    first_retry_slot: Duration,
     rng: fastrand::Rng,
 }
 
 impl Watch {
-    /// Nothing is asked yet. `seed` has to differ between copies.
-    pub fn new(asks: Asks, seed: u64) -> Watch {
+    /// A query that is not wanted yet. `seed` has to differ between replicas.
+    pub fn new(query: Query, seed: u64) -> Watch {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let turn = Duration::from_micros(rng.u64(0..TURNS * 1000));
-        Watch { asks, state: State::Off, call: 0, failures: 0, turn, rng }
+        let first_retry_slot = Duration::from_micros(rng.u64(0..RETRY_SLOT_INTERVAL_MS * 1000));
+        Watch { query, state: State::Idle, call: 0, failures: 0, first_retry_slot, rng }
     }
 
     /// Takes one event at time `now`.
     pub fn handle(&mut self, now: Duration, event: Event) -> Option<Action> {
         match event {
-            Event::Begin if self.state == State::Off => Some(self.calls(now)),
-            Event::Begin => None,
-            Event::End => {
-                self.state = State::Off;
-                Some(Action::Drop)
+            Event::Start if self.state == State::Idle => Some(self.start_call(now)),
+            Event::Start => None,
+            Event::Stop => {
+                self.state = State::Idle;
+                Some(Action::DropCall)
             }
-            Event::Moved if self.asks == Asks::Whole && self.state == State::Off => None,
-            Event::Moved => {
+            Event::AddressChanged if self.query == Query::Snapshot && self.state == State::Idle => None,
+            Event::AddressChanged => {
                 self.failures = 0;
-                self.waits(now, REOPEN);
-                Some(Action::Drop)
+                self.back_off(now, REOPEN_DELAY_MS);
+                Some(Action::DropCall)
             }
-            Event::Head(call) => {
-                if let (true, State::Calling(since)) = (call == self.call, self.state) {
-                    self.state = State::Open { since, last: now };
+            Event::ResponseStarted(call) => {
+                if let (true, State::AwaitingResponse(since)) = (call == self.call, self.state) {
+                    self.state = State::Streaming { since, last: now };
                 }
                 None
             }
-            Event::Line(call) => {
-                if let (true, State::Open { last, .. }) = (call == self.call, &mut self.state) {
+            Event::LineReceived(call) => {
+                if let (true, State::Streaming { last, .. }) = (call == self.call, &mut self.state) {
                     *last = now;
                 }
                 None
             }
-            Event::Done(call) => {
-                if self.is_out(call) {
-                    (self.state, self.failures) = (State::Off, 0);
+            Event::SnapshotReceived(call) => {
+                if self.is_current(call) {
+                    self.state = State::Idle;
+                    self.failures = 0;
                 }
                 None
             }
-            Event::Failed(call) => {
-                if self.is_out(call) {
-                    self.fails(now);
+            Event::CallFailed(call) => {
+                if self.is_current(call) {
+                    self.on_failure(now);
                 }
                 None
             }
-            Event::Due => self.due().filter(|due| *due <= now).and_then(|_| self.is_due(now)),
+            Event::TimerFired => self.due().filter(|due| *due <= now).and_then(|_| self.on_timer(now)),
         }
     }
 
-    /// When it has to be told [`Event::Due`], unless something else happens first.
+    /// When [`Event::TimerFired`] is due, unless another event comes first.
     pub fn due(&self) -> Option<Duration> {
         match self.state {
-            State::Off => None,
-            State::Waiting(until) => Some(until),
-            State::Calling(since) => Some(since + ms(ANSWER)),
-            State::Open { last, .. } => Some(last + ms(SILENCE)),
+            State::Idle => None,
+            State::Backoff(until) => Some(until),
+            State::AwaitingResponse(since) => Some(since + ms(RESPONSE_TIMEOUT_MS)),
+            State::Streaming { last, .. } => Some(last + ms(SILENCE_TIMEOUT_MS)),
         }
     }
 
-    /// Whether a call is the one that is out. What another brings does not count.
-    pub fn is_out(&self, call: CallId) -> bool {
-        call == self.call && matches!(self.state, State::Calling(_) | State::Open { .. })
+    /// Whether a call is the current one. What another brings does not count.
+    pub fn is_current(&self, call: CallId) -> bool {
+        call == self.call && matches!(self.state, State::AwaitingResponse(_) | State::Streaming { .. })
     }
 
-    /// Whether an answer has begun and goes on.
-    pub fn is_open(&self) -> bool {
-        matches!(self.state, State::Open { .. })
+    /// Whether a response has begun and goes on.
+    pub fn is_streaming(&self) -> bool {
+        matches!(self.state, State::Streaming { .. })
     }
 
-    fn is_due(&mut self, now: Duration) -> Option<Action> {
+    fn on_timer(&mut self, now: Duration) -> Option<Action> {
         match self.state {
-            State::Off => None,
-            State::Waiting(_) => Some(self.calls(now)),
-            State::Calling(_) => {
-                self.waits(now, AFTER_SLOW);
-                Some(Action::GiveUpSlow)
+            State::Idle => None,
+            State::Backoff(_) => Some(self.start_call(now)),
+            State::AwaitingResponse(_) => {
+                self.back_off(now, RETRY_AFTER_TIMEOUT_DELAY_MS);
+                Some(Action::AbandonUnanswered)
             }
-            State::Open { .. } => {
-                // Behind a row of failures the copies have come apart already, and the sum has no room for more.
-                let most = if self.failures > 0 { 0 } else { REOPEN };
+            State::Streaming { .. } => {
+                // After a row of failures the replicas have spread out already, and the sum has no room for more.
+                let longest_ms = if self.failures > 0 { 0 } else { REOPEN_DELAY_MS };
                 self.failures = 0;
-                self.waits(now, most);
-                Some(Action::GiveUpSilent)
+                self.back_off(now, longest_ms);
+                Some(Action::AbandonSilent)
             }
         }
     }
 
-    fn calls(&mut self, now: Duration) -> Action {
+    fn start_call(&mut self, now: Duration) -> Action {
         self.call += 1;
-        self.state = State::Calling(now);
-        Action::Call(self.call)
+        self.state = State::AwaitingResponse(now);
+        Action::StartCall(self.call)
     }
 
-    /// Danger: an answer that begins well and breaks off at once, each time. Only one that went on for as long as the first
-    /// wait ends the row of failures.
-    fn fails(&mut self, now: Duration) {
-        if let State::Open { since, .. } = self.state
-            && now >= since + ms(FIRST_RETRY)
+    /// Danger: a response that begins well and breaks off at once, each time. Only one that went on for as long as the
+    /// first retry delay ends the row of failures.
+    fn on_failure(&mut self, now: Duration) {
+        if let State::Streaming { since, .. } = self.state
+            && now >= since + ms(FIRST_RETRY_DELAY_MS)
         {
             self.failures = 0;
         }
         self.failures = (self.failures + 1).min(8);
-        // Danger: what befell all befell them within one turn, and every second turn would be empty. The first that may
-        // be passed over is, by half of the copies.
-        let passes = match self.failures {
-            1 => return self.waits(now, FIRST_RETRY),
+        // Danger: what befell all befell them within one slot, and every second slot would be empty. The first that may
+        // be skipped is, by half of the replicas.
+        let skips_next_slot = match self.failures {
+            1 => return self.back_off(now, FIRST_RETRY_DELAY_MS),
             2 => self.rng.bool(),
             _ => true,
         };
-        let from = now + if passes { ms(PAUSE) } else { Duration::ZERO };
-        self.state = State::Waiting(self.turn_from(from));
+        let from = now + if skips_next_slot { ms(RETRY_SLOT_MARGIN_MS) } else { Duration::ZERO };
+        self.state = State::Backoff(self.next_retry_slot(from));
     }
 
-    /// Its first turn from a time on.
-    fn turn_from(&self, from: Duration) -> Duration {
-        let turns = from.saturating_sub(self.turn).as_micros().div_ceil(ms(TURNS).as_micros());
-        self.turn + ms(TURNS) * turns as u32
+    /// Its first retry slot from a time on.
+    fn next_retry_slot(&self, from: Duration) -> Duration {
+        let interval = ms(RETRY_SLOT_INTERVAL_MS);
+        let since_first = from.saturating_sub(self.first_retry_slot);
+        let slots = since_first.as_micros().div_ceil(interval.as_micros());
+        self.first_retry_slot + interval * slots as u32
     }
 
-    /// Full jitter: any wait up to the most is as likely, so that copies that failed together come apart.
-    fn waits(&mut self, now: Duration, most: u64) {
-        let wait = self.rng.u64(0..=most * 1000);
-        self.state = State::Waiting(now + Duration::from_micros(wait));
+    /// Full jitter: any delay up to the longest is as likely, so that replicas that failed together spread out.
+    fn back_off(&mut self, now: Duration, longest_ms: u64) {
+        let delay = self.rng.u64(0..=longest_ms * 1000);
+        self.state = State::Backoff(now + Duration::from_micros(delay));
     }
 }
 
@@ -269,28 +307,49 @@
     Duration::from_millis(ms)
 }
 
-/// News that is older than the list held.
+/// An update that is older than the list held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("version {told}, and version {held} is held")]
-pub struct Older {
-    /// What came.
-    pub told: u64,
-    /// What is held.
+#[error("version {received}, and version {held} is held")]
+pub struct StaleUpdate {
+    /// The version that came.
+    pub received: u64,
+    /// The version held.
     pub held: u64,
 }
 
-/// Whether news fits the version held. A whole list on a watch is discovery's word on how things stand and is taken as
-/// it is, also where it goes back. A change that goes back is not: it would undo what is newer. Nor is a whole list
-/// that was asked for on the side, and that the `open` watch has overtaken: the watch does not tell that part again.
+/// The list as it is held when an update comes.
+#[derive(Clone, Copy, Debug)]
+pub struct HeldList {
+    /// Its version.
+    pub version: u64,
+    /// A watch keeps it up to date.
+    pub is_watched: bool,
+}
+
+/// An update that came.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceivedUpdate {
+    /// The version that it brings the list to.
+    pub version: u64,
+    /// It is the whole list.
+    pub is_snapshot: bool,
+}
+
+/// Whether an update may be applied to the list held. A whole list on a watch is discovery's word on how things stand
+/// and is taken as it is, also where it goes back. A change that goes back is not: it would undo what is newer. Nor is a
+/// whole list that was asked for on the side, and that the watch has overtaken: the watch does not tell that part again.
 ///
 /// # Errors
 /// It is older than what is held.
-pub fn fits(asks: Asks, open: bool, held: u64, told: u64, full: bool) -> Result<(), Older> {
-    let must_be_newer = match asks {
-        Asks::Changes => !full,
-        Asks::Whole => open,
+pub fn check_version(query: Query, held: HeldList, received: ReceivedUpdate) -> Result<(), StaleUpdate> {
+    let must_be_newer = match query {
+        Query::Changes => !received.is_snapshot,
+        Query::Snapshot => held.is_watched,
     };
-    if must_be_newer && told < held { Err(Older { told, held }) } else { Ok(()) }
+    if must_be_newer && received.version < held.version {
+        return Err(StaleUpdate { received: received.version, held: held.version });
+    }
+    Ok(())
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/discovery/watch/tests/model.rs
+++ b/crates/proxy/src/discovery/watch/tests/model.rs
@@ -28,13 +28,13 @@
 impl Copy for Watch {
     fn handle(&mut self, now: Duration, input: Input) -> Option<Action> {
         let event = match input {
-            Input::Begin => Event::Begin,
-            Input::Moved => Event::Moved,
-            Input::Head(call) => Event::Head(call),
+            Input::Begin => Event::Start,
+            Input::Moved => Event::AddressChanged,
+            Input::Head(call) => Event::ResponseStarted(call),
             Input::Bytes(_) => return None,
-            Input::Empty(call) | Input::Object(call) => Event::Line(call),
-            Input::Failed(call) => Event::Failed(call),
-            Input::Due => Event::Due,
+            Input::Empty(call) | Input::Object(call) => Event::LineReceived(call),
+            Input::Failed(call) => Event::CallFailed(call),
+            Input::Due => Event::TimerFired,
         };
         Watch::handle(self, now, event)
     }
@@ -197,7 +197,7 @@
             Coming::Start { seat } => self.input(seat, Input::Begin),
             Coming::Script(index) => self.step(script[index].1),
             Coming::Head { seat, call, stalls } => {
-                if self.is_out(seat, call) {
+                if self.is_current(seat, call) {
                     self.seats[seat].conn = if stalls { Conn::Mute } else { Conn::Live };
                     self.input(seat, Input::Head(call));
                     if stalls {
@@ -209,12 +209,12 @@
                 }
             }
             Coming::Refused { seat, call } => {
-                if self.is_out(seat, call) {
-                    self.fails(seat);
+                if self.is_current(seat, call) {
+                    self.on_failure(seat);
                 }
             }
             Coming::Beat { seat, call, beat } => {
-                if self.is_out(seat, call)
+                if self.is_current(seat, call)
                     && self.seats[seat].conn == Conn::Live
                     && self.seats[seat].beat == beat
                 {
@@ -223,7 +223,7 @@
                 }
             }
             Coming::Drip { seat, call } => {
-                if self.is_out(seat, call) && self.seats[seat].conn == Conn::Drips {
+                if self.is_current(seat, call) && self.seats[seat].conn == Conn::Drips {
                     self.input(seat, Input::Bytes(call));
                     self.push(self.now + 500, coming);
                 }
@@ -240,7 +240,7 @@
         ms(self.now)
     }
 
-    fn is_out(&self, seat: usize, call: CallId) -> bool {
+    fn is_current(&self, seat: usize, call: CallId) -> bool {
         self.seats[seat].call == call && self.seats[seat].conn != Conn::None
     }
 
@@ -251,7 +251,7 @@
     fn beats(&mut self, seat: usize) {
         self.seats[seat].beat += 1;
         let (call, beat) = (self.seats[seat].call, self.seats[seat].beat);
-        self.push(self.now + HEARTBEAT, Coming::Beat { seat, call, beat });
+        self.push(self.now + HEARTBEAT_INTERVAL_MS, Coming::Beat { seat, call, beat });
     }
 
     /// Tells what a watch has not told.
@@ -266,7 +266,7 @@
         }
     }
 
-    fn fails(&mut self, seat: usize) {
+    fn on_failure(&mut self, seat: usize) {
         let call = self.seats[seat].call;
         self.seats[seat].conn = Conn::None;
         self.input(seat, Input::Failed(call));
@@ -275,7 +275,7 @@
     fn input(&mut self, seat: usize, input: Input) {
         let now = self.time();
         match self.seats[seat].copy.handle(now, input) {
-            Some(Action::Call(call)) => {
+            Some(Action::StartCall(call)) => {
                 (self.seats[seat].call, self.seats[seat].conn) = (call, Conn::Asked);
                 self.called(seat, call);
             }
@@ -341,7 +341,9 @@
                 }
                 for seat in all {
                     match step {
-                        Step::Down | Step::Stuck if self.seats[seat].conn != Conn::None => self.fails(seat),
+                        Step::Down | Step::Stuck if self.seats[seat].conn != Conn::None => {
+                            self.on_failure(seat)
+                        }
                         Step::Vanishes if self.seats[seat].conn != Conn::None => {
                             self.seats[seat].conn = Conn::Mute;
                         }
@@ -365,7 +367,7 @@
                             self.seats[seat].conn = Conn::Drips;
                             self.push(self.now, Coming::Drip { seat, call });
                         }
-                        _ => self.fails(seat),
+                        _ => self.on_failure(seat),
                     }
                 }
             }
--- a/crates/proxy/src/discovery/watch/tests/old.rs
+++ b/crates/proxy/src/discovery/watch/tests/old.rs
@@ -16,46 +16,49 @@
 
 impl Old {
     pub fn new(seed: u64) -> Old {
-        Old { state: State::Off, call: 0, failures: 0, rng: fastrand::Rng::with_seed(seed) }
+        Old { state: State::Idle, call: 0, failures: 0, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    fn calls(&mut self, now: Duration) -> Option<Action> {
+    fn start_call(&mut self, now: Duration) -> Option<Action> {
         self.call += 1;
-        self.state = State::Calling(now);
-        Some(Action::Call(self.call))
+        self.state = State::AwaitingResponse(now);
+        Some(Action::StartCall(self.call))
     }
 
-    fn fails(&mut self, now: Duration) -> Option<Action> {
+    fn on_failure(&mut self, now: Duration) -> Option<Action> {
         self.failures = (self.failures + 1).min(3);
         let wait = (MUST_ASK / 16) << self.failures;
-        self.state = State::Waiting(now + ms(wait + self.rng.u64(0..=wait)));
-        Some(Action::Drop)
+        self.state = State::Backoff(now + ms(wait + self.rng.u64(0..=wait)));
+        Some(Action::DropCall)
     }
 }
 
 impl Copy for Old {
     fn handle(&mut self, now: Duration, input: Input) -> Option<Action> {
         match (input, self.state) {
-            (Input::Begin | Input::Moved, _) => self.calls(now),
-            (Input::Head(call), State::Calling(since)) if call == self.call => {
-                self.state = State::Open { since, last: now };
+            (Input::Begin | Input::Moved, _) => self.start_call(now),
+            (Input::Head(call), State::AwaitingResponse(since)) if call == self.call => {
+                self.state = State::Streaming { since, last: now };
                 None
             }
-            (Input::Bytes(call) | Input::Empty(call) | Input::Object(call), State::Open { since, .. })
-                if call == self.call =>
-            {
-                self.state = State::Open { since, last: now };
+            (
+                Input::Bytes(call) | Input::Empty(call) | Input::Object(call),
+                State::Streaming { since, .. },
+            ) if call == self.call => {
+                self.state = State::Streaming { since, last: now };
                 if matches!(input, Input::Object(_)) {
                     self.failures = 0;
                 }
                 None
             }
-            (Input::Failed(call), State::Calling(_) | State::Open { .. }) if call == self.call => {
-                self.fails(now)
+            (Input::Failed(call), State::AwaitingResponse(_) | State::Streaming { .. })
+                if call == self.call =>
+            {
+                self.on_failure(now)
             }
             (Input::Due, state) if self.due().is_some_and(|due| due <= now) => match state {
-                State::Waiting(_) => self.calls(now),
-                _ => self.fails(now),
+                State::Backoff(_) => self.start_call(now),
+                _ => self.on_failure(now),
             },
             _ => None,
         }
@@ -63,10 +66,10 @@
 
     fn due(&self) -> Option<Duration> {
         match self.state {
-            State::Off => None,
-            State::Waiting(until) => Some(until),
-            State::Calling(since) => Some(since + ms(1500)),
-            State::Open { last, .. } => Some(last + ms(3000)),
+            State::Idle => None,
+            State::Backoff(until) => Some(until),
+            State::AwaitingResponse(since) => Some(since + ms(1500)),
+            State::Streaming { last, .. } => Some(last + ms(3000)),
         }
     }
 }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -183,7 +183,7 @@
 
     /// Another address of discovery's holds from now on.
     pub fn adopt(&self, discovery: SocketAddr) {
-        self.discovery.iter().for_each(|own| own.move_to(discovery));
+        self.discovery.iter().for_each(|own| own.set_address(discovery));
     }
 
     /// Takes in a list or a change, and tells the decisions.
@@ -195,7 +195,7 @@
             self.overlay.borrow_mut().whole_list_follows();
         }
         self.version.set(version);
-        self.discovery.iter().for_each(|discovery| discovery.holds(version));
+        self.discovery.iter().for_each(|discovery| discovery.set_version(version));
         let mut entries = Vec::with_capacity(named);
         for endpoint in &news.endpoints {
             let entry = self.dated(numbered(&mut self.shared.site.borrow_mut(), endpoint));
@@ -410,11 +410,11 @@
 }
 
 impl Subscriber for Driver {
-    fn news(&self, news: News<'_>) {
-        self.list(&news, if news.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
+    fn on_update(&self, update: News<'_>) {
+        self.list(&update, if update.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
     }
 
-    fn list_is_complete(&self) {
+    fn on_list_complete(&self) {
         self.starts.borrow_mut().list_is_complete(self.shared.clock.now());
     }
 }
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -64,8 +64,8 @@
 }
 
 fn tell(driver: &Driver, object: &str) {
-    Subscriber::news(driver, registry::read(object.as_bytes()).expect("an object"));
-    driver.list_is_complete();
+    Subscriber::on_update(driver, registry::read(object.as_bytes()).expect("an object"));
+    driver.on_list_complete();
 }
 
 fn is_in_slow_start(driver: &Driver, number: u32) -> bool {
@@ -80,7 +80,7 @@
             let clusters = cluster(WALL + ahead - behind, Some(&known), None);
             let driver = clusters.own().expect("the platform's own");
             assert!(!is_in_slow_start(&driver, 0), "it has been there for ever");
-            driver.list_is_complete();
+            driver.on_list_complete();
             tell(&driver, &object(false, "b", WALL));
             assert!(is_in_slow_start(&driver, 1), "{ahead} ahead, {behind} behind");
             let EndpointStatus::SlowStart { started } =
@@ -98,7 +98,7 @@
     actix_rt::System::new().block_on(async {
         let old = cluster(WALL + HOUR, Some(&object(true, "a", 1_000_000)), None);
         let driver = old.own().expect("the platform's own");
-        driver.list_is_complete();
+        driver.on_list_complete();
         tell(&driver, &object(false, "b", WALL));
         driver.detach("a").expect("listed");
         driver.attach("a").expect("out");
--- a/crates/proxy/src/sidecar/admin.rs
+++ b/crates/proxy/src/sidecar/admin.rs
@@ -74,9 +74,9 @@
 /// A line for each cluster of each listener.
 fn clusters(sidecar: &Sidecar) -> String {
     let mut out = String::new();
-    for (listener, gate, clusters) in &sidecar.sides {
+    for (listener, control, clusters) in &sidecar.sides {
         // Writing to a string does not fail.
-        let _ = writeln!(out, "listener {listener}: connections {}", gate.connections());
+        let _ = writeln!(out, "listener {listener}: connections {}", control.connections());
         for place in clusters.routes.places() {
             let _ = match place.context() {
                 Some(context) => writeln!(
@@ -117,9 +117,9 @@
     let open = family(&mut registry, "open_requests", "Open requests, by listener and cluster");
     let refused =
         family(&mut registry, "refused_absent", "Requests refused since their cluster was not there");
-    for (listener, gate, clusters) in &sidecar.sides {
+    for (listener, control, clusters) in &sidecar.sides {
         let label = |name: &str, value: &str| (name.to_owned(), value.to_owned());
-        clients.get_or_create(&vec![label("listener", listener)]).set(gate.connections() as i64);
+        clients.get_or_create(&vec![label("listener", listener)]).set(control.connections() as i64);
         for place in clusters.routes.places() {
             let labels = vec![label("listener", listener), label("cluster", &place.cluster)];
             let requests = place.context().map_or(0, |context| context.open_requests());
--- a/crates/proxy/src/sidecar/live.rs
+++ b/crates/proxy/src/sidecar/live.rs
@@ -4,7 +4,7 @@
 use super::application::Limit;
 use super::settings::shares;
 use crate::config::Sockets;
-use crate::listen::Gate;
+use crate::listen::AcceptControl;
 use olivecart_config::diff::{When, edits};
 use olivecart_config::resolve::{Environment, MAX_REQUESTS};
 use olivecart_config::types::Proxy;
@@ -22,9 +22,9 @@
     /// What is in force.
     pub proxy: Proxy,
     /// The inbound listener, and the limit of the application behind it.
-    pub inbound: Option<(Rc<Gate>, Rc<Limit>)>,
+    pub inbound: Option<(Rc<AcceptControl>, Rc<Limit>)>,
     /// The outbound ones.
-    pub outbound: Vec<Rc<Gate>>,
+    pub outbound: Vec<Rc<AcceptControl>>,
     /// For the operators.
     pub log: Logger,
 }
@@ -51,10 +51,10 @@
         self.proxy.settings.client_connections = new.settings.client_connections;
         let shares = shares(&self.proxy);
         let sockets = |clients| Sockets { clients, backends: 0 };
-        self.outbound.iter().for_each(|gate| gate.adopt(sockets(shares.outbound)));
+        self.outbound.iter().for_each(|control| control.set_limits(sockets(shares.outbound)));
         let most = new.inbound.as_ref().and_then(|inbound| inbound.max_requests);
-        if let (Some((gate, limit)), Some(inbound)) = (&self.inbound, &mut self.proxy.inbound) {
-            gate.adopt(sockets(shares.inbound));
+        if let (Some((control, limit)), Some(inbound)) = (&self.inbound, &mut self.proxy.inbound) {
+            control.set_limits(sockets(shares.inbound));
             limit.adopt(most.unwrap_or(MAX_REQUESTS)).await;
             inbound.max_requests = most;
         }
--- a/crates/proxy/src/sidecar/mod.rs
+++ b/crates/proxy/src/sidecar/mod.rs
@@ -16,7 +16,7 @@
 use crate::clusters::{Clusters, Routing, Start};
 use crate::config::Sockets;
 use crate::descriptors::Descriptors;
-use crate::listen::{self, Gate};
+use crate::listen::{self, AcceptControl, ListenerParts};
 use crate::operators::{Overrides, Rules};
 use crate::{reload, shutdown};
 use application::{Application, Limit};
@@ -87,7 +87,7 @@
     /// `inbound`, or the service that is called.
     name: String,
     listener: TcpListener,
-    gate: Rc<Gate>,
+    control: Rc<AcceptControl>,
     clusters: Rc<Clusters>,
 }
 
@@ -96,7 +96,7 @@
     /// What is in force, with origins.
     pub config: String,
     /// Listeners, by name.
-    pub sides: Vec<(String, Rc<Gate>, Rc<Clusters>)>,
+    pub sides: Vec<(String, Rc<AcceptControl>, Rc<Clusters>)>,
     /// What all connections to endpoints count against.
     pub descriptors: Rc<Descriptors>,
     /// Whether the application passes its checks; so if there is none before it.
@@ -137,7 +137,7 @@
         })
     };
     // Danger: unregistered, a signal ends the program and all that it had taken.
-    let (hang_up, mut signals) = (reload::register()?, shutdown::Signals::register()?);
+    let (hang_up, mut signals) = (reload::register()?, shutdown::ShutdownSignals::register()?);
     // All addresses before anything runs: a sidecar serves whole or not at all.
     let admin = proxy.admin.as_ref().map(|admin| bind("admin", admin.listen)).transpose()?;
     let mut sides = Vec::new();
@@ -190,7 +190,7 @@
     let all = sides.iter().chain(&inbound);
     let sidecar = Rc::new(Sidecar {
         config: olivecart_config::write::text(&resolved, &loaded.sources),
-        sides: all.map(|side| (side.name.clone(), side.gate.clone(), side.clusters.clone())).collect(),
+        sides: all.map(|side| (side.name.clone(), side.control.clone(), side.clusters.clone())).collect(),
         descriptors,
         application: health,
         leaving: Cell::new(false),
@@ -202,31 +202,31 @@
     for side in sides.iter().chain(&inbound) {
         info!(log, "listening"; "for" => &side.name, "version" => env!("CARGO_PKG_VERSION"));
     }
-    let gates: Vec<Rc<Gate>> = sides.iter().map(|side| side.gate.clone()).collect();
-    let before = inbound.as_ref().map(|side| side.gate.clone());
+    let controls: Vec<Rc<AcceptControl>> = sides.iter().map(|side| side.control.clone()).collect();
+    let before = inbound.as_ref().map(|side| side.control.clone());
     for side in sides.into_iter().chain(inbound) {
-        actix_rt::spawn(listen::serve(side.listener, side.gate));
+        actix_rt::spawn(listen::serve(side.listener, side.control));
     }
     let live = Live {
         path: path.to_owned(),
         environment: environment.clone(),
         proxy: proxy.clone(),
         inbound: before.clone().zip(limit),
-        outbound: gates.clone(),
+        outbound: controls.clone(),
         log: log.clone(),
     };
     actix_rt::spawn(live.follow(hang_up));
     tokio::select! {
-        () = signals.come() => {}
+        () = signals.received() => {}
         () = sidecar.leave.notified() => {}
     }
     sidecar.leaving.set(true);
     // The application still calls others for what it has taken: outbound outlives inbound.
-    if let Some(gate) = before {
-        shutdown::drain(&[gate], shutdown::Times::default(), &log).await;
+    if let Some(control) = before {
+        shutdown::drain(&[control], shutdown::ShutdownTimes::default(), &log).await;
     }
     info!(log, "inbound has ended");
-    shutdown::end(&gates, Instant::now() + shutdown::LONGEST, &log).await;
+    shutdown::close_connections(&controls, Instant::now() + shutdown::LONGEST_SHUTDOWN, &log).await;
     Ok(())
 }
 
@@ -265,8 +265,15 @@
             &log,
         );
         let sockets = Sockets { clients: self.clients, backends: 0 };
-        let gate = Rc::new(Gate::new(clusters.routes.clone(), site, log, sockets, self.budget.clone(), None));
-        Side { name, listener, gate, clusters }
+        let control = Rc::new(AcceptControl::new(ListenerParts {
+            routes: clusters.routes.clone(),
+            site,
+            log,
+            sockets,
+            budget: self.budget.clone(),
+            stats: None,
+        }));
+        Side { name, listener, control, clusters }
     }
 }
 
--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/upgrade.rs
@@ -6,7 +6,7 @@
 use crate::console::call::Call;
 use crate::handover::core::ByHand;
 use crate::handover::{self, Given, Host, State};
-use crate::listen::{self, Gate};
+use crate::listen::{self, AcceptControl};
 use slog::{Logger, info};
 use std::cell::Cell;
 use std::io;
@@ -59,7 +59,7 @@
 
 /// This process, as the next one has it.
 pub struct Process {
-    gate: Rc<Gate>,
+    control: Rc<AcceptControl>,
     clusters: Rc<Clusters>,
     /// There where another process may take over.
     listener: Option<TcpListener>,
@@ -73,14 +73,14 @@
 impl Process {
     /// The whole limits are its own.
     pub fn new(
-        gate: Rc<Gate>,
+        control: Rc<AcceptControl>,
         clusters: Rc<Clusters>,
         listener: Option<TcpListener>,
         sockets: Sockets,
         (budget, bodies): (Rc<Budget>, usize),
     ) -> Process {
         let (sockets, bodies, parts) = (Cell::new(sockets), Cell::new(bodies), Cell::new(1));
-        Process { gate, clusters, listener, sockets, budget, bodies, parts }
+        Process { control, clusters, listener, sockets, budget, bodies, parts }
     }
 
     /// Other limits hold from now on, of which it keeps to its part.
@@ -102,13 +102,13 @@
     }
 
     fn accept(&self, on: bool) {
-        self.gate.accept(on);
+        self.control.set_accepting(on);
     }
 
     fn share(&self, parts: u32) {
         self.parts.set(parts);
         let sockets = self.sockets.get().part(parts);
-        self.gate.adopt(sockets);
+        self.control.set_limits(sockets);
         self.clusters.limit_connections(sockets.backends);
         self.budget.adopt(self.bodies.get() / parts.max(1) as usize);
     }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -163,7 +163,7 @@
                 "c send GET /held
                  a expect GET /held
                  proxy send TERM
-                 proxy expect log leaving
+                 proxy expect log shutdown started
                  proxy send {again}
                  proxy send {again}
                  proxy expect unready
@@ -209,7 +209,7 @@
     let (_silent, mut idle) = (connect(site.listen), connect(site.listen));
     idle.write_all(request("/health/live", "").as_bytes()).expect("taken");
     proxy.program.signal("TERM");
-    proxy.program.line("leaving");
+    proxy.program.line("shutdown started");
     let mut hung = connect(site.listen);
     hung.write_all(request("/hung", "").as_bytes()).expect("taken");
     let _call = calls.recv_timeout(NEVER).expect("the call");
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -142,7 +142,7 @@
     proxy.waits_to_list(1);
     assert!(discovery.call().ends_with("after=41"));
     assert_eq!(
-        proxy.program.lines().iter().filter(|line| line.contains("ended")).count(),
+        proxy.program.lines().iter().filter(|line| line.contains("discovery call ended")).count(),
         0,
         "at the first call"
     );
@@ -170,7 +170,7 @@
     let proxy = Proxy::start(discovery.addr, 256);
     for (line, said) in &cases {
         assert!(discovery.call().ends_with("after=41"), "{:.200}", line);
-        let told = proxy.program.line("ended");
+        let told = proxy.program.line("discovery call ended");
         assert!(told.contains(said) && told.contains(&discovery.addr.to_string()), "{said}: {told}");
     }
     // The last one is what the proxy takes.
--- a/crates/proxy/tests/leaving.rs
+++ b/crates/proxy/tests/leaving.rs
@@ -22,7 +22,7 @@
     let mut caller = Client::new(site.listen);
     caller.call().expect("an answer");
     proxy.program.signal("TERM");
-    proxy.program.line("leaving");
+    proxy.program.line("shutdown started");
     let began = Instant::now();
     let crowd: Vec<_> = (0..200).map(|_| TcpStream::connect(site.listen).expect("queued")).collect();
     let (mut last, mut longest) = (began, Duration::ZERO);
