--- a/crates/membership/benches/xds.rs
+++ b/crates/membership/benches/xds.rs
@@ -19,7 +19,7 @@
 const COUNT: usize = 10_000;
 
 struct Bench {
-    talk: Session,
+    session: Session,
     catalog: Catalog,
     now: Nanos,
     out: Vec<Output>,
@@ -27,25 +27,25 @@
 
 impl Bench {
     fn new() -> Bench {
-        let talk = Session::new(Config::new("xds".into(), Node::default()));
+        let session = Session::new(Config::new("xds".into(), Node::default()));
         let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("the default policy");
-        let mut bench = Bench { talk, catalog, now: 0, out: Vec::new() };
+        let mut bench = Bench { session, catalog, now: 0, out: Vec::new() };
         bench.tell(Input::Tick);
         bench.tell(Input::Connected);
         let cluster = vec![resource(pack_any(eds_cluster("cart")))];
-        bench.hear(&response(Kind::Cluster, cluster));
+        bench.receive(&response(Kind::Cluster, cluster));
         bench
     }
 
     fn with(bytes: &[u8]) -> Bench {
         let mut bench = Bench::new();
-        bench.hear(bytes);
+        bench.receive(bytes);
         bench
     }
 
     fn tell(&mut self, input: Input) -> usize {
         self.now += 100_000_000;
-        self.talk.handle(self.now, input, &mut self.out);
+        self.session.handle(self.now, input, &mut self.out);
         let mut changes = Vec::new();
         for output in self.out.drain(..) {
             if let Output::Notify(event) = output {
@@ -55,7 +55,7 @@
         changes.len()
     }
 
-    fn hear(&mut self, bytes: &[u8]) -> usize {
+    fn receive(&mut self, bytes: &[u8]) -> usize {
         let response = DeltaDiscoveryResponse::decode(bytes).expect("a response");
         self.tell(Input::Response(Response::Delta(response)))
     }
@@ -93,17 +93,17 @@
     let mut group = criterion.benchmark_group("xds, 10,000 endpoints");
     group.sample_size(20).warm_up_time(Duration::from_millis(500)).measurement_time(Duration::from_secs(3));
     group.bench_function("first push", |b| {
-        b.iter_batched(Bench::new, |mut bench| (bench.hear(&all), bench), BatchSize::PerIteration);
+        b.iter_batched(Bench::new, |mut bench| (bench.receive(&all), bench), BatchSize::PerIteration);
     });
     group.bench_function("same push", |b| {
         let mut bench = Bench::with(&all);
-        b.iter(|| black_box(bench.hear(&all)));
+        b.iter(|| black_box(bench.receive(&all)));
     });
     group.bench_function("one endpoint changed", |b| {
         let (mut bench, mut turn) = (Bench::with(&all), false);
         b.iter(|| {
             turn = !turn;
-            black_box(bench.hear(if turn { &one } else { &all }))
+            black_box(bench.receive(if turn { &one } else { &all }))
         });
     });
     let bytes = first.encode_to_vec();
--- a/crates/membership/tests/reference/main.rs
+++ b/crates/membership/tests/reference/main.rs
@@ -3,7 +3,7 @@
 
 mod model;
 
-use model::{Map, Model, Told};
+use model::{Effects, Map, Model};
 use olivecart_membership::{
     Catalog, Cause, Cluster, ClusterDelta, ClusterName, ClusterSettings, ConfirmationSource, Endpoint,
     EndpointName, EndpointUpdate, Endpoints, Event, Nanos, Output, Policy, Silence, SourceId, State, Version,
@@ -163,12 +163,14 @@
                 update.clone()
             }
             Act::Agree => {
-                let feeds = self.model.clusters.get(CLUSTERS[cluster]).into_iter().flat_map(|c| &c.feeds);
-                let mut others = feeds.filter(|(rank, feed)| **rank != source && feed.held.is_some());
-                let Some((_, feed)) = others.next() else { return Ok(()) };
+                let subscriptions =
+                    self.model.clusters.get(CLUSTERS[cluster]).into_iter().flat_map(|c| &c.subscriptions);
+                let mut others = subscriptions
+                    .filter(|(rank, subscription)| **rank != source && subscription.held.is_some());
+                let Some((_, subscription)) = others.next() else { return Ok(()) };
                 EndpointUpdate::ClusterSnapshots(vec![Cluster::new(
                     named,
-                    feed.wanted().into_values().collect(),
+                    subscription.wanted().into_values().collect(),
                 )])
             }
             Act::List(list) => EndpointUpdate::ClusterSnapshots(vec![whole(cluster, list)]),
@@ -195,8 +197,11 @@
 
     /// A list that the source has given and was accepted comes damaged: what served must serve on.
     fn damage(&mut self, source: usize, cluster: usize, fault: Fault) -> Result<(), TestCaseError> {
-        let feed = self.model.clusters.get(CLUSTERS[cluster]).and_then(|c| c.feeds.get(&source));
-        let Some((good, settings)) = feed.and_then(|feed| feed.good.clone()) else { return Ok(()) };
+        let subscription =
+            self.model.clusters.get(CLUSTERS[cluster]).and_then(|c| c.subscriptions.get(&source));
+        let Some((good, settings)) = subscription.and_then(|subscription| subscription.good.clone()) else {
+            return Ok(());
+        };
         let mut list: Vec<Endpoint> = good.into_values().collect();
         if list.is_empty() {
             return Ok(());
@@ -232,16 +237,16 @@
         self.model.handle(self.now, &event);
         let mut out = Vec::new();
         self.catalog.handle(self.now, event, &mut out);
-        let mut told = Told::default();
+        let mut effects = Effects::default();
         for output in out {
-            self.apply(output, &mut told)?;
+            self.apply(output, &mut effects)?;
         }
-        prop_assert_eq!(&told, &self.model.told);
+        prop_assert_eq!(&effects, &self.model.effects);
         self.compare_service()?;
         self.compare_holds()
     }
 
-    fn apply(&mut self, output: Output, told: &mut Told) -> Result<(), TestCaseError> {
+    fn apply(&mut self, output: Output, effects: &mut Effects) -> Result<(), TestCaseError> {
         let kind = match output {
             Output::Added(added) => {
                 let (source, settings) = (added.source.as_str().to_owned(), added.settings);
@@ -265,14 +270,14 @@
                 for id in change.removed {
                     let id = id.as_str().to_owned();
                     prop_assert!(plain.endpoints.remove(&id).is_some(), "{} was not there", id);
-                    told.removed.insert((cluster.clone(), id));
+                    effects.removed.insert((cluster.clone(), id));
                 }
                 for upserted in change.upserted {
                     let (id, new) =
                         (upserted.endpoint.name.as_str().to_owned(), (*upserted.endpoint).clone());
                     let old = plain.endpoints.insert(id.clone(), new.clone());
                     prop_assert_ne!(old, Some(new), "a change that changes nothing");
-                    told.upserted.insert((cluster.clone(), id), upserted.arrival);
+                    effects.upserted.insert((cluster.clone(), id), upserted.arrival);
                 }
                 "changed"
             }
@@ -285,11 +290,11 @@
                 "renewed"
             }
             Output::Rejected(_) => {
-                told.refused += 1;
+                effects.refused += 1;
                 "refused"
             }
             Output::RefetchRequested { cluster, source } => {
-                told.asked.insert((cluster.as_str().to_owned(), source.as_str().to_owned()));
+                effects.asked.insert((cluster.as_str().to_owned(), source.as_str().to_owned()));
                 "asked"
             }
             Output::Quarantined(_) => "held",
@@ -334,22 +339,24 @@
         let ms = |at: Nanos| at / 1_000_000;
         let mut held = BTreeMap::new();
         for view in self.catalog.view() {
-            for feed in view.subscriptions {
-                if let Some(h) = feed.quarantine {
-                    let key = (view.cluster.as_str().to_owned(), feed.source.as_str().to_owned());
+            for subscription in view.subscriptions {
+                if let Some(h) = subscription.quarantine {
+                    let key = (view.cluster.as_str().to_owned(), subscription.source.as_str().to_owned());
                     held.insert(key, (h.needs_explicit_confirmation, h.endpoints, h.for_ms, h.refetch_in_ms));
                 }
             }
         }
         let mut expected = BTreeMap::new();
         for (name, cluster) in &self.model.clusters {
-            for (rank, feed) in &cluster.feeds {
-                let hold = feed
+            for (rank, subscription) in &cluster.subscriptions {
+                let hold = subscription
                     .held
                     .as_ref()
                     .map(|h| (h.needs_explicit_confirmation(), h.parts.len(), h.since, h.due));
-                let missing =
-                    feed.missing.as_ref().map(|m| (m.needs_explicit_confirmation(), 0, m.since, m.due));
+                let missing = subscription
+                    .missing
+                    .as_ref()
+                    .map(|m| (m.needs_explicit_confirmation(), 0, m.since, m.due));
                 let both: Vec<_> = hold.into_iter().chain(missing).collect();
                 let Some(since) = both.iter().map(|h| h.2).min() else { continue };
                 let due = both.iter().map(|h| h.3).min().unwrap_or(0);
--- a/crates/membership/tests/reference/model.rs
+++ b/crates/membership/tests/reference/model.rs
@@ -1,9 +1,12 @@
 //! A plain, slow model of the catalog, written from its rules: whole maps, copied and compared each time.
 
+mod validation;
+
 use olivecart_membership::{
-    Arrival, ClusterDelta, ClusterSettings, Endpoint, EndpointUpdate, Endpoints, Event, Nanos, Policy, State,
+    Arrival, ClusterDelta, ClusterSettings, Endpoint, EndpointUpdate, Endpoints, Event, Nanos, Policy,
 };
 use std::collections::{BTreeMap, BTreeSet};
+use validation::with_reported_state;
 
 pub type Map = BTreeMap<String, Endpoint>;
 
@@ -14,12 +17,12 @@
     /// Since when a source is silent.
     pub silent: Vec<Option<Nanos>>,
     pub now: Nanos,
-    pub told: Told,
+    pub effects: Effects,
 }
 
 /// What one event brings about.
 #[derive(Debug, Default, PartialEq)]
-pub struct Told {
+pub struct Effects {
     pub refused: usize,
     pub asked: BTreeSet<(String, String)>,
     pub upserted: BTreeMap<(String, String), Arrival>,
@@ -28,7 +31,7 @@
 
 #[derive(Default)]
 pub struct Cluster {
-    pub feeds: BTreeMap<usize, Feed>,
+    pub subscriptions: BTreeMap<usize, Subscription>,
     pub served: Option<Served>,
     /// When endpoints left, and what they were.
     left: Map,
@@ -36,7 +39,7 @@
 }
 
 #[derive(Default)]
-pub struct Feed {
+pub struct Subscription {
     pub good: Option<(Map, ClusterSettings)>,
     pub held: Option<Quarantined>,
     pub missing: Option<Missing>,
@@ -58,7 +61,7 @@
     pub since: Nanos,
     pub due: Nanos,
     against: Option<usize>,
-    fresh: bool,
+    is_new: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -82,7 +85,7 @@
     }
 }
 
-impl Feed {
+impl Subscription {
     /// What the source would list, if what is held passed.
     pub fn wanted(&self) -> Map {
         let own = self.good.as_ref().map_or(Map::new(), |(own, _)| own.clone());
@@ -97,13 +100,6 @@
     }
 }
 
-#[derive(Default)]
-struct Verdict {
-    doubtful: BTreeSet<String>,
-    sticky: BTreeSet<String>,
-    kinds: BTreeSet<&'static str>,
-}
-
 fn name(e: &Endpoint) -> String {
     e.name.as_str().to_owned()
 }
@@ -117,16 +113,12 @@
     map
 }
 
-fn stands(map: &Map, id: &str) -> Option<std::net::SocketAddr> {
-    map.get(id).filter(|e| e.state == State::Ready).and_then(|e| e.address)
-}
-
 impl Model {
     pub fn new(policy: Policy, sources: &[&str]) -> Model {
         let sources: Vec<String> = sources.iter().map(|s| s.to_string()).collect();
         let silent = vec![None; sources.len()];
-        let (clusters, told) = Default::default();
-        Model { policy, sources, clusters, silent, now: 0, told }
+        let (clusters, effects) = Default::default();
+        Model { policy, sources, clusters, silent, now: 0, effects }
     }
 
     fn hold(&self) -> Nanos {
@@ -142,64 +134,9 @@
         self.silent[source].is_some_and(|since| self.now >= since + after)
     }
 
-    fn judge(&self, cluster: &str, rank: usize, parts: &BTreeMap<String, Part>, said: bool) -> Verdict {
-        let feeds = &self.clusters[cluster].feeds;
-        let own = feeds[&rank].good.as_ref().map(|(own, _)| own);
-        let other = self.other(cluster, rank);
-        let empty = Map::new();
-        let base = own.or(other.as_ref()).unwrap_or(&empty);
-        let start = own.unwrap_or(&empty);
-        // With regard to what anybody else says of the endpoints.
-        let seen =
-            |map: &Map| -> Map { map.iter().map(|(id, e)| (id.clone(), cautious(feeds, rank, e))).collect() };
-        let settled = |part: &Part| said && self.now - part.since >= self.hold();
-        let mut verdict = Verdict::default();
-        nothing_left(own.is_none(), start, &seen, base, parts, &mut verdict);
-        let before = seen(base);
-        let is_ready = |id: &String| before.get(id).is_some_and(|e| e.state == State::Ready);
-        let ready = before.keys().filter(|id| is_ready(id)).count();
-        let gone = parts.iter().filter(|(id, part)| part.want.is_none() && is_ready(id) && !settled(part));
-        let gone: Vec<&String> = gone.map(|(id, _)| id).collect();
-        if gone.len() >= 2 && gone.len() as f64 > self.policy.most_gone * ready as f64 {
-            verdict.kinds.insert(if gone.len() == ready { "all gone" } else { "many gone" });
-            verdict.doubtful.extend(gone.iter().map(|id| id.to_string()));
-            verdict.sticky.extend(gone.iter().map(|id| id.to_string()));
-        }
-        let moved = parts.iter().filter(|(id, part)| {
-            let Some((from, want)) = stands(&before, id).zip(part.want.as_ref()) else { return false };
-            let restarted = want.started.is_some() && want.started != before[*id].started;
-            want.state == State::Ready && want.address != Some(from) && !restarted && !settled(part)
-        });
-        let moved: Vec<String> = moved.map(|(id, _)| id.clone()).collect();
-        let moved: Vec<String> = moved.into_iter().filter(|id| !verdict.doubtful.contains(id)).collect();
-        if !moved.is_empty() {
-            verdict.kinds.insert("moved");
-            verdict.doubtful.extend(moved);
-        }
-        let after = with(start, parts, &verdict.doubtful);
-        let mut twice = Vec::new();
-        for (id, part) in parts.iter().filter(|(id, _)| !verdict.doubtful.contains(*id)) {
-            let Some(address) = stands(&after, id).filter(|a| stands(start, id) != Some(*a)) else {
-                continue;
-            };
-            let others = after.keys().filter(|other| *other != id && stands(&after, other) == Some(address));
-            if others.count() > 0 && !settled(part) {
-                twice.push(id.clone());
-            }
-        }
-        if !twice.is_empty() {
-            verdict.kinds.insert("address twice");
-            verdict.doubtful.extend(twice);
-        }
-        if !verdict.kinds.is_empty() && !WORDS.iter().any(|kind| verdict.kinds.contains(kind)) {
-            nothing_left(own.is_none(), start, &seen, base, parts, &mut verdict);
-        }
-        verdict
-    }
-
     pub fn handle(&mut self, now: Nanos, event: &Event) {
         self.now = now;
-        self.told = Told::default();
+        self.effects = Effects::default();
         self.ask();
         let rank = |source: &str| self.sources.iter().position(|s| s == source).expect("a known source");
         match event {
@@ -210,11 +147,14 @@
             }
             Event::Confirm { source, cluster } => {
                 let rank = rank(source.as_str());
-                let feed = self.clusters.get_mut(cluster.as_str()).and_then(|c| c.feeds.get_mut(&rank));
-                match feed {
-                    Some(feed) if feed.missing.is_some() => self.drop_feed(cluster.as_str(), rank),
-                    Some(feed) if feed.held.is_some() => release(feed),
-                    _ => self.told.refused += 1,
+                let subscription =
+                    self.clusters.get_mut(cluster.as_str()).and_then(|c| c.subscriptions.get_mut(&rank));
+                match subscription {
+                    Some(subscription) if subscription.missing.is_some() => {
+                        self.drop_subscription(cluster.as_str(), rank)
+                    }
+                    Some(subscription) if subscription.held.is_some() => release(subscription),
+                    _ => self.effects.refused += 1,
                 }
                 self.settle(cluster.as_str());
             }
@@ -229,23 +169,23 @@
             Event::Tick => {}
         }
         self.clusters.retain(|_, c| {
-            c.feeds.retain(|_, f| f.good.is_some() || f.held.is_some() || f.refused);
-            !c.feeds.is_empty() || c.served.is_some()
+            c.subscriptions.retain(|_, f| f.good.is_some() || f.held.is_some() || f.refused);
+            !c.subscriptions.is_empty() || c.served.is_some()
         });
     }
 
     fn ask(&mut self) {
         let (now, next) = (self.now, self.now + self.asking());
         for (cluster, state) in &mut self.clusters {
-            for (rank, feed) in &mut state.feeds {
-                let dues = feed
+            for (rank, subscription) in &mut state.subscriptions {
+                let dues = subscription
                     .held
                     .iter_mut()
                     .map(|h| &mut h.due)
-                    .chain(feed.missing.iter_mut().map(|m| &mut m.due));
+                    .chain(subscription.missing.iter_mut().map(|m| &mut m.due));
                 for due in dues.filter(|due| **due <= now) {
                     *due = next;
-                    self.told.asked.insert((cluster.clone(), self.sources[*rank].clone()));
+                    self.effects.asked.insert((cluster.clone(), self.sources[*rank].clone()));
                 }
             }
         }
@@ -260,12 +200,12 @@
                     self.list(rank, cluster.name.as_str(), &cluster.endpoints, cluster.settings);
                 }
                 let twice: BTreeSet<&str> = names.iter().copied().filter(|n| is_twice(n)).collect();
-                self.told.refused += twice.len();
+                self.effects.refused += twice.len();
                 if matches!(update, EndpointUpdate::FullSnapshot(_)) {
                     let missing = self
                         .clusters
                         .iter()
-                        .filter(|(n, c)| !names.contains(&n.as_str()) && c.feeds.contains_key(&rank));
+                        .filter(|(n, c)| !names.contains(&n.as_str()) && c.subscriptions.contains_key(&rank));
                     let missing: Vec<String> = missing.map(|(n, _)| n.clone()).collect();
                     missing.iter().for_each(|n| self.miss(rank, n, names.is_empty()));
                 }
@@ -275,34 +215,35 @@
             }
             EndpointUpdate::ClustersRemoved(names) => {
                 for cluster in names {
-                    self.drop_feed(cluster.as_str(), rank);
+                    self.drop_subscription(cluster.as_str(), rank);
                     self.settle(cluster.as_str());
                 }
             }
         }
     }
 
-    fn drop_feed(&mut self, cluster: &str, rank: usize) {
+    fn drop_subscription(&mut self, cluster: &str, rank: usize) {
         if let Some(state) = self.clusters.get_mut(cluster) {
-            state.feeds.remove(&rank);
+            state.subscriptions.remove(&rank);
         }
     }
 
     fn miss(&mut self, rank: usize, cluster: &str, none_named: bool) {
         let (now, hold, due) = (self.now, self.hold(), self.now + self.asking());
-        let feed = self.clusters.get_mut(cluster).and_then(|c| c.feeds.get_mut(&rank)).expect("a feed");
-        let (since, due) = feed.missing.as_ref().map_or((now, due), |m| (m.since, m.due));
-        if feed.good.is_some() && (none_named || now - since < hold) {
-            feed.missing = Some(Missing { since, due, none_named });
+        let subscription =
+            self.clusters.get_mut(cluster).and_then(|c| c.subscriptions.get_mut(&rank)).expect("a feed");
+        let (since, due) = subscription.missing.as_ref().map_or((now, due), |m| (m.since, m.due));
+        if subscription.good.is_some() && (none_named || now - since < hold) {
+            subscription.missing = Some(Missing { since, due, none_named });
         } else {
-            self.drop_feed(cluster, rank);
+            self.drop_subscription(cluster, rank);
         }
         self.settle(cluster);
     }
 
-    fn feed(&mut self, cluster: &str, rank: usize) -> &mut Feed {
+    fn subscription(&mut self, cluster: &str, rank: usize) -> &mut Subscription {
         let state = self.clusters.entry(cluster.to_owned()).or_default();
-        state.feeds.entry(rank).or_default()
+        state.subscriptions.entry(rank).or_default()
     }
 
     /// What would be displaced by a first list of a source.
@@ -312,12 +253,12 @@
     }
 
     fn list(&mut self, rank: usize, cluster: &str, endpoints: &Endpoints, settings: ClusterSettings) {
-        let feed = self.feed(cluster, rank);
-        feed.missing = None;
+        let subscription = self.subscription(cluster, rank);
+        subscription.missing = None;
         match endpoints {
             Endpoints::NoneOnPurpose => {
-                feed.held = None;
-                feed.good = Some((Map::new(), settings));
+                subscription.held = None;
+                subscription.good = Some((Map::new(), settings));
             }
             Endpoints::Listed(list) => {
                 let ids: BTreeSet<String> = list.iter().map(name).collect();
@@ -325,8 +266,8 @@
                 let faults = list.iter().filter(|e| e.check().is_err()).count()
                     + ids.iter().filter(|id| count(id) > 1).count();
                 if faults > 0 {
-                    feed.refused = true;
-                    self.told.refused += faults;
+                    subscription.refused = true;
+                    self.effects.refused += faults;
                 } else {
                     let list = list.iter().map(|e| (name(e), e.clone())).collect();
                     self.whole(rank, cluster, list, settings, true);
@@ -338,57 +279,58 @@
 
     fn difference(&self, rank: usize, cluster: &str, list: &Map) -> BTreeMap<String, Part> {
         let other = self.other(cluster, rank);
-        let feed = &self.clusters[cluster].feeds[&rank];
-        let own = feed.good.as_ref().map(|(own, _)| own);
+        let subscription = &self.clusters[cluster].subscriptions[&rank];
+        let own = subscription.good.as_ref().map(|(own, _)| own);
         let base = own.cloned().or(other).unwrap_or_default();
         let ids: BTreeSet<&String> = base.keys().chain(list.keys()).collect();
         let changed = |id: &&String| own.is_none() || base.get(*id) != list.get(*id);
         ids.into_iter()
             .filter(changed)
-            .map(|id| (id.clone(), part(feed, id, list.get(id), self.now)))
+            .map(|id| (id.clone(), part(subscription, id, list.get(id), self.now)))
             .collect()
     }
 
-    fn whole(&mut self, rank: usize, cluster: &str, list: Map, settings: ClusterSettings, said: bool) {
+    fn whole(&mut self, rank: usize, cluster: &str, list: Map, settings: ClusterSettings, is_reported: bool) {
         let parts = self.difference(rank, cluster, &list);
-        let old = self.feed(cluster, rank).held.take();
-        let verdict = self.judge(cluster, rank, &parts, said);
+        let old = self.subscription(cluster, rank).held.take();
+        let verdict = self.validate(cluster, rank, &parts, is_reported);
         let owner = owner(&self.clusters[cluster]).map(|(owner, _)| owner);
         let (now, due) = (self.now, self.now + self.asking());
-        let feed = self.feed(cluster, rank);
-        let is_first = feed.good.is_none();
+        let subscription = self.subscription(cluster, rank);
+        let is_first = subscription.good.is_none();
         if verdict.kinds.is_empty() {
-            feed.good = Some((list, settings));
+            subscription.good = Some((list, settings));
             return;
         }
         let (since, due) = old.map_or((now, due), |old| (old.since, old.due));
         let (whole, against, kinds) = (Some(settings), owner.filter(|_| is_first), verdict.kinds);
-        let mut held = Quarantined { parts, whole, kinds, since, due, against, fresh: true };
+        let mut held = Quarantined { parts, whole, kinds, since, due, against, is_new: true };
         held.parts.iter_mut().for_each(|(id, part)| part.sticky |= verdict.sticky.contains(id));
-        feed.held = Some(held);
+        subscription.held = Some(held);
     }
 
     fn update(&mut self, rank: usize, update: &ClusterDelta) {
         let cluster = update.cluster.as_str();
-        let feed = self.feed(cluster, rank);
-        feed.missing = None;
+        let subscription = self.subscription(cluster, rank);
+        subscription.missing = None;
         let upserts = update.upserts.iter().map(|e| (name(e), Some(e.clone())));
         let removals = update.removals.iter().map(|id| (id.as_str().to_owned(), None));
-        let said: Vec<(String, Option<Endpoint>)> = upserts.chain(removals).collect();
-        let count = |id: &String| said.iter().filter(|(other, _)| other == id).count();
-        let ids: BTreeSet<&String> = said.iter().map(|(id, _)| id).collect();
+        let is_reported: Vec<(String, Option<Endpoint>)> = upserts.chain(removals).collect();
+        let count = |id: &String| is_reported.iter().filter(|(other, _)| other == id).count();
+        let ids: BTreeSet<&String> = is_reported.iter().map(|(id, _)| id).collect();
         let bad = |e: &Option<Endpoint>| e.as_ref().is_some_and(|e| e.check().is_err());
         let good = |(id, e): &&(String, Option<Endpoint>)| count(id) == 1 && !bad(e);
-        let faults = ids.len() - said.iter().filter(good).count();
-        let said: BTreeMap<String, Option<Endpoint>> = said.iter().filter(good).cloned().collect();
-        feed.refused |= faults > 0;
-        if feed.good.is_none() {
-            let held = feed.held.clone();
+        let faults = ids.len() - is_reported.iter().filter(good).count();
+        let is_reported: BTreeMap<String, Option<Endpoint>> =
+            is_reported.iter().filter(good).cloned().collect();
+        subscription.refused |= faults > 0;
+        if subscription.good.is_none() {
+            let held = subscription.held.clone();
             let mut list: Map = Map::new();
             for (id, part) in held.iter().flat_map(|held| &held.parts) {
                 list.extend(part.want.iter().map(|e| (id.clone(), e.clone())));
             }
-            for (id, e) in &said {
+            for (id, e) in &is_reported {
                 list.remove(id);
                 list.extend(e.iter().map(|e| (id.clone(), e.clone())));
             }
@@ -397,9 +339,9 @@
                 self.whole(rank, cluster, list, settings, held.is_none());
             }
         } else {
-            self.parts(rank, cluster, said, update.settings);
+            self.parts(rank, cluster, is_reported, update.settings);
         }
-        self.told.refused += faults;
+        self.effects.refused += faults;
         self.settle(cluster);
     }
 
@@ -407,30 +349,30 @@
         &mut self,
         rank: usize,
         cluster: &str,
-        said: BTreeMap<String, Option<Endpoint>>,
+        is_reported: BTreeMap<String, Option<Endpoint>>,
         settings: Option<ClusterSettings>,
     ) {
         let (now, due) = (self.now, self.now + self.asking());
-        let feed = &self.clusters[cluster].feeds[&rank];
-        let (own, _) = feed.good.as_ref().expect("accepted content");
-        let changes = said.iter().filter(|(id, e)| own.get(*id) != e.as_ref());
+        let subscription = &self.clusters[cluster].subscriptions[&rank];
+        let (own, _) = subscription.good.as_ref().expect("accepted content");
+        let changes = is_reported.iter().filter(|(id, e)| own.get(*id) != e.as_ref());
         let parts: BTreeMap<String, Part> =
-            changes.map(|(id, e)| (id.clone(), part(feed, id, e.as_ref(), now))).collect();
-        let feed = self.feed(cluster, rank);
-        if let Some(held) = &mut feed.held {
-            said.keys().for_each(|id| _ = held.parts.remove(id));
+            changes.map(|(id, e)| (id.clone(), part(subscription, id, e.as_ref(), now))).collect();
+        let subscription = self.subscription(cluster, rank);
+        if let Some(held) = &mut subscription.held {
+            is_reported.keys().for_each(|id| _ = held.parts.remove(id));
             held.whole = held.whole.map(|old| settings.unwrap_or(old));
         }
-        let verdict = self.judge(cluster, rank, &parts, true);
-        let feed = self.feed(cluster, rank);
-        let good = feed.good.as_mut().expect("accepted content");
+        let verdict = self.validate(cluster, rank, &parts, true);
+        let subscription = self.subscription(cluster, rank);
+        let good = subscription.good.as_mut().expect("accepted content");
         *good = (with(&good.0, &parts, &verdict.doubtful), settings.unwrap_or(good.1));
         if verdict.doubtful.is_empty() {
             return;
         }
         let (parts_held, whole, kinds, against) = Default::default();
-        let begin = Quarantined { parts: parts_held, whole, kinds, since: now, due, against, fresh: false };
-        let held = feed.held.get_or_insert(begin);
+        let begin = Quarantined { parts: parts_held, whole, kinds, since: now, due, against, is_new: false };
+        let held = subscription.held.get_or_insert(begin);
         held.kinds.extend(verdict.kinds);
         for (id, mut part) in parts.into_iter().filter(|(id, _)| verdict.doubtful.contains(id)) {
             part.sticky |= verdict.sticky.contains(&id);
@@ -444,7 +386,7 @@
             return;
         }
         loop {
-            let ranks: Vec<usize> = self.clusters[cluster].feeds.keys().copied().collect();
+            let ranks: Vec<usize> = self.clusters[cluster].subscriptions.keys().copied().collect();
             let passed =
                 ranks.iter().filter(|rank| self.second(cluster, **rank) || self.again(cluster, **rank));
             // Not `any`: each is asked in each round.
@@ -453,22 +395,22 @@
             }
         }
         let state = self.clusters.get_mut(cluster).expect("the cluster");
-        let held = state.feeds.values_mut().filter_map(|f| f.held.as_mut());
-        held.for_each(|held| held.fresh = false);
+        let held = state.subscriptions.values_mut().filter_map(|f| f.held.as_mut());
+        held.for_each(|held| held.is_new = false);
         self.serve(cluster);
     }
 
     fn second(&mut self, cluster: &str, rank: usize) -> bool {
         let state = self.clusters.get_mut(cluster).expect("the cluster");
-        let feed = &state.feeds[&rank];
-        if feed.held.as_ref().is_none_or(Quarantined::needs_explicit_confirmation) {
+        let subscription = &state.subscriptions[&rank];
+        if subscription.held.as_ref().is_none_or(Quarantined::needs_explicit_confirmation) {
             return false;
         }
         let places = |map: &Map| map.iter().map(|(id, e)| (id.clone(), e.address)).collect::<Vec<_>>();
-        let wanted = places(&feed.wanted());
-        let mut others = state.feeds.iter().filter(|(other, _)| **other != rank);
+        let wanted = places(&subscription.wanted());
+        let mut others = state.subscriptions.iter().filter(|(other, _)| **other != rank);
         if others.any(|(_, f)| f.good.as_ref().is_some_and(|(other, _)| places(other) == wanted)) {
-            release(state.feeds.get_mut(&rank).expect("the feed"));
+            release(state.subscriptions.get_mut(&rank).expect("the feed"));
             return true;
         }
         false
@@ -476,25 +418,25 @@
 
     fn again(&mut self, cluster: &str, rank: usize) -> bool {
         let state = &self.clusters[cluster];
-        let feed = &state.feeds[&rank];
-        let Some(held) = feed.held.as_ref().filter(|held| !held.fresh) else { return false };
+        let subscription = &state.subscriptions[&rank];
+        let Some(held) = subscription.held.as_ref().filter(|held| !held.is_new) else { return false };
         let now_owner = owner(state).map(|(owner, _)| owner);
-        let (mut parts, verdict) = match &feed.good {
+        let (mut parts, verdict) = match &subscription.good {
             None => {
                 if held.against.is_none() || held.against == now_owner {
                     return false;
                 }
                 let list = with(&Map::new(), &held.parts, &BTreeSet::new());
                 let parts = self.difference(rank, cluster, &list);
-                let verdict = self.judge(cluster, rank, &parts, false);
+                let verdict = self.validate(cluster, rank, &parts, false);
                 (parts, verdict)
             }
             Some(_) if held.whole.is_some() && held.parts.values().any(|part| part.sticky) => return false,
-            Some(_) => (held.parts.clone(), self.judge(cluster, rank, &held.parts, false)),
+            Some(_) => (held.parts.clone(), self.validate(cluster, rank, &held.parts, false)),
         };
-        let feed = self.feed(cluster, rank);
-        let held = feed.held.as_mut().expect("held");
-        held.against = now_owner.filter(|_| feed.good.is_none());
+        let subscription = self.subscription(cluster, rank);
+        let held = subscription.held.as_mut().expect("held");
+        held.against = now_owner.filter(|_| subscription.good.is_none());
         parts.iter_mut().for_each(|(id, part)| part.sticky |= verdict.sticky.contains(id));
         held.parts = parts;
         if !verdict.kinds.is_empty() {
@@ -502,14 +444,14 @@
         }
         if held.whole.is_some() {
             if verdict.kinds.is_empty() {
-                release(feed);
+                release(subscription);
             }
             return verdict.kinds.is_empty();
         }
         let stays = |(id, part): (&String, &Part)| part.sticky || verdict.doubtful.contains(id);
         let passing: Vec<String> =
             held.parts.iter().filter(|p| !stays(*p)).map(|(id, _)| id.clone()).collect();
-        let good = feed.good.as_mut().expect("accepted content");
+        let good = subscription.good.as_mut().expect("accepted content");
         for id in &passing {
             let part = held.parts.remove(id).expect("a part");
             good.0.remove(id);
@@ -517,7 +459,7 @@
         }
         let is_over = held.parts.is_empty();
         if is_over {
-            feed.held = None;
+            subscription.held = None;
         }
         is_over || !passing.is_empty()
     }
@@ -531,14 +473,17 @@
             }
             return;
         };
-        let shall: Map = own.iter().map(|(id, e)| (id.clone(), cautious(&state.feeds, owner, e))).collect();
-        let settings = state.feeds[&owner].good.as_ref().expect("the owner's").1;
+        let shall: Map = own
+            .iter()
+            .map(|(id, e)| (id.clone(), with_reported_state(&state.subscriptions, owner, e)))
+            .collect();
+        let settings = state.subscriptions[&owner].good.as_ref().expect("the owner's").1;
         let before = state.served.take().map_or(Map::new(), |served| served.endpoints);
         for (id, e) in &before {
             if !shall.contains_key(id) {
                 state.left.insert(id.clone(), e.clone());
                 state.left_at.insert(id.clone(), now);
-                self.told.removed.insert((cluster.to_owned(), id.clone()));
+                self.effects.removed.insert((cluster.to_owned(), id.clone()));
             }
         }
         let within = self.policy.returns_within.as_nanos() as Nanos;
@@ -554,80 +499,24 @@
                 Some(old) if new.address != old.address => Arrival::Moved { from: old.address },
                 Some(_) => away.map_or(Arrival::Changed, |away| Arrival::Returned { away }),
             };
-            self.told.upserted.insert((cluster.to_owned(), id.clone()), arrival);
+            self.effects.upserted.insert((cluster.to_owned(), id.clone()), arrival);
         }
         state.served = Some(Served { owner, endpoints: shall, settings });
     }
 }
 
 fn owner(state: &Cluster) -> Option<(usize, &Map)> {
-    state.feeds.iter().find_map(|(rank, feed)| Some((*rank, &feed.good.as_ref()?.0)))
+    state.subscriptions.iter().find_map(|(rank, subscription)| Some((*rank, &subscription.good.as_ref()?.0)))
 }
 
-fn part(feed: &Feed, id: &str, want: Option<&Endpoint>, now: Nanos) -> Part {
-    let held = feed.held.as_ref().and_then(|held| held.parts.get(id));
+fn part(subscription: &Subscription, id: &str, want: Option<&Endpoint>, now: Nanos) -> Part {
+    let held = subscription.held.as_ref().and_then(|held| held.parts.get(id));
     let same = held.filter(|part| part.want.as_ref().map(|e| e.address) == want.map(|e| e.address));
     Part { want: want.cloned(), since: same.map_or(now, |part| part.since), sticky: false }
 }
 
-fn release(feed: &mut Feed) {
-    let held = feed.held.take().expect("held");
-    let (own, settings) = feed.good.take().unwrap_or_default();
-    feed.good = Some((with(&own, &held.parts, &BTreeSet::new()), held.whole.unwrap_or(settings)));
-}
-
-fn nothing_left(
-    is_first: bool,
-    start: &Map,
-    seen: &dyn Fn(&Map) -> Map,
-    base: &Map,
-    parts: &BTreeMap<String, Part>,
-    verdict: &mut Verdict,
-) {
-    let after = seen(&with(start, parts, &verdict.doubtful));
-    let before = seen(base);
-    if after.values().any(Endpoint::takes_requests) {
-        return;
-    }
-    let weightless = |id: &String| after.get(id).is_some_and(|e| e.state == State::Ready);
-    let passing = || parts.keys().filter(|id| !verdict.doubtful.contains(*id));
-    let loses = |id: &&String| {
-        before.get(*id).is_some_and(Endpoint::takes_requests) && (!after.contains_key(*id) || weightless(id))
-    };
-    let lost: BTreeSet<String> = passing()
-        .filter(|id| loses(id) || after.is_empty() || start.is_empty() && weightless(id))
-        .cloned()
-        .collect();
-    let any_ready = after.values().any(|e| e.state == State::Ready);
-    let any_loss = passing().any(|id| loses(&id));
-    let kind = if after.is_empty() && (is_first || !start.is_empty()) {
-        "no endpoints"
-    } else if any_ready && (any_loss || start.is_empty()) {
-        "all zero"
-    } else if any_loss {
-        "nothing left"
-    } else {
-        return;
-    };
-    verdict.kinds.insert(kind);
-    if lost.len() >= 2 {
-        verdict.sticky.extend(lost.iter().cloned());
-    }
-    verdict.doubtful.extend(lost);
-}
-
-/// An endpoint in the most cautious state that anybody else, or what is held, says it is in.
-fn cautious(feeds: &BTreeMap<usize, Feed>, me: usize, own: &Endpoint) -> Endpoint {
-    let id = name(own);
-    let said = feeds.iter().flat_map(|(rank, f)| {
-        let good = f.good.as_ref().filter(|_| *rank != me).and_then(|(map, _)| map.get(&id));
-        let held = f.held.as_ref().and_then(|h| h.parts.get(&id)).and_then(|p| p.want.as_ref());
-        good.into_iter().chain(held)
-    });
-    let counts = |said: &&Endpoint| match (said.started, own.started) {
-        (Some(said), Some(own)) => said >= own,
-        _ => true,
-    };
-    let state = said.filter(counts).map(|e| e.state).max().unwrap_or(own.state).max(own.state);
-    Endpoint { state, ..own.clone() }
+fn release(subscription: &mut Subscription) {
+    let held = subscription.held.take().expect("held");
+    let (own, settings) = subscription.good.take().unwrap_or_default();
+    subscription.good = Some((with(&own, &held.parts, &BTreeSet::new()), held.whole.unwrap_or(settings)));
 }
--- a/crates/membership/tests/xds/talk.rs
+++ b/crates/membership/tests/xds/harness.rs
@@ -17,8 +17,8 @@
 pub const MS: Nanos = 1_000_000;
 pub use Variant::{Incremental, StateOfTheWorld};
 
-pub struct Talk {
-    pub talk: Session,
+pub struct SessionHarness {
+    pub session: Session,
     pub catalog: Catalog,
     pub now: Nanos,
     pub requests: Vec<Request>,
@@ -68,33 +68,33 @@
     Config { variant, ..Config::new("xds".into(), node) }
 }
 
-impl Talk {
-    pub fn new(config: Config) -> Talk {
+impl SessionHarness {
+    pub fn new(config: Config) -> SessionHarness {
         let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("the default policy");
-        let talk = Session::new(config);
-        Talk { talk, catalog, now: 0, requests: Vec::new(), nonce: 0 }
+        let session = Session::new(config);
+        SessionHarness { session, catalog, now: 0, requests: Vec::new(), nonce: 0 }
     }
 
     /// A conversation whose first stream is open.
-    pub fn open(variant: Variant) -> Talk {
-        let mut talk = Talk::new(config(variant));
-        assert_eq!(talk.tell(Input::Tick), ["connect"]);
-        talk.tell(Input::Connected);
-        talk
+    pub fn open(variant: Variant) -> SessionHarness {
+        let mut harness = SessionHarness::new(config(variant));
+        assert_eq!(harness.tell(Input::Tick), ["connect"]);
+        harness.tell(Input::Connected);
+        harness
     }
 
     /// A conversation that serves cluster `cart` of these endpoints.
-    pub fn serving(variant: Variant, ids: &[&str]) -> Talk {
-        let mut talk = Talk::open(variant);
-        talk.says(Kind::Cluster, "1", vec![resource("cart", "1", cluster("cart"))], &[]);
-        talk.says(Kind::Assignment, "1", vec![resource("cart", "1", eds("cart", ids))], &[]);
-        assert_eq!(talk.serves(), format!("cart: {}", ids.join(" ")));
-        talk
+    pub fn serving(variant: Variant, ids: &[&str]) -> SessionHarness {
+        let mut harness = SessionHarness::open(variant);
+        harness.send_response(Kind::Cluster, "1", vec![resource("cart", "1", cluster("cart"))], &[]);
+        harness.send_response(Kind::Assignment, "1", vec![resource("cart", "1", eds("cart", ids))], &[]);
+        assert_eq!(harness.serves(), format!("cart: {}", ids.join(" ")));
+        harness
     }
 
     pub fn tell(&mut self, input: Input) -> Vec<String> {
         let mut out = Vec::new();
-        self.talk.handle(self.now, input, &mut out);
+        self.session.handle(self.now, input, &mut out);
         for output in &out {
             match output {
                 Output::Notify(event) => self.catalog.handle(self.now, event.clone(), &mut Vec::new()),
@@ -107,7 +107,7 @@
 
     /// The control plane speaks, with a nonce of its own: in state of the world the resources bare, but for
     /// those that have a time to live.
-    pub fn says(
+    pub fn send_response(
         &mut self,
         kind: Kind,
         version: &str,
@@ -132,7 +132,7 @@
             Resource { ttl: None, resource: Some(any), .. } => any,
             wrapped => pack_any(wrapped),
         };
-        self.tell(Input::Response(match self.talk.variant() {
+        self.tell(Input::Response(match self.session.variant() {
             StateOfTheWorld => Response::World(DiscoveryResponse {
                 version_info: version.to_owned(),
                 resources: resources.into_iter().map(bare).collect(),
@@ -154,7 +154,7 @@
     /// Lets time pass, with all wake-ups on the way.
     pub fn wait(&mut self, ms: Nanos) -> Vec<String> {
         let (end, mut lines) = (self.now + ms * MS, Vec::new());
-        while let Some(at) = self.talk.deadline().filter(|at| *at <= end) {
+        while let Some(at) = self.session.deadline().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             lines.extend(self.tell(Input::Tick));
         }
--- a/crates/membership/tests/xds/main.rs
+++ b/crates/membership/tests/xds/main.rs
@@ -2,8 +2,8 @@
 
 mod faults;
 mod file;
+mod harness;
 mod random;
 mod resource;
 mod session;
-mod talk;
 mod transport;
--- a/crates/membership/tests/xds/random.rs
+++ b/crates/membership/tests/xds/random.rs
@@ -1,7 +1,7 @@
 //! Random responses, faults and lost streams: the catalog that is fed never loses what it has by a fault, and
 //! has in the end what the control plane has.
 
-use super::talk::*;
+use super::harness::*;
 use olivecart_lab::control_plane::{Heard, Kind as Served, Resources, Said, Session as ControlPlaneSession};
 use olivecart_membership::xds::session::{Input, Output, Request, Response, Session, Variant};
 use olivecart_membership::{Catalog, Event, Nanos, Policy};
@@ -55,10 +55,10 @@
 
 /// Both ends, and what is on its way between them.
 struct Play {
-    talk: Session,
+    session: Session,
     catalog: Catalog,
     now: Nanos,
-    session: Option<ControlPlaneSession>,
+    plane_session: Option<ControlPlaneSession>,
     plane: Resources,
     requests: VecDeque<Request>,
     responses: VecDeque<Said>,
@@ -72,10 +72,10 @@
         // Doubt is the catalog's affair, and tested there; what needs an explicit word still does.
         let policy = Policy { hold: Duration::ZERO, ..Policy::default() };
         let mut play = Play {
-            talk: Session::new(config),
+            session: Session::new(config),
             catalog: Catalog::new(policy, ["xds".into()]).expect("a usable policy"),
             now: 0,
-            session: None,
+            plane_session: None,
             plane: Resources::starting_at(1_000_000),
             requests: VecDeque::new(),
             responses: VecDeque::new(),
@@ -90,7 +90,7 @@
 
     fn tell(&mut self, input: Input) {
         let mut out = Vec::new();
-        self.talk.handle(self.now, input, &mut out);
+        self.session.handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Send(request) => self.requests.push_back(*request),
@@ -105,7 +105,7 @@
                     self.catalog.handle(self.now, event, &mut Vec::new());
                 }
                 Output::Connect => {
-                    self.session = Some(ControlPlaneSession::default());
+                    self.plane_session = Some(ControlPlaneSession::default());
                     self.tell(Input::Connected);
                 }
                 Output::Log(_) => {}
@@ -114,7 +114,7 @@
     }
 
     fn lose(&mut self) {
-        self.session = None;
+        self.plane_session = None;
         self.requests.clear();
         self.responses.clear();
         self.tell(Input::Lost { why: "reset".into() });
@@ -122,14 +122,14 @@
 
     /// Pushes what has changed, as a control plane does by itself.
     fn push(&mut self) {
-        if let Some(session) = &mut self.session {
-            self.responses.extend(session.push(&self.plane));
+        if let Some(plane_session) = &mut self.plane_session {
+            self.responses.extend(plane_session.push(&self.plane));
         }
     }
 
     fn raw(&mut self, kind: Served, all: Vec<(String, envoy_types::pb::google::protobuf::Any)>) {
-        let Some(session) = &mut self.session else { return };
-        self.responses.extend(session.raw(kind, "raw", all, &[]));
+        let Some(plane_session) = &mut self.plane_session else { return };
+        self.responses.extend(plane_session.raw(kind, "raw", all, &[]));
     }
 
     /// One message, of either direction. False if none is on its way.
@@ -146,8 +146,8 @@
             Request::World(request) => Heard::World(request),
             Request::Delta(request) => Heard::Delta(request),
         };
-        if let Some(session) = &mut self.session {
-            self.responses.extend(session.hear(&heard, &self.plane));
+        if let Some(plane_session) = &mut self.plane_session {
+            self.responses.extend(plane_session.hear(&heard, &self.plane));
         }
         true
     }
@@ -159,7 +159,7 @@
 
     fn wait(&mut self, ms: Nanos) {
         let end = self.now + ms * MS;
-        while let Some(at) = self.talk.deadline().filter(|at| *at <= end) {
+        while let Some(at) = self.session.deadline().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             self.tell(Input::Tick);
         }
@@ -196,7 +196,7 @@
             }
             Step::SetEndpoints(at, bits) => {
                 let ids = ids(bits);
-                let list: Vec<_> = ids.iter().map(|id| (*id, super::talk::at(id))).collect();
+                let list: Vec<_> = ids.iter().map(|id| (*id, super::harness::at(id))).collect();
                 play.plane.set_endpoints(CLUSTERS[at], &list);
                 endpoints.insert(CLUSTERS[at], ids.into_iter().collect());
             }
@@ -214,7 +214,7 @@
                     plane.set_cluster(name);
                 }
                 for (name, ids) in &endpoints {
-                    let list: Vec<_> = ids.iter().map(|id| (*id, super::talk::at(id))).collect();
+                    let list: Vec<_> = ids.iter().map(|id| (*id, super::harness::at(id))).collect();
                     plane.set_endpoints(name, &list);
                 }
                 play.plane = plane;
@@ -222,7 +222,7 @@
             }
             Step::Repeat(of_clusters) => {
                 let kind = if of_clusters { Served::Cds } else { Served::Eds };
-                let again = play.session.as_ref().and_then(|session| session.repeat(kind));
+                let again = play.plane_session.as_ref().and_then(|plane_session| plane_session.repeat(kind));
                 play.responses.extend(again);
             }
             Step::BadCluster(at) => play.raw(Served::Cds, vec![(CLUSTERS[at].into(), bad(CLUSTERS[at]))]),
--- a/crates/membership/tests/xds/resource.rs
+++ b/crates/membership/tests/xds/resource.rs
@@ -1,6 +1,6 @@
 //! What of a resource is honoured, and what is refused by name.
 
-use super::talk::list;
+use super::harness::list;
 use envoy_types::pb::envoy::config::cluster::v3::circuit_breakers::Thresholds;
 use envoy_types::pb::envoy::config::cluster::v3::cluster::{
     ClusterDiscoveryType, DiscoveryType, EdsClusterConfig,
--- a/crates/membership/tests/xds/session.rs
+++ b/crates/membership/tests/xds/session.rs
@@ -1,160 +1,167 @@
 //! Conversations line by line, both variants.
 
-use super::talk::*;
+use super::harness::*;
 use olivecart_membership::xds::resource::Kind::{Assignment, Cluster};
 use olivecart_membership::xds::session::Input;
 
 #[test]
 fn incremental_from_the_first_request_to_a_removal() {
-    let mut talk = Talk::new(config(Incremental));
-    assert_eq!(talk.tell(Input::Tick), ["connect"]);
-    assert_eq!(talk.tell(Input::Connected), ["log stream opened", "send CDS n= +[] -[] {} node=proxy-1"]);
+    let mut harness = SessionHarness::new(config(Incremental));
+    assert_eq!(harness.tell(Input::Tick), ["connect"]);
+    assert_eq!(harness.tell(Input::Connected), ["log stream opened", "send CDS n= +[] -[] {} node=proxy-1"]);
     // A cluster is not told before its endpoints are there.
     assert_eq!(
-        talk.says(Cluster, "1", vec![resource("cart", "7", cluster("cart"))], &[]),
+        harness.send_response(Cluster, "1", vec![resource("cart", "7", cluster("cart"))], &[]),
         ["send CDS n=n1 +[] -[] {}", "send EDS n= +[cart] -[] {}"]
     );
     assert_eq!(
-        talk.says(Assignment, "2", vec![resource("cart", "8", eds("cart", &["a", "b"]))], &[]),
+        harness.send_response(Assignment, "2", vec![resource("cart", "8", eds("cart", &["a", "b"]))], &[]),
         ["tell 8 cart(2)", "send EDS n=n2 +[] -[] {}"]
     );
-    assert_eq!(talk.serves(), "cart: a b");
+    assert_eq!(harness.serves(), "cart: a b");
     assert_eq!(
-        talk.says(Cluster, "3", vec![resource("tea", "9", own("tea", &["t"]))], &["cart"]),
+        harness.send_response(Cluster, "3", vec![resource("tea", "9", own("tea", &["t"]))], &["cart"]),
         ["tell 3 removed cart", "tell 9 tea(1)", "send CDS n=n3 +[] -[] {}", "send EDS n= +[] -[cart] {}"]
     );
-    assert_eq!(talk.serves(), "tea: t");
+    assert_eq!(harness.serves(), "tea: t");
     // What is not asked for any more is not held either.
-    talk.says(Cluster, "4", vec![resource("oat", "10", cluster("oat"))], &[]);
-    assert_eq!(talk.reconnect()[2], "send EDS n= +[oat] -[] {}");
+    harness.send_response(Cluster, "4", vec![resource("oat", "10", cluster("oat"))], &[]);
+    assert_eq!(harness.reconnect()[2], "send EDS n= +[oat] -[] {}");
 }
 
 #[test]
 fn state_of_the_world_from_the_first_request_to_a_removal() {
-    let mut talk = Talk::new(config(StateOfTheWorld));
-    assert_eq!(talk.tell(Input::Tick), ["connect"]);
-    assert_eq!(talk.tell(Input::Connected), ["log stream opened", "send CDS v= n= [] node=proxy-1"]);
+    let mut harness = SessionHarness::new(config(StateOfTheWorld));
+    assert_eq!(harness.tell(Input::Tick), ["connect"]);
+    assert_eq!(harness.tell(Input::Connected), ["log stream opened", "send CDS v= n= [] node=proxy-1"]);
     let both = vec![resource("", "", cluster("cart")), resource("", "", cluster("tea"))];
-    assert_eq!(talk.says(Cluster, "1", both, &[]), ["send CDS v=1 n=n1 []", "send EDS v= n= [cart tea]"]);
     assert_eq!(
-        talk.says(Assignment, "2", vec![resource("", "", eds("cart", &["a"]))], &[]),
+        harness.send_response(Cluster, "1", both, &[]),
+        ["send CDS v=1 n=n1 []", "send EDS v= n= [cart tea]"]
+    );
+    assert_eq!(
+        harness.send_response(Assignment, "2", vec![resource("", "", eds("cart", &["a"]))], &[]),
         ["tell 2 cart(1)", "send EDS v=2 n=n2 [cart tea]"]
     );
     // Endpoints that are missing from a response are not gone.
     assert_eq!(
-        talk.says(Assignment, "3", vec![resource("", "", eds("tea", &["t"]))], &[]),
+        harness.send_response(Assignment, "3", vec![resource("", "", eds("tea", &["t"]))], &[]),
         ["tell 3 tea(1)", "send EDS v=3 n=n3 [cart tea]"]
     );
-    assert_eq!(talk.serves(), "cart: a, tea: t");
+    assert_eq!(harness.serves(), "cart: a, tea: t");
     // A cluster that is missing is.
     assert_eq!(
-        talk.says(Cluster, "4", vec![resource("", "", cluster("tea"))], &[]),
+        harness.send_response(Cluster, "4", vec![resource("", "", cluster("tea"))], &[]),
         ["tell 4 removed cart", "send CDS v=4 n=n4 []", "send EDS v=3 n=n3 [tea]"]
     );
-    assert_eq!(talk.serves(), "tea: t");
+    assert_eq!(harness.serves(), "tea: t");
 }
 
 #[test]
 fn state_of_the_world_is_refused_whole() {
-    let mut talk = Talk::serving(StateOfTheWorld, &["a"]);
-    let lines =
-        talk.says(Cluster, "2", vec![resource("", "", cluster("tea")), resource("", "", bad("x"))], &[]);
+    let mut harness = SessionHarness::serving(StateOfTheWorld, &["a"]);
+    let lines = harness.send_response(
+        Cluster,
+        "2",
+        vec![resource("", "", cluster("tea")), resource("", "", bad("x"))],
+        &[],
+    );
     let reason = "Cluster \"x\": load_assignment: must be set where the type is STATIC";
     assert_eq!(lines, [format!("send CDS v=1 n=n3 [] !{reason}"), "log refused".into()]);
-    assert_eq!(talk.serves(), "cart: a");
+    assert_eq!(harness.serves(), "cart: a");
     // The next good one holds again, and an accepted one is told as before.
     let good = vec![resource("", "", cluster("cart"))];
-    assert_eq!(talk.says(Cluster, "3", good, &[]), ["send CDS v=3 n=n4 []"]);
+    assert_eq!(harness.send_response(Cluster, "3", good, &[]), ["send CDS v=3 n=n4 []"]);
 }
 
 #[test]
 fn of_an_incremental_response_the_good_resources_hold() {
-    let mut talk = Talk::serving(Incremental, &["a"]);
+    let mut harness = SessionHarness::serving(Incremental, &["a"]);
     let name = |i: usize| format!("c{i:04}");
     let mut all: Vec<_> = (0..999).map(|i| resource(&name(i), "2", own(&name(i), &["a"]))).collect();
     all.push(resource("cart", "2", bad("cart")));
-    let lines = talk.says(Cluster, "2", all, &[]);
+    let lines = harness.send_response(Cluster, "2", all, &[]);
     let reason = "Cluster \"cart\": load_assignment: must be set where the type is STATIC";
     assert_eq!(lines.last().map(String::as_str), Some("log refused"));
     assert_eq!(lines[lines.len() - 2], format!("send CDS n=n3 +[] -[] {{}} !{reason}"));
-    assert_eq!(talk.catalog.clusters().count(), 1000);
-    assert!(talk.serves().contains("cart: a"));
+    assert_eq!(harness.catalog.clusters().count(), 1000);
+    assert!(harness.serves().contains("cart: a"));
     // What was refused is held in its old version; clusters are told by name alone.
-    let lines = talk.reconnect();
+    let lines = harness.reconnect();
     assert!(lines[1].contains(" cart=}") && lines[1].contains("{c0000= "), "{}", lines[1]);
 }
 
 #[test]
 fn a_repeated_nonce_is_passed_over() {
     for variant in [Incremental, StateOfTheWorld] {
-        let mut talk = Talk::serving(variant, &["a"]);
-        talk.says(Assignment, "2", vec![resource("cart", "2", eds("cart", &["a", "b"]))], &[]);
+        let mut harness = SessionHarness::serving(variant, &["a"]);
+        harness.send_response(Assignment, "2", vec![resource("cart", "2", eds("cart", &["a", "b"]))], &[]);
         let lines =
-            talk.says_with("n2", Assignment, "1", vec![resource("cart", "1", eds("cart", &["a"]))], &[]);
+            harness.says_with("n2", Assignment, "1", vec![resource("cart", "1", eds("cart", &["a"]))], &[]);
         assert_eq!(lines, ["log EDS response passed over: nonce \"n2\" has come before on this stream"]);
-        assert_eq!(talk.serves(), "cart: a b");
+        assert_eq!(harness.serves(), "cart: a b");
         // Another stream has nonces of its own.
-        talk.reconnect();
-        talk.says_with(
+        harness.reconnect();
+        harness.says_with(
             "n2",
             Assignment,
             "3",
             vec![resource("cart", "3", eds("cart", &["a", "b", "c"]))],
             &[],
         );
-        assert_eq!(talk.serves(), "cart: a b c");
+        assert_eq!(harness.serves(), "cart: a b c");
     }
 }
 
 #[test]
 fn a_new_stream_tells_what_is_held() {
-    let mut talk = Talk::serving(Incremental, &["a"]);
+    let mut harness = SessionHarness::serving(Incremental, &["a"]);
     assert_eq!(
-        talk.reconnect(),
+        harness.reconnect(),
         ["log stream opened", "send CDS n= +[] -[] {cart=} node=proxy-1", "send EDS n= +[cart] -[] {cart=1}"]
     );
     // Nothing new: nothing comes, and a stream that stands is good.
-    assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| cart.is_stale));
-    assert!(talk.wait(5_000).contains(&"tell back".to_owned()));
-    assert!(talk.catalog.cluster(&"cart".into()).is_some_and(|cart| !cart.is_stale));
-    assert_eq!(talk.serves(), "cart: a");
-    let mut talk = Talk::serving(StateOfTheWorld, &["a"]);
+    assert!(harness.catalog.cluster(&"cart".into()).is_some_and(|cart| cart.is_stale));
+    assert!(harness.wait(5_000).contains(&"tell back".to_owned()));
+    assert!(harness.catalog.cluster(&"cart".into()).is_some_and(|cart| !cart.is_stale));
+    assert_eq!(harness.serves(), "cart: a");
+    let mut harness = SessionHarness::serving(StateOfTheWorld, &["a"]);
     assert_eq!(
-        talk.reconnect(),
+        harness.reconnect(),
         ["log stream opened", "send CDS v= n= [] node=proxy-1", "send EDS v=1 n= [cart]"]
     );
-    assert!(talk.wait(5_000).contains(&"tell back".to_owned()));
-    assert_eq!(talk.serves(), "cart: a");
+    assert!(harness.wait(5_000).contains(&"tell back".to_owned()));
+    assert_eq!(harness.serves(), "cart: a");
 }
 
 #[test]
 fn other_content_under_a_version_that_is_held_is_found_out_a_little_later() {
     for variant in [Incremental, StateOfTheWorld] {
-        let mut talk = Talk::serving(variant, &["a"]);
-        talk.reconnect();
+        let mut harness = SessionHarness::serving(variant, &["a"]);
+        harness.reconnect();
         // A control plane that has begun its versions again thinks that all is held, and says nothing.
         let lines: Vec<String> =
-            talk.wait(30_000).into_iter().filter(|line| line.starts_with("send")).collect();
+            harness.wait(30_000).into_iter().filter(|line| line.starts_with("send")).collect();
         match variant {
             Incremental => assert_eq!(lines, ["send EDS n= +[cart] -[] {}"]),
             StateOfTheWorld => assert_eq!(lines, ["send EDS v=1 n= []", "send EDS v=1 n= [cart]"]),
         }
-        talk.says(Assignment, "1", vec![resource("cart", "1", eds("cart", &["b"]))], &[]);
-        assert_eq!(talk.serves(), "cart: b");
+        harness.send_response(Assignment, "1", vec![resource("cart", "1", eds("cart", &["b"]))], &[]);
+        assert_eq!(harness.serves(), "cart: b");
     }
 }
 
 #[test]
 fn versions_that_begin_again_count() {
     for variant in [Incremental, StateOfTheWorld] {
-        let mut talk = Talk::serving(variant, &["a"]);
-        talk.says(Cluster, "57", vec![resource("cart", "57", cluster("cart"))], &[]);
-        talk.says(Assignment, "58", vec![resource("cart", "58", eds("cart", &["a", "b"]))], &[]);
-        talk.reconnect();
-        talk.says(Cluster, "1", vec![resource("cart", "1", cluster("cart"))], &[]);
-        talk.says(Assignment, "2", vec![resource("cart", "2", eds("cart", &["b", "c"]))], &[]);
-        assert_eq!(talk.serves(), "cart: b c");
-        let lines = talk.reconnect();
+        let mut harness = SessionHarness::serving(variant, &["a"]);
+        harness.send_response(Cluster, "57", vec![resource("cart", "57", cluster("cart"))], &[]);
+        harness.send_response(Assignment, "58", vec![resource("cart", "58", eds("cart", &["a", "b"]))], &[]);
+        harness.reconnect();
+        harness.send_response(Cluster, "1", vec![resource("cart", "1", cluster("cart"))], &[]);
+        harness.send_response(Assignment, "2", vec![resource("cart", "2", eds("cart", &["b", "c"]))], &[]);
+        assert_eq!(harness.serves(), "cart: b c");
+        let lines = harness.reconnect();
         let told = match variant {
             Incremental => "send EDS n= +[cart] -[] {cart=2}",
             StateOfTheWorld => "send EDS v=2 n= [cart]",
@@ -166,14 +173,15 @@
 #[test]
 fn waits_between_connections_grow_and_differ() {
     let waits = |seed| {
-        let mut talk = Talk::new(olivecart_membership::xds::session::Config { seed, ..config(Incremental) });
+        let mut harness =
+            SessionHarness::new(olivecart_membership::xds::session::Config { seed, ..config(Incremental) });
         let mut waits = Vec::new();
         for _ in 0..40 {
-            assert_eq!(talk.tell(Input::Tick), ["connect"]);
-            talk.tell(Input::Lost { why: "refused".into() });
-            let at = talk.talk.deadline().expect("another attempt");
-            waits.push((at - talk.now) / MS);
-            talk.now = at;
+            assert_eq!(harness.tell(Input::Tick), ["connect"]);
+            harness.tell(Input::Lost { why: "refused".into() });
+            let at = harness.session.deadline().expect("another attempt");
+            waits.push((at - harness.now) / MS);
+            harness.now = at;
         }
         waits
     };
@@ -189,17 +197,17 @@
 #[test]
 fn endpoints_before_their_cluster() {
     for variant in [Incremental, StateOfTheWorld] {
-        let mut talk = Talk::open(variant);
-        talk.says(Assignment, "1", vec![resource("cart", "1", eds("cart", &["a"]))], &[]);
-        assert_eq!(talk.serves(), "");
-        talk.says(Cluster, "2", vec![resource("cart", "2", cluster("cart"))], &[]);
-        assert_eq!(talk.serves(), "cart: a");
+        let mut harness = SessionHarness::open(variant);
+        harness.send_response(Assignment, "1", vec![resource("cart", "1", eds("cart", &["a"]))], &[]);
+        assert_eq!(harness.serves(), "");
+        harness.send_response(Cluster, "2", vec![resource("cart", "2", cluster("cart"))], &[]);
+        assert_eq!(harness.serves(), "cart: a");
         // They are the stream's: another one tells them anew.
-        talk.says(Assignment, "3", vec![resource("tea", "3", eds("tea", &["t"]))], &[]);
-        talk.reconnect();
+        harness.send_response(Assignment, "3", vec![resource("tea", "3", eds("tea", &["t"]))], &[]);
+        harness.reconnect();
         let both = vec![resource("cart", "4", cluster("cart")), resource("tea", "4", cluster("tea"))];
-        talk.says(Cluster, "4", both, &[]);
-        assert_eq!(talk.serves(), "cart: a");
+        harness.send_response(Cluster, "4", both, &[]);
+        assert_eq!(harness.serves(), "cart: a");
     }
 }
 
@@ -214,51 +222,51 @@
             ..cluster
         })
     };
-    let mut talk = Talk::serving(Incremental, &["a"]);
+    let mut harness = SessionHarness::serving(Incremental, &["a"]);
     // What is asked for already does not come again by itself.
-    let lines = talk.says(Cluster, "2", vec![resource("tea", "2", of_cart("tea"))], &[]);
+    let lines = harness.send_response(Cluster, "2", vec![resource("tea", "2", of_cart("tea"))], &[]);
     assert_eq!(lines, ["send CDS n=n3 +[] -[] {}", "send EDS n= +[cart] -[] {}"]);
-    talk.says(Assignment, "2", vec![resource("cart", "1", eds("cart", &["a"]))], &[]);
-    assert_eq!(talk.serves(), "cart: a, tea: a");
+    harness.send_response(Assignment, "2", vec![resource("cart", "1", eds("cart", &["a"]))], &[]);
+    assert_eq!(harness.serves(), "cart: a, tea: a");
     // The endpoints are needed as long as one of the two is there.
     assert_eq!(
-        talk.says(Cluster, "3", vec![], &["cart"]).last().map(String::as_str),
+        harness.send_response(Cluster, "3", vec![], &["cart"]).last().map(String::as_str),
         Some("send CDS n=n5 +[] -[] {}")
     );
-    assert_eq!(talk.serves(), "tea: a");
+    assert_eq!(harness.serves(), "tea: a");
 }
 
 #[test]
 fn the_catalog_asks_again() {
-    let mut talk = Talk::serving(Incremental, &["a"]);
-    assert_eq!(talk.tell(Input::Refetch("cart".into())), ["send EDS n= +[cart] -[] {}"]);
-    let mut talk = Talk::serving(StateOfTheWorld, &["a"]);
+    let mut harness = SessionHarness::serving(Incremental, &["a"]);
+    assert_eq!(harness.tell(Input::Refetch("cart".into())), ["send EDS n= +[cart] -[] {}"]);
+    let mut harness = SessionHarness::serving(StateOfTheWorld, &["a"]);
     assert_eq!(
-        talk.tell(Input::Refetch("cart".into())),
+        harness.tell(Input::Refetch("cart".into())),
         ["send EDS v=1 n=n2 []", "send EDS v=1 n=n2 [cart]"]
     );
     // Of clusters there is no such question; what the stream told last is said again.
-    talk.says(
+    harness.send_response(
         Cluster,
         "2",
         vec![resource("", "", own("tea", &["t"])), resource("", "", cluster("cart"))],
         &[],
     );
-    assert_eq!(talk.tell(Input::Refetch("tea".into())), ["tell 2 tea(1)"]);
+    assert_eq!(harness.tell(Input::Refetch("tea".into())), ["tell 2 tea(1)"]);
 }
 
 #[test]
 fn new_limits_of_a_cluster_that_serves() {
     use envoy_types::pb::google::protobuf::Duration;
-    let mut talk = Talk::serving(Incremental, &["a"]);
+    let mut harness = SessionHarness::serving(Incremental, &["a"]);
     let connect_timeout = Some(Duration { seconds: 0, nanos: 250_000_000 });
     let cluster = envoy_types::pb::envoy::config::cluster::v3::Cluster {
         connect_timeout,
         ..olivecart_lab::control_plane::eds_cluster("cart")
     };
     let update = vec![resource("cart", "2", envoy_types::util::pack_any(cluster))];
-    assert_eq!(talk.says(Cluster, "2", update, &[])[0], "tell 2 settings cart");
-    let cart = talk.catalog.cluster(&"cart".into()).expect("it serves");
+    assert_eq!(harness.send_response(Cluster, "2", update, &[])[0], "tell 2 settings cart");
+    let cart = harness.catalog.cluster(&"cart".into()).expect("it serves");
     assert_eq!(cart.settings.connect_timeout, Some(std::time::Duration::from_millis(250)));
     assert_eq!(cart.endpoints().len(), 1);
 }
--- a/crates/membership/tests/xds/transport.rs
+++ b/crates/membership/tests/xds/transport.rs
@@ -1,6 +1,6 @@
 //! The shell against the scripted control plane on loopback.
 
-use super::talk::{at, bad, config, eds};
+use super::harness::{at, bad, config, eds};
 use olivecart_lab::control_plane::{ControlPlane, Kind, Resources};
 use olivecart_membership::source::{
     EVENT_QUEUE_CAPACITY, REFETCH_QUEUE_CAPACITY, RefetchRequest, SourceEvent,
@@ -15,7 +15,7 @@
 
 struct Proxy {
     catalog: Catalog,
-    heard: Receiver<SourceEvent>,
+    events: Receiver<SourceEvent>,
     asks: Sender<RefetchRequest>,
     task: JoinHandle<()>,
     start: Instant,
@@ -24,7 +24,7 @@
 
 impl Proxy {
     fn start(plane: &ControlPlane, variant: Variant, max_message: usize) -> Proxy {
-        let (sink, heard) = channel(EVENT_QUEUE_CAPACITY);
+        let (sink, events) = channel(EVENT_QUEUE_CAPACITY);
         let (asks, answers) = channel(REFETCH_QUEUE_CAPACITY);
         let notes: Arc<Mutex<Vec<String>>> = Arc::default();
         let target = Target { max_message, ..Target::new(plane.address().to_string()) };
@@ -35,16 +35,16 @@
             log.lock().expect("no panic").push(note.to_string());
         }));
         let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("the default policy");
-        Proxy { catalog, heard, asks, task, start: Instant::now(), notes }
+        Proxy { catalog, events, asks, task, start: Instant::now(), notes }
     }
 
     /// Passes on what is heard until it is so.
     async fn until(&mut self, wanted: impl Fn(&Catalog) -> bool) {
         while !wanted(&self.catalog) {
-            let heard = self.heard.recv().await.expect("the source goes on");
-            assert_eq!(heard.source.as_str(), "xds");
+            let events = self.events.recv().await.expect("the source goes on");
+            assert_eq!(events.source.as_str(), "xds");
             let now = self.start.elapsed().as_nanos() as u64;
-            self.catalog.handle(now, heard.event, &mut Vec::new());
+            self.catalog.handle(now, events.event, &mut Vec::new());
         }
     }
 
@@ -105,7 +105,7 @@
             let again = plane.journal().lines().iter().filter(|line| line.starts_with("2 > CDS")).count();
             assert_eq!(again, 1, "{:#?}", plane.journal().lines());
             // The task ends with its listener.
-            drop(proxy.heard);
+            drop(proxy.events);
             proxy.task.await.expect("no panic");
         }
     });
@@ -162,8 +162,8 @@
         let (line, _) = plane.journal().wait_for(0, &["1 < EDS nonce=\"2\""]).await;
         proxy.asks.send(RefetchRequest { cluster: "cart".into() }).await.expect("it listens");
         plane.journal().wait_for(line, &["1 < EDS nonce=\"\"", "subscribe=[cart]"]).await;
-        let heard = proxy.heard.recv().await.expect("the answer");
-        assert!(matches!(heard.event, Event::Update { .. }));
+        let events = proxy.events.recv().await.expect("the answer");
+        assert!(matches!(events.event, Event::Update { .. }));
     });
 }
 
@@ -191,7 +191,7 @@
         let mut proxy = Proxy::start(&plane, Variant::Incremental, 4 * MEBI);
         proxy.until_serves(&["a"]).await;
         // Each of 1 MB. Nobody takes what is heard, so the source must stop reading.
-        let mut large = super::talk::list("cart", &["a"]);
+        let mut large = super::harness::list("cart", &["a"]);
         large.named_endpoints.insert("x".repeat(MEBI), Default::default());
         let large = envoy_types::util::pack_any(large);
         let (line, _) = plane.journal().wait_for(0, &["1 < EDS nonce=\"2\""]).await;
@@ -204,10 +204,10 @@
         }
         assert!(sent() < 100, "{} of 1000 were sent before anybody listened", sent());
         // Whoever listens again hears on: a burst of 20, and then one in 150 ms.
-        let (mut heard, begin) = (0, Instant::now());
-        while heard < 36 {
-            let SourceEvent { event, .. } = proxy.heard.recv().await.expect("the source goes on");
-            heard += u32::from(matches!(event, Event::Update { .. }));
+        let (mut events, begin) = (0, Instant::now());
+        while events < 36 {
+            let SourceEvent { event, .. } = proxy.events.recv().await.expect("the source goes on");
+            events += u32::from(matches!(event, Event::Update { .. }));
         }
         assert!(begin.elapsed() > Duration::from_millis(150) * (36 - 21 - EVENT_QUEUE_CAPACITY as u32 - 2));
     });
