--- a/crates/membership/src/file/fragments.rs
+++ b/crates/membership/src/file/fragments.rs
@@ -1,7 +1,7 @@
 //! Clusters from a directory of files.
 
 use super::problem::{Fault, FileProblem, FileProblems};
-use super::read::{Placed, read};
+use super::read::{PlacedCluster, read};
 use crate::endpoint::Cluster;
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry::{Occupied, Vacant};
@@ -21,20 +21,20 @@
             Err(bad) => problems.extend(bad.into_problems()),
         }
     }
-    let clusters = clusters.into_values().map(|(_, placed): (&str, Placed)| placed.cluster).collect();
+    let clusters = clusters.into_values().map(|(_, placed): (&str, PlacedCluster)| placed.cluster).collect();
     FileProblems::of(problems).map_or(Ok(clusters), Err)
 }
 
 fn add<'f>(
     file: &'f str,
-    placed: Placed,
-    clusters: &mut BTreeMap<String, (&'f str, Placed)>,
+    placed: PlacedCluster,
+    clusters: &mut BTreeMap<String, (&'f str, PlacedCluster)>,
     problems: &mut Vec<FileProblem>,
 ) {
     match clusters.entry(placed.cluster.name.as_str().to_owned()) {
         Vacant(place) => _ = place.insert((file, placed)),
         Occupied(known) => {
-            let Placed { key, line, column, .. } = placed;
+            let PlacedCluster { key, line, column, .. } = placed;
             let (other, at) = known.get();
             let (name, place) = (known.key().clone(), format!("{other}:{}", at.line));
             let fault = Fault::Twice { what: "cluster", name, place };
--- a/crates/membership/src/file/read.rs
+++ b/crates/membership/src/file/read.rs
@@ -1,4 +1,4 @@
-//! From a tree to clusters, with all that is wrong on the way.
+//! From a tree to clusters, with all that is wrong on the way. Called for each file; it does no I/O.
 
 use super::VERSION;
 use super::problem::{Fault, FileProblem, FileProblems, Lines};
@@ -13,15 +13,22 @@
 use std::time::Duration;
 
 /// A cluster, and where its name stands.
-pub(super) struct Placed {
+pub(super) struct PlacedCluster {
     pub cluster: Cluster,
     pub key: String,
     pub line: usize,
     pub column: usize,
 }
 
+/// A name, and where it stands.
+struct PlacedName {
+    name: String,
+    line: usize,
+    column: usize,
+}
+
 /// Reads a file.
-pub(super) fn read(file: &str, text: &str) -> Result<Vec<Placed>, FileProblems> {
+pub(super) fn read(file: &str, text: &str) -> Result<Vec<PlacedCluster>, FileProblems> {
     let mut reader = Reader { file, lines: Lines::of(text), problems: Vec::new(), labels: BTreeMap::new() };
     let tree = if is_json(file, text) { Node::from_json(text) } else { Node::from_toml(text) };
     let clusters = match tree {
@@ -49,8 +56,8 @@
     entries: BTreeMap<&'n str, &'n Entry>,
 }
 
-const TOP: [&str; 3] = ["version", "clusters", "end"];
-const CLUSTER: [&str; 8] = [
+const TOP_LEVEL_KEYS: [&str; 3] = ["version", "clusters", "end"];
+const CLUSTER_KEYS: [&str; 8] = [
     "name",
     "empty",
     "endpoints",
@@ -60,7 +67,7 @@
     "max_requests",
     "max_retries",
 ];
-const ENDPOINT: [&str; 10] =
+const ENDPOINT_KEYS: [&str; 10] =
     ["name", "address", "zone", "priority", "weight", "cell", "kind", "state", "metadata", "started_ms"];
 
 impl Reader<'_> {
@@ -71,8 +78,8 @@
     fn wrong(&mut self, node: &Node, key: &str, wanted: &'static str) {
         let found = match &node.value {
             Value::Text(text) => format!("{text:?}"),
-            Value::Whole(number) => number.to_string(),
-            Value::Real(number) => number.to_string(),
+            Value::Integer(number) => number.to_string(),
+            Value::Float(number) => number.to_string(),
             Value::Bool(is) => is.to_string(),
             Value::List(_) => "a list".into(),
             Value::Table(_) => "a table".into(),
@@ -91,7 +98,11 @@
         for entry in entries {
             let inner = format!("{key}{dot}{}", entry.name);
             if !known.is_empty() && !known.contains(&entry.name.as_str()) {
-                self.problem(&entry.range, &inner, Fault::Unknown { instead: instead(&entry.name, known) });
+                self.problem(
+                    &entry.range,
+                    &inner,
+                    Fault::Unknown { instead: suggestion(&entry.name, known) },
+                );
                 continue;
             }
             match table.entry(entry.name.as_str()) {
@@ -103,7 +114,7 @@
     }
 
     /// A value that must be there.
-    fn needed<'n>(&mut self, table: &Table<'n>, name: &str) -> Option<&'n Node> {
+    fn required<'n>(&mut self, table: &Table<'n>, name: &str) -> Option<&'n Node> {
         let node = table.entries.get(name).map(|entry| &entry.node);
         if node.is_none() {
             self.problem(&table.range, &table.inner(name), Fault::Missing);
@@ -132,12 +143,12 @@
         self.labels.entry(text).or_insert_with_key(|text| Label::from(text.as_str())).clone()
     }
 
-    fn clusters(&mut self, tree: &Node) -> Vec<Placed> {
-        let Some(table) = self.table(tree, "", &TOP) else { return Vec::new() };
-        if let Some(node) = self.needed(&table, "version") {
+    fn clusters(&mut self, tree: &Node) -> Vec<PlacedCluster> {
+        let Some(table) = self.table(tree, "", &TOP_LEVEL_KEYS) else { return Vec::new() };
+        if let Some(node) = self.required(&table, "version") {
             match node.value {
-                Value::Whole(version) if version == i128::from(VERSION) => {}
-                Value::Whole(version) => {
+                Value::Integer(version) if version == i128::from(VERSION) => {}
+                Value::Integer(version) => {
                     self.problem(&node.range, "version", Fault::Version { found: version.to_string() });
                 }
                 _ => self.wrong(node, "version", "a whole number"),
@@ -146,7 +157,7 @@
         let empty =
             |value: &Value| matches!(value, Value::Table(entries) if entries.is_empty()).then_some(());
         self.value(&table, "end", "an empty table", empty);
-        let Some(node) = self.needed(&table, "clusters") else { return Vec::new() };
+        let Some(node) = self.required(&table, "clusters") else { return Vec::new() };
         let Value::List(items) = &node.value else {
             self.wrong(node, "clusters", "a list of clusters");
             return Vec::new();
@@ -154,12 +165,13 @@
         if items.is_empty() {
             self.problem(&node.range, "clusters", Fault::NoClusters);
         }
-        let mut clusters: Vec<Placed> = Vec::new();
+        let mut clusters: Vec<PlacedCluster> = Vec::new();
         let mut lines: BTreeMap<String, usize> = BTreeMap::new();
         for (at, item) in items.iter().enumerate() {
             let Some(placed) = self.cluster(item, &format!("clusters[{at}]")) else { continue };
             let name = placed.cluster.name.as_str().to_owned();
-            self.unique(&mut lines, "cluster", name, (placed.line, placed.column), &placed.key);
+            let name = PlacedName { name, line: placed.line, column: placed.column };
+            self.unique(&mut lines, "cluster", &name, &placed.key);
             clusters.push(placed);
         }
         clusters
@@ -170,11 +182,11 @@
         &mut self,
         lines: &mut BTreeMap<String, usize>,
         what: &'static str,
-        name: String,
-        (line, column): (usize, usize),
+        placed: &PlacedName,
         key: &str,
     ) {
-        match lines.entry(name) {
+        let PlacedName { line, column, .. } = *placed;
+        match lines.entry(placed.name.clone()) {
             Vacant(place) => _ = place.insert(line),
             Occupied(place) => {
                 let (name, place) = (place.key().clone(), format!("{}:{}", self.file, place.get()));
@@ -185,34 +197,30 @@
     }
 
     /// A name that can be used, and where it stands.
-    fn name(
-        &mut self,
-        table: &Table,
-        invalid: fn(&'static str) -> Invalid,
-    ) -> Option<(String, usize, usize)> {
-        let node = self.needed(table, "name")?;
+    fn name(&mut self, table: &Table, invalid: fn(&'static str) -> Invalid) -> Option<PlacedName> {
+        let node = self.required(table, "name")?;
         let name = self.value(table, "name", "a text", text)?;
         if let Some(fault) = fault_of(&name) {
             self.problem(&node.range, &table.inner("name"), Fault::Invalid(invalid(fault)));
         }
         let (line, column) = self.lines.place(node.range.start);
-        Some((name, line, column))
+        Some(PlacedName { name, line, column })
     }
 
-    fn cluster(&mut self, node: &Node, key: &str) -> Option<Placed> {
-        let table = self.table(node, key, &CLUSTER)?;
+    fn cluster(&mut self, node: &Node, key: &str) -> Option<PlacedCluster> {
+        let table = self.table(node, key, &CLUSTER_KEYS)?;
         let name = self.name(&table, |fault| Invalid::ClusterName { fault });
         let settings = self.settings(&table);
         let endpoints = self.endpoints(&table);
-        let (name, line, column) = name?;
+        let PlacedName { name, line, column } = name?;
         let cluster = Cluster { name: name.as_str().into(), endpoints, settings };
-        Some(Placed { cluster, key: table.inner("name"), line, column })
+        Some(PlacedCluster { cluster, key: table.inner("name"), line, column })
     }
 
     fn settings(&mut self, table: &Table) -> ClusterSettings {
         let connect_timeout =
             self.value(table, "connect_timeout", "a length of time such as \"250ms\"", time);
-        let mut count = |name| self.value(table, name, "a whole number from 0 to 4294967295", whole::<u32>);
+        let mut count = |name| self.value(table, name, "a whole number from 0 to 4294967295", integer::<u32>);
         let settings = ClusterSettings {
             connect_timeout,
             max_connections: count("max_connections"),
@@ -235,7 +243,7 @@
     }
 
     fn endpoints(&mut self, table: &Table) -> Endpoints {
-        let is_empty = self.value(table, "empty", "true or false", truth) == Some(true);
+        let is_empty = self.value(table, "empty", "true or false", boolean) == Some(true);
         let node = table.entries.get("endpoints").map(|entry| &entry.node);
         let items: &[Node] = match node.map(|node| (node, &node.value)) {
             None => &[],
@@ -268,20 +276,21 @@
 
     fn endpoint(&mut self, node: &Node, key: &str, lines: &mut BTreeMap<String, usize>) -> Option<Endpoint> {
         let known = self.problems.len();
-        let table = self.table(node, key, &ENDPOINT)?;
+        let table = self.table(node, key, &ENDPOINT_KEYS)?;
         let name = self.name(&table, |fault| Invalid::EndpointName { fault });
         let address =
             self.value(&table, "address", "an IP address and port such as \"10.0.0.1:8080\"", address);
         let state = self.value(&table, "state", "\"ready\", \"draining\" or \"unhealthy\"", state);
         let (zone, kind) = (self.label(&table, "zone"), self.label(&table, "kind"));
         let count = "a whole number of at least 0";
-        let priority = self.value(&table, "priority", "a whole number from 0 to 128", whole);
+        let priority = self.value(&table, "priority", "a whole number from 0 to 128", integer);
         let weight = self.value(&table, "weight", "a number", number);
-        let cell = self.value(&table, "cell", count, whole);
-        let started = self.value(&table, "started_ms", count, whole::<u64>);
+        let cell = self.value(&table, "cell", count, integer);
+        let started = self.value(&table, "started_ms", count, integer::<u64>);
         let metadata = self.metadata(&table);
-        let (name, line, column) = name?;
-        self.unique(lines, "endpoint", name.clone(), (line, column), &table.inner("name"));
+        let name = name?;
+        self.unique(lines, "endpoint", &name, &table.inner("name"));
+        let PlacedName { name, .. } = name;
         let endpoint = Endpoint {
             name: name.as_str().into(),
             address,
@@ -324,18 +333,18 @@
     if let Value::Text(text) = value { Some(text.clone()) } else { None }
 }
 
-fn truth(value: &Value) -> Option<bool> {
+fn boolean(value: &Value) -> Option<bool> {
     if let Value::Bool(is) = value { Some(*is) } else { None }
 }
 
-fn whole<T: TryFrom<i128>>(value: &Value) -> Option<T> {
-    if let Value::Whole(number) = value { T::try_from(*number).ok() } else { None }
+fn integer<T: TryFrom<i128>>(value: &Value) -> Option<T> {
+    if let Value::Integer(number) = value { T::try_from(*number).ok() } else { None }
 }
 
 fn number(value: &Value) -> Option<f64> {
     match value {
-        Value::Whole(number) => Some(*number as f64),
-        Value::Real(number) => Some(*number),
+        Value::Integer(number) => Some(*number as f64),
+        Value::Float(number) => Some(*number),
         _ => None,
     }
 }
@@ -358,7 +367,7 @@
 }
 
 /// What to write instead of an unknown key: the nearest known one, or what is known if none is near.
-fn instead(name: &str, known: &[&str]) -> String {
+fn suggestion(name: &str, known: &[&str]) -> String {
     // As clap does for options: below 0.7 a suggestion is as often wrong as right.
     let likeness = |other: &str| strsim::jaro_winkler(&name.to_lowercase(), other);
     let near = known.iter().map(|&k| (likeness(k), k)).filter(|(likeness, _)| *likeness > 0.7);
--- a/crates/membership/src/file/tree.rs
+++ b/crates/membership/src/file/tree.rs
@@ -18,8 +18,8 @@
 #[derive(Debug)]
 pub(super) enum Value {
     Text(String),
-    Whole(i128),
-    Real(f64),
+    Integer(i128),
+    Float(f64),
     Bool(bool),
     List(Vec<Node>),
     Table(Vec<Entry>),
@@ -110,11 +110,13 @@
 }
 
 fn from_value(value: &Spanned<DeValue>) -> Node {
-    let whole = |digits: &toml::de::DeInteger| i128::from_str_radix(digits.as_str(), digits.radix()).ok();
+    let integer = |digits: &toml::de::DeInteger| i128::from_str_radix(digits.as_str(), digits.radix()).ok();
     let tree = match value.get_ref() {
         DeValue::String(text) => Value::Text(text.clone().into_owned()),
-        DeValue::Integer(digits) => whole(digits).map_or(Value::Other("a number out of reach"), Value::Whole),
-        DeValue::Float(digits) => real(digits.as_str()),
+        DeValue::Integer(digits) => {
+            integer(digits).map_or(Value::Other("a number out of reach"), Value::Integer)
+        }
+        DeValue::Float(digits) => float(digits.as_str()),
         DeValue::Boolean(is) => Value::Bool(*is),
         DeValue::Datetime(_) => Value::Other("a date"),
         DeValue::Array(items) => Value::List(items.iter().map(from_value).collect()),
@@ -123,15 +125,15 @@
     Node { range: value.span(), value: tree }
 }
 
-fn real(digits: &str) -> Value {
-    digits.parse().map_or(Value::Other("a number out of reach"), Value::Real)
+fn float(digits: &str) -> Value {
+    digits.parse().map_or(Value::Other("a number out of reach"), Value::Float)
 }
 
 fn from_json(value: Json) -> Node {
     let range = value.range();
     let tree = match value {
         Json::StringLit(text) => Value::Text(text.value.into_owned()),
-        Json::NumberLit(number) => number.value.parse().map_or_else(|_| real(number.value), Value::Whole),
+        Json::NumberLit(number) => number.value.parse().map_or_else(|_| float(number.value), Value::Integer),
         Json::BooleanLit(is) => Value::Bool(is.value),
         Json::NullKeyword(_) => Value::Other("null"),
         Json::Array(items) => Value::List(items.elements.into_iter().map(from_json).collect()),
