--- a/crates/decisions/src/balancer.rs
+++ b/crates/decisions/src/balancer.rs
@@ -1,13 +1,14 @@
 //! The balancer: one replica's decisions, composed of the concerns beside it.
 //!
 //! It is told what happens and answers with what to do. [`Balancer::handle`] is its one entry; what an event
-//! does is in `endpoint_events` and `request_events`. Each concern (health checks, outlier detection,
-//! admission and so on) owns its state and its arithmetic; the balancer holds them, passes the time on, and
-//! turns what they say into actions. It does no I/O, reads no clock, and takes its chance from a seed.
-//! Durations are in nanoseconds; "work" is the time that a request should take, in the same unit.
-//! `docs/design.md` says why it decides as it does.
+//! does is in `endpoint_events` and `request_events`, what is learned from the ends of attempts in
+//! `outcomes`. Each concern (health checks, outlier detection, admission and so on) owns its state and its
+//! arithmetic; the balancer holds them, passes the time on, and turns what they say into actions. It does no
+//! I/O, reads no clock, and takes its chance from a seed. Durations are in nanoseconds; "work" is the time
+//! that a request should take, in the same unit. `docs/design.md` says why it decides as it does.
 
 mod endpoint_events;
+mod outcomes;
 mod request_events;
 
 use crate::admission::AdmissionControl;
@@ -24,13 +25,13 @@
 /// One replica's decisions. Feed it every event in order; do what it answers.
 pub struct Balancer {
     pub(crate) settings: Settings,
-    pub(crate) rng: fastrand::Rng,
+    rng: fastrand::Rng,
     /// The time of the latest event.
     pub(crate) now: Nanos,
     pub(crate) endpoints: EndpointList,
-    pub(crate) list_polling: ListPolling,
-    pub(crate) requests: InFlightRequests,
-    pub(crate) queue: RequestQueue,
+    list_polling: ListPolling,
+    requests: InFlightRequests,
+    queue: RequestQueue,
     pub(crate) latencies: LatencyEstimates,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) admission: AdmissionControl,
--- a/crates/decisions/src/balancer/request_events.rs
+++ b/crates/decisions/src/balancer/request_events.rs
@@ -4,11 +4,10 @@
 use super::Balancer;
 use crate::admission::AdmissionRequest;
 use crate::endpoint_selection::EndpointSelection;
-use crate::event::{Action, AttemptEnd, Outcome, Request, Timer};
+use crate::event::{Action, AttemptEnd, Request, Timer};
 use crate::health_check;
 use crate::id::{Nanos, RequestId};
 use crate::in_flight::{Attempt, InFlightRequest};
-use crate::latency_estimate::{LatencySample, USUAL_LATENCY_RATIO};
 use crate::request_queue::{MAX_FAILED_DRAIN_ATTEMPTS, QueueDeadlines};
 use crate::retry_policy::AttemptPermit;
 
@@ -60,9 +59,10 @@
             return;
         }
         let Some(request) = self.requests.get(&id) else { return };
+        debug_assert!(request.attempts.is_empty(), "a retry is never queued");
         let any_available = self.endpoints.iter().any(|endpoint| endpoint.is_available());
         let deadline = request.queue_deadlines.current(any_available);
-        // Less time than between an event and the action that follows is none.
+        // Time in which neither a timer nor an attempt would come about counts as none.
         let time_left = deadline.saturating_sub(self.now + 2 * self.settings.clock_granularity);
         if time_left == 0 {
             return self.complete_request(id, self.retry_after_unavailable(), actions);
@@ -79,6 +79,7 @@
         let mut failures = 0;
         while failures < MAX_FAILED_DRAIN_ATTEMPTS {
             let Some(id) = self.queue.next_after(previous) else { return };
+            debug_assert!(self.requests.contains_key(&id), "{id:?} is queued and has ended");
             failures += u32::from(!self.dispatch(id, actions));
             previous = Some(id);
         }
@@ -108,6 +109,8 @@
 
     fn start_attempt(&mut self, id: RequestId, slot: usize, until: Nanos, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
+        debug_assert!(self.settings.limits.hedging_enabled || !request.has_attempt_in_flight());
+        debug_assert!(!request.was_sent_to(slot), "no endpoint gets a request twice");
         let start_by = until.min(request.deadline);
         let work = request.work;
         let overdue_after = self.attempt_overdue_after(request, request.attempts.len());
@@ -167,83 +170,6 @@
         }
     }
 
-    /// What the end of an attempt tells about its endpoint and its class.
-    fn record_outcome(&mut self, slot: usize, end: &AttemptEnd, actions: &mut Vec<Action>) {
-        let overload_pause = self.latencies.mean_over_classes() as Nanos;
-        self.record_latency(slot, end);
-        let now = self.now;
-        let endpoint = &mut self.endpoints[slot];
-        let responded_lately = || endpoint.latency.last_response_at + end.duration + overload_pause > now;
-        match end.outcome {
-            Outcome::Ok => {
-                endpoint.capacity.record_response(now);
-                endpoint.latency.last_response_at = now;
-                endpoint.outlier.record_success(now.saturating_sub(end.duration));
-            }
-            // Danger: an endpoint whose connection table is full refuses connections but is not gone.
-            Outcome::ConnectFailed if responded_lately() => {
-                endpoint.capacity.overloaded_until = now + overload_pause;
-            }
-            Outcome::Overloaded => endpoint.capacity.overloaded_until = now + overload_pause,
-            Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::ConnectFailed => {
-                self.record_failure(slot, end.outcome, actions);
-            }
-            Outcome::Cancelled | Outcome::NotSent => {}
-        }
-    }
-
-    /// Danger: connections break by themselves, everywhere alike, so that a reset is only one failure; a dead
-    /// process refuses them, and is ejected at once.
-    fn record_failure(&mut self, slot: usize, outcome: Outcome, actions: &mut Vec<Action>) {
-        let mean_failure_ewma = self.endpoints.mean_failure_ewma();
-        let outlier = &mut self.endpoints[slot].outlier;
-        outlier.record_failure();
-        if outcome == Outcome::ConnectFailed || outlier.is_outlier(mean_failure_ewma) {
-            self.eject(slot, actions);
-        }
-    }
-
-    /// Danger: what was cancelled took longer still; left out, no duration deviates, and all is cancelled.
-    fn record_latency(&mut self, slot: usize, end: &AttemptEnd) {
-        let is_response = end.outcome == Outcome::Ok;
-        let was_cancelled = end.outcome == Outcome::Cancelled && !end.request_completed;
-        if !is_response && !was_cancelled {
-            return;
-        }
-        let Some(request) = self.requests.get(&end.request) else { return };
-        let duration = end.duration as f64;
-        let sample = LatencySample {
-            class: request.class,
-            work_scale: request.work_scale,
-            duration,
-            ratio: duration / request.work.max(1.0),
-            is_response,
-        };
-        let relative_work = request.work / self.latencies.mean_over_responses();
-        if is_response {
-            self.record_endpoint_latency(slot, sample.ratio, relative_work);
-        }
-        let latency_objective = self.settings.classes[sample.class].latency_objective as f64;
-        self.latencies.record(&sample, latency_objective);
-        let responses = if is_response { 1.0 } else { 0.0 };
-        self.admission.record_responses(self.now, latency_objective, responses);
-    }
-
-    /// Danger: where no endpoint is warm all would wait, with no rate to go by. So what an endpoint in slow
-    /// start has answered in its usual time it may be sent again: that much it can do.
-    fn record_endpoint_latency(&mut self, slot: usize, ratio: f64, relative_work: f64) {
-        let rules = &self.settings.rules;
-        let any_warm = self
-            .endpoints
-            .iter()
-            .any(|endpoint| endpoint.is_available() && endpoint.is_warm(self.now, rules));
-        let endpoint = &mut self.endpoints[slot];
-        if !any_warm && ratio < USUAL_LATENCY_RATIO {
-            endpoint.slow_start.deposit(relative_work);
-        }
-        endpoint.latency.record(ratio);
-    }
-
     /// A request's timer: it waits for an endpoint, or its last attempt may be overdue.
     pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_waiting()) else { return };
