--- a/crates/membership/src/catalog/subscription.rs
+++ b/crates/membership/src/catalog/subscription.rs
@@ -1,4 +1,4 @@
-//! What one source says of one cluster: what has been accepted of it, and what is held back.
+//! What one source reports of one cluster: what has been accepted of it, and what is quarantined.
 
 use super::change_set::{ChangeSet, EndpointChange};
 use super::input_validation::InvalidInput;
@@ -40,7 +40,7 @@
     pub version: Version,
 }
 
-/// A change that is held back. The items are what is held and no more, so that a hold costs as much memory as
+/// A change that is quarantined. It has only the differences, so that a quarantine costs as much memory as
 /// the difference.
 #[derive(Debug)]
 pub(super) struct Quarantine {
@@ -98,7 +98,7 @@
         self.accepted.as_ref().map(|accepted| &accepted.listing)
     }
 
-    /// Whether it says anything: neither accepted nor held nor refused content.
+    /// Whether it says anything: neither accepted nor quarantined nor rejected content.
     pub fn is_vacant(&self) -> bool {
         self.accepted.is_none() && self.quarantine.is_none() && self.last_rejection.is_none()
     }
@@ -164,7 +164,7 @@
         ChangeSet::from_sorted(changes)
     }
 
-    /// The first list of a source that tells changes only: what is held of it so far, and what it says now.
+    /// The first list of a source that sends deltas only: what is quarantined of it so far, and what it reports now.
     pub fn first_list(&self, parts: BTreeMap<EndpointName, Option<Endpoint>>) -> Vec<Endpoint> {
         let held = self
             .quarantine
--- a/crates/membership/src/catalog/view.rs
+++ b/crates/membership/src/catalog/view.rs
@@ -52,15 +52,15 @@
     pub last_update_ms_ago: u64,
     /// The source is silent, and for how many milliseconds.
     pub silent: Option<(Silence, u64)>,
-    /// What is held back.
+    /// What is quarantined.
     #[serde(rename = "held")]
     pub quarantine: Option<QuarantineView>,
-    /// What was refused last.
+    /// What was rejected last.
     #[serde(rename = "refusal")]
     pub rejection: Option<RejectionView>,
 }
 
-/// What is held back.
+/// What is quarantined.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QuarantineView {
     /// What is suspicious.
@@ -78,7 +78,7 @@
     pub refetch_in_ms: u64,
 }
 
-/// What was refused.
+/// What was rejected.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RejectionView {
     /// When, in milliseconds ago.
@@ -94,7 +94,7 @@
     pub source: SourceId,
     /// It is silent, and for how many milliseconds.
     pub silent: Option<(Silence, u64)>,
-    /// What was refused last of it that was about no cluster that is known.
+    /// What was rejected last of it that was about no cluster that is known.
     #[serde(rename = "refusal")]
     pub rejection: Option<RejectionView>,
 }
--- a/crates/membership/src/diff.rs
+++ b/crates/membership/src/diff.rs
@@ -70,7 +70,7 @@
     found
 }
 
-/// What a catalog that serves `old` would hold back of `new`, if one source replaced the one by the other.
+/// What a catalog that serves `old` would quarantine of `new`, if one source replaced the one by the other.
 ///
 /// # Errors
 /// A figure of the policy that is out of its range.
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,11 +1,11 @@
-//! What the catalog is told.
+//! The events that the catalog is notified of by its sources.
 
 use crate::endpoint::{Cluster, ClusterSettings, Endpoint};
 use crate::names::{ClusterName, EndpointName, SourceId, Version};
 use serde::Serialize;
 use std::fmt;
 
-/// What the catalog is told.
+/// What the catalog is notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A source spoke; so it is in touch again, if it was silent.
@@ -57,7 +57,7 @@
 /// What a source says.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// All clusters whole: its others are no more. Each is judged on its own.
+    /// All clusters whole: its others are no more. Each is validated on its own.
     FullSnapshot(Vec<Cluster>),
     /// Some clusters whole; nothing about its others.
     ClusterSnapshots(Vec<Cluster>),
--- a/crates/membership/src/invalid.rs
+++ b/crates/membership/src/invalid.rs
@@ -77,7 +77,7 @@
         /// The limit.
         most: usize,
     },
-    /// So many more were refused in the same update.
+    /// So many more were rejected in the same update.
     #[error("{count} more endpoints of the same update")]
     More {
         /// How many.
--- a/crates/membership/src/names.rs
+++ b/crates/membership/src/names.rs
@@ -12,7 +12,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// A name of any text; what is not usable as one is refused by whoever takes it in.
+            /// A name of any text; what is not usable as one is rejected by whoever takes it in.
             pub fn new(text: impl Into<Arc<str>>) -> $name {
                 $name(text.into())
             }
@@ -53,7 +53,7 @@
     EndpointName
 }
 name! {
-    /// The name of a source, as its shell was set up.
+    /// The name of a source, as it was configured.
     SourceId
 }
 name! {
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -29,7 +29,7 @@
         /// Its source.
         source: SourceId,
     },
-    /// A suspicious change is held back. Said again when other kinds of suspicion join or go.
+    /// A suspicious change is quarantined. Put out again when other kinds of anomalies join or go.
     Quarantined(Quarantined),
     /// All that was held of a source's cluster has passed.
     Released {
@@ -47,14 +47,14 @@
         /// Whose change it was.
         source: SourceId,
     },
-    /// A hold has run out: the source shall ask its origin for the cluster again, so that it can confirm.
+    /// A quarantine has run out: the source is to ask its origin for the cluster again, so that it can confirm.
     RefetchRequested {
         /// The cluster.
         cluster: ClusterName,
         /// Who shall ask.
         source: SourceId,
     },
-    /// Something was refused.
+    /// Something was rejected.
     Rejected(Rejection),
 }
 
@@ -144,7 +144,7 @@
     },
     /// What was held has been confirmed.
     Confirmed(ConfirmationSource),
-    /// What was held is no longer suspicious: an address is free again, another endpoint has come.
+    /// What was quarantined is no longer suspicious: an address is free again, another endpoint has come.
     Resolved,
 }
 
@@ -170,7 +170,7 @@
     pub since: Nanos,
 }
 
-/// A suspicious change that is held back.
+/// A suspicious change that is quarantined.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Quarantined {
     /// The cluster.
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -15,23 +15,23 @@
 /// origin meanwhile.
 ///
 /// Weighed: one event may be a list of 10,000 endpoints, some 3 MB, so that a long queue would be the memory
-/// of many lists, of which a proxy has 32 MB in all; and the newest news wait behind all of it.
+/// of many lists, of which a proxy has 32 MB in all; and the newest update waits behind all of it.
 pub const EVENT_QUEUE_CAPACITY: usize = 4;
 
 /// Most questions that wait for a source. Whoever asks must not wait for room: a question that finds none is
-/// dropped, and the catalog asks again after its next hold.
+/// dropped, and the catalog asks again after its next quarantine period.
 pub const REFETCH_QUEUE_CAPACITY: usize = 64;
 
-/// What a source has heard.
+/// An event of a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceEvent {
     /// Which source; the same as in the event, where the event names one.
     pub source: SourceId,
-    /// What the catalog is to be told.
+    /// What the catalog is notified of.
     pub event: Event,
 }
 
-/// Where sources put what they have heard; to be made with [`EVENT_QUEUE_CAPACITY`].
+/// Where sources send their events; to be made with [`EVENT_QUEUE_CAPACITY`].
 pub type EventSender = tokio::sync::mpsc::Sender<SourceEvent>;
 
 /// A source shall ask its origin for a cluster again and put the answer in, changed or not.
--- a/crates/membership/src/xds/resource/problem.rs
+++ b/crates/membership/src/xds/resource/problem.rs
@@ -4,7 +4,7 @@
 use crate::invalid::Invalid;
 use std::fmt;
 
-/// A resource that is refused, and why.
+/// A resource that is rejected, and why.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BadResource {
     /// What it is.
--- a/crates/membership/src/xds/session/cluster_store.rs
+++ b/crates/membership/src/xds/session/cluster_store.rs
@@ -28,7 +28,7 @@
     warming: Option<Nanos>,
 }
 
-/// What the catalog is to be told, and what else follows.
+/// What the catalog is to be notified of, and what else follows.
 #[derive(Debug, Default)]
 pub(super) struct PendingUpdates {
     pub removed: Vec<ClusterName>,
--- a/crates/membership/src/xds/session/config.rs
+++ b/crates/membership/src/xds/session/config.rs
@@ -1,14 +1,14 @@
-//! What a conversation is set up with.
+//! The configuration of a session.
 
 use crate::names::{ClusterName, SourceId};
 use crate::policy::Policy;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What a conversation is set up with.
+/// The configuration of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The source whose news these are.
+    /// The source whose events these are.
     pub source: SourceId,
     /// Who asks.
     pub node: Node,
@@ -35,8 +35,8 @@
     /// by default. Danger: a control plane that restarts with versions that begin again may by chance have
     /// other content under the very versions that this proxy holds, and says nothing then.
     pub verify: Duration,
-    /// Most clusters that are kept, as the catalog's policy has it: what is refused there must be refused
-    /// here, so that the control plane hears of it.
+    /// Most clusters that are kept, as the catalog's policy has it: what is rejected there must be rejected
+    /// here, so that the control plane is notified of it.
     pub max_clusters: usize,
     /// Most endpoints of a cluster, as the catalog's policy has it.
     pub max_endpoints: usize,
@@ -54,7 +54,7 @@
     Incremental,
 }
 
-/// Who asks, as the control plane is told.
+/// Who asks, as the control plane is told in the first request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Node {
     /// The id of this proxy.
--- a/crates/membership/src/xds/session/event.rs
+++ b/crates/membership/src/xds/session/event.rs
@@ -5,7 +5,7 @@
 use crate::event::Event;
 use crate::names::ClusterName;
 
-/// What the session is told.
+/// An input of the session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A stream is open: what is sent from now on goes over it.
@@ -17,7 +17,7 @@
     },
     /// The control plane has spoken.
     Response(Response),
-    /// The catalog wants to hear of a cluster again.
+    /// The catalog wants a cluster once more.
     Refetch(ClusterName),
     /// [`Session::deadline`](super::Session::deadline) has come.
     Tick,
--- a/crates/membership/src/xds/session/message.rs
+++ b/crates/membership/src/xds/session/message.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What the control plane says.
+/// A response of the control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     /// State of the world.
@@ -36,7 +36,7 @@
     }
 }
 
-/// What the control plane is told.
+/// A request to the control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     /// State of the world.
--- a/crates/membership/src/xds/session/notice.rs
+++ b/crates/membership/src/xds/session/notice.rs
@@ -12,7 +12,7 @@
     Connected,
     /// The stream ended, or none could be opened.
     Lost {
-        /// What the shell says.
+        /// What the transport says.
         why: String,
         /// When the next one is tried, in nanoseconds from now.
         retry_in: Nanos,
@@ -38,7 +38,7 @@
         /// For how long it had waited, in nanoseconds.
         waited: Nanos,
     },
-    /// Resources were refused, and the control plane is told.
+    /// Resources were rejected, and the control plane is notified.
     Rejected {
         /// Of which kind.
         kind: Kind,
@@ -178,7 +178,7 @@
     }
 }
 
-/// Why resources are refused, at a length that a log and a control plane can take.
+/// Why resources are rejected, at a length that a log and a control plane can take.
 pub(super) struct RejectionReasons<'a>(pub &'a [BadResource]);
 
 impl RejectionReasons<'_> {
--- a/crates/membership/src/xds/session/state_machine.rs
+++ b/crates/membership/src/xds/session/state_machine.rs
@@ -167,7 +167,7 @@
         self.report_silent(Silence::Lost, out);
     }
 
-    /// The catalog wants to hear of a cluster again.
+    /// The catalog wants a cluster once more.
     ///
     /// Of clusters there is no way to ask for one again: all are asked for together, and a stream that stands
     /// means that what was told last still holds. So that is said again.
@@ -263,7 +263,7 @@
         out.push(Output::Notify(Event::Silent { source: self.config.source.clone(), silence }));
     }
 
-    /// Passes on what is to be told, and sets the clusters' timers.
+    /// Passes on pending updates, and sets the clusters' timers.
     pub(super) fn publish(&mut self, pending: PendingUpdates, out: &mut Vec<Output>) {
         for name in pending.waiting {
             self.timers.set(Timer::Warm(name), self.after(self.config.warming));
--- a/crates/membership/src/xds/session/timers.rs
+++ b/crates/membership/src/xds/session/timers.rs
@@ -16,7 +16,7 @@
     Verify,
     /// The first clusters should have come.
     FirstFetch,
-    /// A refusal that was put off is to be sent.
+    /// A postponed rejection is to be sent.
     Reject(Kind),
     /// The endpoints of a cluster should have come.
     Warm(ClusterName),
--- a/crates/membership/src/xds/session/type_subscription.rs
+++ b/crates/membership/src/xds/session/type_subscription.rs
@@ -9,7 +9,7 @@
 use envoy_types::pb::google::rpc::Status;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The code of a refusal (`google.rpc.Code.INVALID_ARGUMENT`).
+/// The code of a rejection (`google.rpc.Code.INVALID_ARGUMENT`).
 const INVALID_ARGUMENT: i32 = 3;
 
 /// One kind of resource.
@@ -21,7 +21,7 @@
     pub version: String,
     /// Incremental: the version of each resource that is held. They outlive the stream.
     pub versions: BTreeMap<String, String>,
-    /// Responses refused in a row.
+    /// Responses rejected in a row.
     pub consecutive_rejections: u32,
     /// A request was sent on this stream.
     pub is_open: bool,
@@ -31,7 +31,7 @@
     seen: VecDeque<String>,
     /// The names asked for on this stream; of clusters none means all.
     names: BTreeSet<String>,
-    /// A refusal that has been put off.
+    /// A rejection that has been postponed.
     postponed: Option<Status>,
 }
 
@@ -124,7 +124,7 @@
         self.answer(None)
     }
 
-    /// The last response is refused; the answer is given now, or put off if it is not the first in a row.
+    /// The last response is rejected; the answer is given now, or postponed if it is not the first in a row.
     ///
     /// Danger: some control planes send what was refused again at once, without an end.
     pub fn reject(&mut self, message: String) -> Option<Request> {
@@ -137,13 +137,13 @@
         None
     }
 
-    /// The refusal that was put off.
+    /// The rejection that was postponed.
     pub fn take_postponed(&mut self) -> Option<Request> {
         let status = self.postponed.take()?;
         Some(self.answer(Some(status)))
     }
 
-    /// Asks for other names than before, if they are others. A refusal that was put off goes with it.
+    /// Asks for other names than before, if they are others. A postponed rejection goes with it.
     pub fn rename(&mut self, names: BTreeSet<String>) -> Option<Request> {
         if names == self.names {
             return None;
--- a/crates/membership/src/xds/transport.rs
+++ b/crates/membership/src/xds/transport.rs
@@ -62,7 +62,7 @@
     Delta(Box<Streaming<DeltaDiscoveryResponse>>),
 }
 
-/// Runs a conversation until the receiver of the sink is gone. `log` gets what is to be logged.
+/// Runs a session until the receiver of the events is gone. `log` gets what is to be logged.
 pub async fn run(
     target: Target,
     config: Config,
