--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,12 +1,12 @@
 //! The seam between the sources and whoever runs the catalog.
 //!
-//! A source is an asynchronous task. It is given a [`EventSender`] and, where its origin can be asked, a receiver of
-//! [`RefetchRequest`]s. It ends when the receiver of its sink is gone, and for no other reason: what it cannot reach or
+//! A source is an asynchronous task. It is given an [`EventSender`] and, where its origin can be asked, a receiver of
+//! [`RefetchRequest`]s. It ends when the receiver of its events is gone, and for no other reason: what it cannot reach or
 //! read it says as [`Event::Silent`], and goes on trying.
 //!
 //! Whoever runs the catalog gives each source its own receiver of [`RefetchRequest`]s, passes every [`SourceEvent`] to
 //! [`Catalog::handle`](crate::Catalog::handle) in the order of arrival, and sends each
-//! [`Output::RefetchRequested`](crate::Output::AskAgain) as an [`RefetchRequest`] to the source that it names.
+//! [`Output::RefetchRequested`](crate::Output::RefetchRequested) as a [`RefetchRequest`] to the source that it names.
 
 use crate::event::Event;
 use crate::names::{ClusterName, SourceId};
--- a/crates/membership/src/xds/mod.rs
+++ b/crates/membership/src/xds/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`resource`] turns resources into clusters and endpoints. [`Session`] is the exchange with the control plane, both
 //! variants of the aggregated stream, as a state machine without I/O. [`transport`] is the task that connects, and
-//! decides nothing. [`file`] reads the same resources from JSON or YAML.
+//! decides nothing. [`mod@file`] reads the same resources from JSON or YAML.
 
 pub mod file;
 pub mod resource;
