--- a/crates/membership/src/catalog/mod.rs
+++ b/crates/membership/src/catalog/mod.rs
@@ -11,10 +11,12 @@
 mod quarantine;
 mod reconcile;
 mod service;
+mod source;
 mod state_overlay;
 mod subscription;
 mod timers;
 mod update;
+mod validation_report;
 mod validator;
 mod view;
 
@@ -28,11 +30,12 @@
 use crate::rejection::Rejection;
 use cluster::{ClusterSnapshot, ClusterState};
 use olivecart_decisions::Nanos;
+use source::{Rank, Silent, Source};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use timers::{Timer, Timers};
-use update::{Rank, Silent, Source, UpdateContext, UpdateEffects};
+use update::{UpdateContext, UpdateEffects};
 pub use view::{ClusterView, QuarantineView, RejectionView, SourceView, SubscriptionView};
 
 /// All clusters, and what its sources say of them.
--- a/crates/membership/src/catalog/quarantine.rs
+++ b/crates/membership/src/catalog/quarantine.rs
@@ -5,9 +5,11 @@
 
 use super::change_set::ChangeSet;
 use super::cluster::ClusterState;
+use super::source::Rank;
 use super::subscription::{MissingCluster, Quarantine, Subscription, SuspiciousList};
-use super::update::{Rank, UpdateContext, UpdateEffects};
-use super::validator::{Occasion, ValidationReport};
+use super::update::{UpdateContext, UpdateEffects};
+use super::validation_report::ValidationReport;
+use super::validator::Occasion;
 use crate::anomaly::Anomaly;
 use crate::endpoint::ClusterSettings;
 use crate::names::{EndpointName, Version};
--- a/crates/membership/src/catalog/reconcile.rs
+++ b/crates/membership/src/catalog/reconcile.rs
@@ -3,9 +3,10 @@
 use super::cluster::ClusterState;
 use super::listing::Listing;
 use super::service::{ServedDifference, Service};
+use super::source::Rank;
 use super::state_overlay::StateOverlay;
 use super::timers::Timer;
-use super::update::{Rank, UpdateContext, UpdateEffects};
+use super::update::{UpdateContext, UpdateEffects};
 use crate::anomaly::Anomaly;
 use crate::endpoint::Endpoint;
 use crate::names::EndpointName;
--- a/crates/membership/src/catalog/service.rs
+++ b/crates/membership/src/catalog/service.rs
@@ -1,7 +1,7 @@
 //! What serves of one cluster, as it was put out, and the smallest change from there to what is to serve.
 //! `reconcile` brings it up to date; it knows nothing of sources.
 
-use super::update::Rank;
+use super::source::Rank;
 use crate::endpoint::{ClusterSettings, Endpoint};
 use crate::names::EndpointName;
 use crate::output::{Arrival, Upserted};
--- a/crates/membership/src/catalog/state_overlay.rs
+++ b/crates/membership/src/catalog/state_overlay.rs
@@ -1,8 +1,8 @@
 //! The states of endpoints as other sources, or a quarantined list, report them. Read by the validator and by what
 //! brings the serving endpoints up to date; it changes nothing.
 
+use super::source::Rank;
 use super::subscription::Subscription;
-use super::update::Rank;
 use crate::endpoint::{Endpoint, State};
 use crate::names::EndpointName;
 use std::collections::BTreeMap;
--- a/crates/membership/src/catalog/subscription.rs
+++ b/crates/membership/src/catalog/subscription.rs
@@ -3,8 +3,9 @@
 use super::change_set::{ChangeSet, EndpointChange};
 use super::input_validation::InvalidInput;
 use super::listing::Listing;
-use super::update::{Rank, UpdateContext, UpdateEffects};
-use super::validator::ValidationReport;
+use super::source::Rank;
+use super::update::{UpdateContext, UpdateEffects};
+use super::validation_report::ValidationReport;
 use crate::anomaly::Anomaly;
 use crate::endpoint::{ClusterSettings, Endpoint, State};
 use crate::invalid::Invalid;
--- a/crates/membership/src/catalog/timers.rs
+++ b/crates/membership/src/catalog/timers.rs
@@ -1,6 +1,6 @@
 //! When the catalog wants to be woken, and for what.
 
-use super::update::Rank;
+use super::source::Rank;
 use crate::names::ClusterName;
 use olivecart_decisions::Nanos;
 use std::collections::BTreeSet;
--- a/crates/membership/src/catalog/validator.rs
+++ b/crates/membership/src/catalog/validator.rs
@@ -12,6 +12,7 @@
 use super::change_set::{ChangeSet, EndpointChange};
 use super::listing::{EndpointCounts, Listing, ready_at};
 use super::state_overlay::StateOverlay;
+use super::validation_report::ValidationReport;
 use crate::anomaly::Anomaly;
 use crate::endpoint::{Endpoint, State};
 use crate::names::EndpointName;
@@ -44,38 +45,6 @@
     pub occasion: Occasion,
 }
 
-/// What is suspicious.
-#[derive(Debug)]
-pub(super) struct ValidationReport {
-    /// Which items are, in their order.
-    pub suspicious: Vec<bool>,
-    /// Which of them are one of many, in their order.
-    pub awaits_confirmation: Vec<bool>,
-    pub anomalies: Vec<Anomaly>,
-    /// Something passed only because it was said again.
-    pub confirmed_by_repetition: bool,
-}
-
-impl ValidationReport {
-    pub fn is_clear(&self) -> bool {
-        self.anomalies.is_empty()
-    }
-
-    /// What is doubtful of a change, with its marks, and what passes.
-    pub fn split(&self, mut changes: ChangeSet) -> (ChangeSet, ChangeSet) {
-        self.mark(&mut changes);
-        changes.split(&self.suspicious)
-    }
-
-    /// Marks those that are one of many.
-    pub fn mark(&self, changes: &mut ChangeSet) {
-        changes
-            .iter_mut()
-            .zip(&self.awaits_confirmation)
-            .for_each(|(change, awaits_confirmation)| change.awaits_confirmation |= awaits_confirmation);
-    }
-}
-
 impl Candidate<'_> {
     /// Judges the change. Costs as much as the change is large, and as there are endpoints that others say
     /// are not ready.
--- a/crates/membership/src/catalog/view.rs
+++ b/crates/membership/src/catalog/view.rs
@@ -1,8 +1,8 @@
 //! What operators see of the catalog: plain values, printed as lines or serialized for an admin socket.
 
 use super::cluster::ClusterState;
+use super::source::{Rank, Source};
 use super::subscription::Subscription;
-use super::update::{Rank, Source};
 use crate::endpoint::{ClusterSettings, State};
 use crate::event::Silence;
 use crate::names::{ClusterName, SourceId, Version};
