--- a/crates/config/benches/fleet.rs
+++ b/crates/config/benches/fleet.rs
@@ -56,7 +56,7 @@
     group.bench_function("read", |b| b.iter(|| black_box(load(&files))));
     group.bench_function("check", |b| b.iter(|| black_box(check(&loaded, &Vec::new()))));
     group.bench_function("write", |b| {
-        b.iter(|| resolved.iter().map(|one| write::text(one, &loaded.sources).len()).sum::<usize>())
+        b.iter(|| resolved.iter().map(|one| write::text(one, &loaded.sources).len()).sum::<usize>());
     });
     group.finish();
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/crates/config/src/graph/svg.rs
+++ b/crates/config/src/graph/svg.rs
@@ -95,8 +95,8 @@
         start_x + ARROW_BEND,
         end_x.saturating_sub(ARROW_BEND)
     )?;
-    let label_x = (start_x + end_x) / 2;
-    let label_y = (start_y + end_y) / 2 - LABEL_RISE;
+    let label_x = start_x.midpoint(end_x);
+    let label_y = start_y.midpoint(end_y) - LABEL_RISE;
     writeln!(
         out,
         "<text x=\"{label_x}\" y=\"{label_y}\" text-anchor=\"middle\" fill=\"#444\">{} x {}</text>",
--- a/crates/decisions/src/balancer/endpoint_events.rs
+++ b/crates/decisions/src/balancer/endpoint_events.rs
@@ -2,6 +2,7 @@
 
 use super::Balancer;
 use crate::event::{Action, EndpointEntry, EndpointUpdate, Outcome, Timer};
+use crate::endpoint_list::ListPolling;
 use crate::health_check;
 use crate::id::{EndpointId, Nanos};
 use crate::settings::Discovery;
@@ -29,7 +30,7 @@
     fn poll_after_cached_list(&mut self, actions: &mut Vec<Action>) {
         if self.settings.discovery == Discovery::Subscribe {
             let poll_interval = self.settings.rules.poll_interval;
-            let delay = self.list_polling.initial_delay(poll_interval, &mut self.rng);
+            let delay = ListPolling::initial_delay(poll_interval, &mut self.rng);
             self.set_timer(delay, Timer::Discovery, actions);
         }
     }
--- a/crates/decisions/src/balancer/request_events.rs
+++ b/crates/decisions/src/balancer/request_events.rs
@@ -60,7 +60,7 @@
         }
         let Some(request) = self.requests.get(&id) else { return };
         debug_assert!(request.attempts.is_empty(), "a retry is never queued");
-        let any_available = self.endpoints.iter().any(|endpoint| endpoint.is_available());
+        let any_available = self.endpoints.iter().any(super::super::endpoint::Endpoint::is_available);
         let deadline = request.queue_deadlines.current(any_available);
         // Time in which neither a timer nor an attempt would come about counts as none.
         let time_left = deadline.saturating_sub(self.now + 2 * self.settings.clock_granularity);
@@ -232,10 +232,12 @@
         let Some(request) = self.requests.get(&id) else { return };
         let permit = AttemptPermit::of(request, self.settings.classes[request.class].idempotency);
         let retry_after = retry_after.min(self.settings.limits.max_retry_after);
-        actions.push(match permit.may_shed {
-            true => Action::Shed { request: id, retry_after },
-            false => Action::Fail(id),
-        });
+        let response = if permit.may_shed {
+            Action::Shed { request: id, retry_after }
+        } else {
+            Action::Fail(id)
+        };
+        actions.push(response);
         self.remove_request(id, actions);
     }
 
--- a/crates/decisions/src/endpoint_list.rs
+++ b/crates/decisions/src/endpoint_list.rs
@@ -135,7 +135,7 @@
 
 impl ListPolling {
     /// The delay before a replica that starts with a cached list asks for a fresh one.
-    pub(crate) fn initial_delay(&self, poll_interval: Nanos, rng: &mut fastrand::Rng) -> Nanos {
+    pub(crate) fn initial_delay(poll_interval: Nanos, rng: &mut fastrand::Rng) -> Nanos {
         rng.u64(0..=poll_interval / 2)
     }
 
--- a/crates/decisions/src/retry_policy/tests.rs
+++ b/crates/decisions/src/retry_policy/tests.rs
@@ -77,7 +77,7 @@
     budget.deposit();
     assert!(budget.has_token());
     (0..1_000).for_each(|_| budget.deposit());
-    let saved = (0..).find(|_| {
+    let saved = (0..=u32::MAX).find(|_| {
         let is_spent = !budget.has_token();
         if !is_spent {
             budget.withdraw();
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -213,6 +213,9 @@
 
 impl Settings {
     /// Says what makes these settings unusable or contradictory, if anything.
+    ///
+    /// # Errors
+    /// The first that is found.
     pub fn validate(&self) -> Result<(), InvalidSettings> {
         if self.classes.is_empty() {
             return Err(InvalidSettings::NoClasses);
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -19,6 +19,7 @@
 
 /// What happens besides the restart of endpoints.
 #[derive(Clone, Copy, Default)]
+#[expect(clippy::struct_excessive_bools, reason = "each is one thing that may happen besides the restart")]
 struct Workload {
     replicas: u32,
     seed: u64,
@@ -167,10 +168,10 @@
                     self.at(self.now, Occurrence::Ends { replica, incarnation, request, attempt, outcome });
                 }
                 Action::StartHealthCheck(endpoint) => {
-                    self.arrivals[endpoint.0 as usize].push((self.now, CHECK))
+                    self.arrivals[endpoint.0 as usize].push((self.now, CHECK));
                 }
                 Action::SetTimer { at, timer } => {
-                    self.at(at, Occurrence::Timer { replica, incarnation, timer })
+                    self.at(at, Occurrence::Timer { replica, incarnation, timer });
                 }
                 Action::Shed { request, .. } | Action::Fail(request) => {
                     self.work.remove(&(replica, incarnation, request.0));
@@ -183,7 +184,7 @@
     fn send(&mut self, replica: usize, request: u64, endpoint: EndpointId) {
         let incarnation = self.replicas[replica].incarnation;
         let work = self.work[&(replica, incarnation, request)];
-        let attempt = (0..)
+        let attempt = (0..=u32::MAX)
             .find(|n| !self.in_flight.contains_key(&(replica, incarnation, request, *n)))
             .expect("a number");
         self.in_flight.insert((replica, incarnation, request, attempt), (endpoint, self.now, work));
@@ -201,6 +202,8 @@
         self.tell(replica, Event::Endpoints(EndpointUpdate::Cached(self.entries.clone())));
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of occurrence")]
+    #[expect(clippy::needless_pass_by_value, reason = "an occurrence is over once it is applied")]
     fn apply(&mut self, what: Occurrence) {
         match what {
             Occurrence::Arrive(replica) => {
