--- a/crates/lab/src/sockets/settings.rs
+++ b/crates/lab/src/sockets/settings.rs
@@ -226,7 +226,7 @@
             let site = Site::read(&settings(&world, machine).unwrap().to_string()).unwrap();
             let told = world.settings(tier, number, spec.zone);
             assert_eq!(format!("{:#?}", site.settings), format!("{told:#?}"));
-            assert_eq!((site.most_held, site.answer_grace.as_millis()), (99, 15));
+            assert_eq!((site.max_open_requests, site.response_grace.as_millis()), (99, 15));
             assert_eq!(site.idle_close.as_secs(), if tier == 1 { 8 } else { 30 });
             let reported = site.load_row(vec![Some(1.0); 4]);
             assert_eq!((reported.cpu.is_some(), reported.rate.is_some()), (tier == 1, tier == 1));
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -20,7 +20,7 @@
     Action, Balancer, Discovery as Mode, EndpointEntry, EndpointState, EndpointStatus, EndpointUpdate, Event,
     LearnedState, Nanos, Settings, Timer,
 };
-use olivecart_settings::{Listed, Site};
+use olivecart_settings::{ListedEndpoint, Site};
 use slog::{Logger, debug, error, info};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -90,7 +90,8 @@
         let connect_timeout = Duration::from_nanos(settings.limits.connect_timeout);
         let backends =
             Backends::new(connect_timeout, site.idle_close, shared.descriptors.clone(), log.clone());
-        let limits = Limits { open_requests: site.most_held, second_copies: settings.limits.hedging_enabled };
+        let limits =
+            Limits { open_requests: site.max_open_requests, second_copies: settings.limits.hedging_enabled };
         let driver = Rc::new_cyclic(|this: &Weak<Driver>| Driver {
             context: Rc::new(Context::new(
                 this.clone(),
@@ -385,7 +386,7 @@
 
 /// An endpoint in the module's numbers; what is new gets one.
 fn numbered(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
-    site.entry(&Listed {
+    site.entry(&ListedEndpoint {
         name: &endpoint.name,
         state: endpoint.state,
         zone: &endpoint.zone,
--- a/crates/proxy/src/platform/backend.rs
+++ b/crates/proxy/src/platform/backend.rs
@@ -6,7 +6,7 @@
 use actix_http::{Method, StatusCode, Uri};
 use awc::{Client, ClientRequest};
 use olivecart_decisions::{LoadReport, Outcome};
-use olivecart_settings::field;
+use olivecart_settings::load_field;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
     let text = headers.get(&names::LOAD)?.to_str().ok()?;
     let mut load = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|part| part.split_once('=')) {
-        if let Some(field) = field(&mut load, name.trim()) {
+        if let Some(field) = load_field(&mut load, name.trim()) {
             *field = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
         }
     }
