--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,6 +3,7 @@
 //! A request passes the stages in [`stages`]; [`driver`] puts what happens to the module and does what it
 //! answers; [`platform`] alone knows the names of this protocol.
 
+mod accept;
 mod answer;
 mod backends;
 mod bodies;
@@ -20,6 +21,7 @@
 mod discovery;
 mod driver;
 mod handover;
+mod interrupted;
 mod invariant;
 mod latency;
 mod listen;
@@ -31,6 +33,7 @@
 mod shutdown;
 mod sidecar;
 mod stages;
+mod start_times;
 mod stats;
 mod tools;
 mod trace;
