--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -49,10 +49,10 @@
                 self.deliver(event.instance, now, orders, |instance, _| instance.incoming(event))
             }
             WireEvent::Ring { instance, cookie } => {
-                self.deliver(instance, now, orders, |instance, _| Ok(instance.timer_fired(cookie)))
+                self.deliver(instance, now, orders, |_, _| Ok(Some(Instance::timer_fired(cookie))))
             }
             WireEvent::PeerData(event) => {
-                self.deliver(event.instance, now, orders, |instance, _| instance.peer_data(&event))
+                self.deliver(event.instance, now, orders, |_, _| Instance::peer_data(&event).map(Some))
             }
             WireEvent::Response(event) => {
                 self.deliver(event.instance, now, orders, |instance, _| instance.response(event))
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -124,14 +124,14 @@
     }
 
     /// A timer that fired.
-    pub fn timer_fired(&mut self, cookie: u64) -> Option<Event> {
-        Some(Event::TimerFired(timer_of(cookie)))
+    pub fn timer_fired(cookie: u64) -> Event {
+        Event::TimerFired(timer_of(cookie))
     }
 
     /// A message from another replica.
-    pub fn peer_data(&mut self, event: &PeerData) -> Result<Option<Event>, InstanceError> {
+    pub fn peer_data(event: &PeerData) -> Result<Event, InstanceError> {
         let bytes = BASE64.decode(event.bytes.as_bytes())?;
-        Ok(Some(Event::PeerMessage { from: event.from, bytes }))
+        Ok(Event::PeerMessage { from: event.from, bytes })
     }
 
     /// An attempt that ended; none if its request is not open any more.
--- a/crates/config/benches/fleet.rs
+++ b/crates/config/benches/fleet.rs
@@ -41,7 +41,9 @@
 
 fn load(files: &[(String, String)]) -> Loaded {
     let mut loaded = Loaded::default();
-    files.iter().for_each(|(name, text)| loaded.add_text(name, text));
+    for (name, text) in files {
+        loaded.add_text(name, text);
+    }
     loaded
 }
 
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -35,7 +35,9 @@
 
 fn load(files: &Files) -> Loaded {
     let mut loaded = Loaded::default();
-    files.iter().for_each(|(name, text)| loaded.add_text(name, text));
+    for (name, text) in files {
+        loaded.add_text(name, text);
+    }
     loaded
 }
 
@@ -279,7 +281,6 @@
 
 /// What must not be, said in another way than the check does: by walking all ways of calls.
 fn is_harmless(resolved: &[Resolved]) -> bool {
-    let by_name = |name: &str| resolved.iter().position(|one| one.proxy.name == name);
     fn reaches_no_harm(
         all: &[Resolved],
         at: usize,
@@ -303,6 +304,7 @@
         way.pop();
         fine
     }
+    let by_name = |name: &str| resolved.iter().position(|one| one.proxy.name == name);
     let times =
         resolved.iter().all(|one| one.proxy.classes.iter().all(|c| c.latency_objective <= c.deadline));
     let windows = resolved
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -26,8 +26,8 @@
         weight_by_work: object.weight_basis.as_deref() == Some("work"),
         propagates_deadline: object.extra.propagates_deadline.unwrap_or(defaults.propagates_deadline),
         discovery: discovery_of(object.discovery_mode.as_deref())?,
-        limits: limits_of(&object.limits, defaults.limits),
-        rules: rules_of(&object.rules, defaults.rules),
+        limits: limits_of(&object.limits, &defaults.limits),
+        rules: rules_of(&object.rules, &defaults.rules),
         cost_weights: cost_weights_of(&object.cost_weights),
     })
 }
@@ -82,7 +82,7 @@
     }
 }
 
-fn limits_of(object: &LimitsObject, defaults: Limits) -> Limits {
+fn limits_of(object: &LimitsObject, defaults: &Limits) -> Limits {
     Limits {
         max_attempts: object.max_attempts.unwrap_or(defaults.max_attempts),
         hedging_enabled: object.hedging_enabled,
@@ -93,7 +93,7 @@
     }
 }
 
-fn rules_of(object: &RulesObject, defaults: Rules) -> Rules {
+fn rules_of(object: &RulesObject, defaults: &Rules) -> Rules {
     Rules {
         slow_start_initial_share: object
             .slow_start_initial_share
--- a/crates/settings/src/object.rs
+++ b/crates/settings/src/object.rs
@@ -61,6 +61,7 @@
 }
 
 /// What the platform allows an instance to do.
+#[expect(clippy::struct_excessive_bools, reason = "the form of the settings object")]
 #[derive(Deserialize, Default)]
 #[serde(expecting = "struct Allowed")]
 #[serde(rename_all = "kebab-case", default)]
