--- a/crates/proxy/src/catalog/sight.rs
+++ b/crates/proxy/src/catalog/catalog_log.rs
@@ -1,4 +1,6 @@
-//! What operators see of the catalog: a line at each change, and all of it every minute or when asked.
+//! The log of the catalog: a line at each change, and all of it every minute or when asked.
+//!
+//! The catalog's thread owns it. Sources log through [`Notices`]. It decides nothing.
 
 use olivecart_membership::{Catalog, Change, ClusterName, Nanos, Output, SourceId};
 use slog::{Logger, info, warn};
@@ -6,30 +8,30 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Clusters that are told of every minute; those with something amiss first.
-pub const MOST_LINES: usize = 50;
-/// Lines about the changes of one cluster are at least so far apart.
-const APART: Nanos = 1_000_000_000;
+/// Most clusters that are reported every minute; those with a problem first.
+pub const MOST_REPORTED_CLUSTERS: usize = 50;
+/// Least time between two lines about the changes of one cluster.
+const MINIMUM_LOG_INTERVAL: Nanos = 1_000_000_000;
 
-/// Who tells operators.
-pub struct Sight {
+/// The log, and what it has logged lately.
+pub struct CatalogLog {
     log: Logger,
     named: BTreeSet<ClusterName>,
-    told: BTreeMap<ClusterName, Told>,
+    logged: BTreeMap<ClusterName, LoggedChanges>,
     notices: Notices,
 }
 
-/// What was told of a cluster's changes.
+/// What was logged of a cluster's changes.
 #[derive(Default)]
-struct Told {
-    /// When one was last told.
+struct LoggedChanges {
+    /// When one was last logged.
     at: Nanos,
     /// How many were not since then, and the last of them.
-    untold: u64,
+    suppressed: u64,
     last: String,
 }
 
-/// What sources told of themselves last, shared with them.
+/// The last problem of each source, shared with them.
 #[derive(Clone)]
 pub struct Notices {
     log: Logger,
@@ -37,54 +39,56 @@
 }
 
 impl Notices {
-    /// Notes and tells what a source says of itself.
-    pub fn note(&self, source: &SourceId, tone: Tone, words: &dyn fmt::Display) {
+    /// Records and logs what a source says of itself.
+    pub fn record(&self, source: &SourceId, severity: Severity, words: &dyn fmt::Display) {
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        match tone {
-            Tone::Fine => _ = last.remove(source),
-            Tone::Amiss => _ = last.insert(source.clone(), words.to_string()),
-            Tone::Remark => {}
+        match severity {
+            Severity::Recovered => _ = last.remove(source),
+            Severity::Warning => _ = last.insert(source.clone(), words.to_string()),
+            Severity::Info => {}
         }
         drop(last);
-        match tone {
-            Tone::Amiss => warn!(self.log, "source"; "source" => %source, "is" => %words),
-            Tone::Fine | Tone::Remark => info!(self.log, "source"; "source" => %source, "is" => %words),
+        match severity {
+            Severity::Warning => warn!(self.log, "source"; "source" => %source, "is" => %words),
+            Severity::Recovered | Severity::Info => {
+                info!(self.log, "source"; "source" => %source, "is" => %words)
+            }
         }
     }
 }
 
-/// What something that a source says of itself means.
+/// What a notice of a source means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tone {
-    /// All is well with it again.
-    Fine,
+pub enum Severity {
+    /// It has no problem any more.
+    Recovered,
     /// It changes nothing.
-    Remark,
-    /// Somebody should look, until all is well.
-    Amiss,
+    Info,
+    /// It has a problem, until it has recovered.
+    Warning,
 }
 
-impl Sight {
+impl CatalogLog {
     /// `named`: the clusters that anything leads to.
-    pub fn new(log: Logger, named: BTreeSet<ClusterName>) -> Sight {
+    pub fn new(log: Logger, named: BTreeSet<ClusterName>) -> CatalogLog {
         let notices = Notices { log: log.clone(), last: Arc::default() };
-        Sight { log, named, told: BTreeMap::new(), notices }
+        CatalogLog { log, named, logged: BTreeMap::new(), notices }
     }
 
-    /// For sources to tell of themselves.
+    /// For sources to log by.
     pub fn notices(&self) -> Notices {
         self.notices.clone()
     }
 
-    /// Tells of what the catalog put out, but for what the event loop tells when it has done it: clusters that
+    /// Logs what the catalog put out, but for what the event loop logs when it has done it: clusters that
     /// come, change and go.
-    pub fn see(&mut self, output: &Output, now: Nanos) {
+    pub fn log_output(&mut self, output: &Output, now: Nanos) {
         match output {
             Output::Added(added) if !self.named.contains(&added.cluster) => {
                 info!(self.log, "cluster not served: nothing leads to it"; "cluster" => %added.cluster,
                     "source" => %added.source);
             }
-            Output::Removed(removed) => _ = self.told.remove(&removed.cluster),
+            Output::Removed(removed) => _ = self.logged.remove(&removed.cluster),
             Output::Aged(aged) => {
                 let for_ms = now.saturating_sub(aged.since) / 1_000_000;
                 warn!(self.log, "cluster aged"; "cluster" => %aged.cluster, "source" => %aged.source,
@@ -105,41 +109,45 @@
         }
     }
 
-    /// What to tell of a change once it is done; none where one was told a moment ago. Danger: an endpoint
+    /// What to log of a change once it is done; none where one was logged a moment ago. Danger: an endpoint
     /// that changes ten times a second would fill the log.
-    pub fn words(&mut self, change: &Change, now: Nanos) -> Option<String> {
-        let told = self.told.entry(change.cluster.clone()).or_default();
+    pub fn change_message(&mut self, change: &Change, now: Nanos) -> Option<String> {
+        let logged = self.logged.entry(change.cluster.clone()).or_default();
         let Change { source, version, removed, upserted, cause, .. } = change;
         let words = format!(
             "version {version} of {source}: {} removed, {} changed: {cause}",
             removed.len(),
             upserted.len()
         );
-        if now.saturating_sub(told.at) < APART {
-            (told.untold, told.last) = (told.untold + 1, words);
+        if now.saturating_sub(logged.at) < MINIMUM_LOG_INTERVAL {
+            (logged.suppressed, logged.last) = (logged.suppressed + 1, words);
             return None;
         }
-        (told.at, told.untold) = (now, 0);
+        (logged.at, logged.suppressed) = (now, 0);
         Some(words)
     }
 
     /// When [`flush`](Self::flush) is wanted.
     pub fn due(&self) -> Option<Nanos> {
-        self.told.values().filter(|told| told.untold > 0).map(|told| told.at + APART).min()
+        self.logged
+            .values()
+            .filter(|logged| logged.suppressed > 0)
+            .map(|logged| logged.at + MINIMUM_LOG_INTERVAL)
+            .min()
     }
 
-    /// Tells the last of the changes that have waited for long enough.
+    /// Logs the last of the changes that have waited for long enough.
     pub fn flush(&mut self, now: Nanos) {
-        for (cluster, told) in &mut self.told {
-            if told.untold > 0 && now.saturating_sub(told.at) >= APART {
-                info!(self.log, "cluster changed"; "cluster" => %cluster, "last" => &told.last,
-                    "changes" => told.untold);
-                (told.at, told.untold) = (now, 0);
+        for (cluster, logged) in &mut self.logged {
+            if logged.suppressed > 0 && now.saturating_sub(logged.at) >= MINIMUM_LOG_INTERVAL {
+                info!(self.log, "cluster changed"; "cluster" => %cluster, "last" => &logged.last,
+                    "changes" => logged.suppressed);
+                (logged.at, logged.suppressed) = (now, 0);
             }
         }
     }
 
-    /// Tells of all clusters, or of so many.
+    /// Logs all sources, and most clusters.
     pub fn report(&self, catalog: &Catalog, most: usize) {
         for source in catalog.sources() {
             let last = self.notices.last.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/proxy/src/catalog/mod.rs
+++ b/crates/proxy/src/catalog/mod.rs
@@ -5,22 +5,22 @@
 //! 5 ms in one piece, and no request could be served meanwhile. What crosses over is in numbers already, and
 //! in pieces that the loop takes one after another.
 
+mod catalog_log;
 mod members;
-mod origin;
-mod sight;
+mod source_starter;
 
 pub use members::Numbered;
 
 use crate::clock::Clock;
 use crate::operators::{REGISTRY, Source};
-use members::{Members, Turn};
+use catalog_log::CatalogLog;
+use members::{EndpointChanges, Members};
 use olivecart_membership::source::{Ask, Heard, SINK_BOUND};
 use olivecart_membership::{
     BadPolicy, Catalog, ClusterName, ClusterSettings, Event, Output, Policy, SourceId,
 };
-use origin::Origins;
-use sight::Sight;
 use slog::Logger;
+use source_starter::SourceStarter;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::time::Duration;
@@ -28,11 +28,11 @@
 use tokio::time::{Instant, interval_at, sleep_until};
 
 /// Most steps that wait for the event loop.
-const STEPS: usize = 64;
-/// How often all is told to the log.
-const REPORT: Duration = Duration::from_secs(60);
+const MOST_QUEUED_STEPS: usize = 64;
+/// How often all is logged.
+const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the event loop is told, in order.
+/// What the event loop has to do, in order.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A cluster is there, without endpoints yet.
@@ -45,7 +45,7 @@
         cluster: ClusterName,
         /// Limits that come with it, if they have changed.
         limits: Option<ClusterSettings>,
-        /// Endpoints that take nothing new: to be taken in before the others, and all in one turn.
+        /// Endpoints that take nothing new: to be taken in before the others, and all in one changes.
         stops: Vec<Numbered>,
         /// Endpoints that take requests.
         takes: Vec<Numbered>,
@@ -109,45 +109,52 @@
 ) -> Result<Handle, StartError> {
     let catalog = Catalog::new(policy, sources.iter().map(|source| source.id.clone()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let ((into, steps), (report, reports)) = (channel(STEPS), channel(1));
+    let ((into, steps), (report, reports)) = (channel(MOST_QUEUED_STEPS), channel(1));
     let named: BTreeSet<_> = named.into_iter().filter(|name| name.as_str() != REGISTRY).collect();
-    let sight = Sight::new(log, named.clone());
+    let catalog_log = CatalogLog::new(log, named.clone());
     let (sink, heard) = channel(SINK_BOUND);
-    let origins = Origins { sink, notices: sight.notices(), policy, seed };
-    let keeper =
-        Keeper { catalog, named, members: BTreeMap::new(), steps: into, asks: BTreeMap::new(), clock, sight };
-    let keep = move || runtime.block_on(keeper.keep(sources, origins, heard, reports));
+    let starter = SourceStarter { sink, notices: catalog_log.notices(), policy, seed };
+    let thread = CatalogThread {
+        catalog,
+        named,
+        members: BTreeMap::new(),
+        steps: into,
+        asks: BTreeMap::new(),
+        clock,
+        catalog_log,
+    };
+    let keep = move || runtime.block_on(thread.run(sources, starter, heard, reports));
     std::thread::Builder::new().name("catalog".into()).spawn(keep)?;
     Ok(Handle { steps, report })
 }
 
-/// What the thread keeps.
-struct Keeper {
+/// What the thread owns.
+struct CatalogThread {
     catalog: Catalog,
     named: BTreeSet<ClusterName>,
     members: BTreeMap<ClusterName, Members>,
     steps: Sender<Step>,
     asks: BTreeMap<SourceId, Sender<Ask>>,
     clock: Clock,
-    sight: Sight,
+    catalog_log: CatalogLog,
 }
 
-impl Keeper {
+impl CatalogThread {
     /// Runs until the event loop has gone.
-    async fn keep(
+    async fn run(
         mut self,
         sources: Vec<Source>,
-        origins: Origins,
+        starter: SourceStarter,
         mut heard: Receiver<Heard>,
         mut reports: Receiver<()>,
     ) {
         for source in sources {
-            self.asks.insert(source.id.clone(), origins.start(source));
+            self.asks.insert(source.id.clone(), starter.start(source));
         }
-        drop(origins);
-        let mut every = interval_at(Instant::now() + REPORT, REPORT);
+        drop(starter);
+        let mut every = interval_at(Instant::now() + REPORT_INTERVAL, REPORT_INTERVAL);
         loop {
-            let due = [self.catalog.deadline(), self.sight.due()].into_iter().flatten().min();
+            let due = [self.catalog.deadline(), self.catalog_log.due()].into_iter().flatten().min();
             let due = due.map(|at| self.clock.instant(at));
             let tick = async {
                 match due {
@@ -161,20 +168,20 @@
                 () = tick => (Event::Tick, None),
                 // The tick brings the catalog's time up to date.
                 Some(()) = reports.recv() => (Event::Tick, Some(usize::MAX)),
-                _ = every.tick() => (Event::Tick, Some(sight::MOST_LINES)),
+                _ = every.tick() => (Event::Tick, Some(catalog_log::MOST_REPORTED_CLUSTERS)),
             };
-            self.sight.flush(self.clock.now());
+            self.catalog_log.flush(self.clock.now());
             let mut outputs = Vec::new();
             self.catalog.handle(self.clock.now(), event, &mut outputs);
             for output in outputs {
-                self.sight.see(&output, self.clock.now());
+                self.catalog_log.log_output(&output, self.clock.now());
                 for step in self.steps(output) {
                     if self.steps.send(step).await.is_err() {
                         return;
                     }
                 }
             }
-            report.iter().for_each(|most| self.sight.report(&self.catalog, *most));
+            report.iter().for_each(|most| self.catalog_log.report(&self.catalog, *most));
         }
     }
 
@@ -189,13 +196,13 @@
                 vec![Step::Removed(removed.cluster)]
             }
             Output::Changed(change) => {
-                let words = self.sight.words(&change, self.clock.now());
+                let words = self.catalog_log.change_message(&change, self.clock.now());
                 let Some(members) = self.members.get_mut(&change.cluster) else { return Vec::new() };
-                let Turn { stops, takes } = members.change(&change.removed, change.upserted);
+                let EndpointChanges { stops, takes } = members.apply(&change.removed, change.upserted);
                 let (cluster, limits) = (change.cluster, change.settings);
                 let mut steps = vec![Step::Changed { cluster: cluster.clone(), limits, stops, takes, words }];
                 if members.is_spent() {
-                    let Turn { stops, takes } = members.renew();
+                    let EndpointChanges { stops, takes } = members.renew();
                     let limits = self.catalog.cluster(&cluster).map(|served| *served.settings);
                     let limits = limits.unwrap_or_default();
                     steps.push(Step::Renewed { cluster, limits, stops, takes });
--- a/crates/proxy/src/catalog/origin.rs
+++ b/crates/proxy/src/catalog/source_starter.rs
@@ -1,6 +1,8 @@
-//! Starts a source of the kind that the operators' file names.
+//! Starts the tasks of sources, by the kinds that the operators' file names.
+//!
+//! The catalog's thread calls it once for each source; the tasks end with that thread's runtime.
 
-use super::sight::{Notices, Tone};
+use super::catalog_log::{Notices, Severity};
 use crate::operators::{Source, SourceKind, Watched, Xds};
 use olivecart_membership::source::{ASK_BOUND, Ask, Asks, Sink};
 use olivecart_membership::watch::{self, Kind, Parser, Watch};
@@ -12,10 +14,10 @@
 use tokio::sync::mpsc::{Sender, channel};
 
 /// What sources are started with.
-pub struct Origins {
+pub struct SourceStarter {
     /// Where they put what they hear.
     pub sink: Sink,
-    /// Where they tell of themselves.
+    /// Where they log.
     pub notices: Notices,
     /// The catalog's figures: what it would refuse, a control plane is told.
     pub policy: Policy,
@@ -23,45 +25,47 @@
     pub seed: u64,
 }
 
-impl Origins {
-    /// Starts a source, and tells where it is asked.
+impl SourceStarter {
+    /// Starts a source, and returns where it is asked for a cluster.
     pub fn start(&self, Source { id, kind }: Source) -> Sender<Ask> {
         let (asks, asked) = channel(ASK_BOUND);
         match kind {
-            SourceKind::File(watched) => self.watch(id, watched, Kind::File, watch::documented, asked),
+            SourceKind::File(watched) => self.start_watch(id, watched, Kind::File, watch::documented, asked),
             SourceKind::Directory(watched) => {
-                self.watch(id, watched, Kind::Directory, watch::documented, asked);
+                self.start_watch(id, watched, Kind::Directory, watch::documented, asked);
             }
-            SourceKind::Envoy(watched) => self.watch(id, watched, Kind::File, watch::envoy, asked),
-            SourceKind::Xds(xds) => self.talk(id, xds, asked),
+            SourceKind::Envoy(watched) => self.start_watch(id, watched, Kind::File, watch::envoy, asked),
+            SourceKind::Xds(xds) => self.start_xds(id, xds, asked),
         }
         asks
     }
 
-    fn watch(&self, source: SourceId, watched: Watched, kind: Kind, parse: Parser, asked: Asks) {
+    fn start_watch(&self, source: SourceId, watched: Watched, kind: Kind, parse: Parser, asked: Asks) {
         let Watched { path, poll } = watched;
         let (notices, of) = (self.notices.clone(), source.clone());
         let tell = move |notice: watch::Notice| {
-            let tone = match &notice {
-                watch::Notice::Back => Tone::Fine,
-                watch::Notice::Remark(_) => Tone::Remark,
-                watch::Notice::Refused(_) | watch::Notice::Lost(_) | watch::Notice::Blind(_) => Tone::Amiss,
+            let severity = match &notice {
+                watch::Notice::Back => Severity::Recovered,
+                watch::Notice::Remark(_) => Severity::Info,
+                watch::Notice::Refused(_) | watch::Notice::Lost(_) | watch::Notice::Blind(_) => {
+                    Severity::Warning
+                }
             };
-            notices.note(&of, tone, &notice);
+            notices.record(&of, severity, &notice);
         };
         let watch = Watch { source, path, kind, poll };
         tokio::spawn(watch::run(watch, parse, self.sink.clone(), asked, tell));
     }
 
-    fn talk(&self, source: SourceId, xds: Xds, asked: Asks) {
+    fn start_xds(&self, source: SourceId, xds: Xds, asked: Asks) {
         let (notices, of) = (self.notices.clone(), source.clone());
         let tell = move |note: &Note| {
-            let tone = match note {
-                Note::Connected => Tone::Fine,
-                note if note.is_warning() => Tone::Amiss,
-                _ => Tone::Remark,
+            let severity = match note {
+                Note::Connected => Severity::Recovered,
+                note if note.is_warning() => Severity::Warning,
+                _ => Severity::Info,
             };
-            notices.note(&of, tone, note);
+            notices.record(&of, severity, note);
         };
         let node = Node { id: xds.node, cluster: xds.node_cluster, region: xds.region, zone: xds.zone };
         let config = Config {
--- a/crates/proxy/src/clusters.rs
+++ b/crates/proxy/src/clusters.rs
@@ -4,10 +4,10 @@
 use crate::catalog::{Numbered, Step};
 use crate::clock::{Clock, SystemClocks};
 use crate::config::Changes;
-use crate::console::call::{Call, No};
+use crate::console::request::{AdminError, AdminRequest};
 use crate::descriptors::Descriptors;
 use crate::driver::{Driver, Shared};
-use crate::handover::State;
+use crate::hot_restart::State;
 use crate::membership::News;
 use crate::operators::{Overrides, REGISTRY, Rules};
 use crate::platform::registry;
@@ -61,8 +61,7 @@
     pub fn start(config: Start, log: &Logger) -> Rc<Clusters> {
         let Start { site, clock, seed, descriptors, discovery, known, routing, budget, stats, taken_over } =
             config;
-        let State { list, knowledge, out, back, list_complete_at, start_times, .. } =
-            taken_over.unwrap_or_default();
+        let inherited = taken_over.unwrap_or_default();
         let shared = Rc::new(Shared {
             clock,
             site,
@@ -70,8 +69,8 @@
             descriptors,
             budget,
             stats,
-            by_hand: (out, back),
-            starts: (list_complete_at, start_times),
+            by_hand: (inherited.detached, inherited.attached_at),
+            starts: (inherited.list_complete_at, inherited.start_times),
         });
         let Routing { named, rules, overrides } = routing;
         let at = |name: ClusterName| named.iter().position(|known| *known == name).unwrap_or(0);
@@ -93,8 +92,10 @@
             let driver = Driver::start(&clusters.shared, settings, seed, discovery, log.clone());
             clusters.limit(&name, &driver, &ClusterSettings::default());
             place.serve(driver.context.clone());
-            match &list {
-                Some(list) => driver.take_over(&self::known(Some(list), log), knowledge.as_ref()),
+            match &inherited.list {
+                Some(list) => {
+                    driver.take_over(&self::known(Some(list), log), inherited.learned_state.as_ref())
+                }
                 None => driver.follow(&self::known(known.as_deref(), log)),
             }
             clusters.registry = Some(driver);
@@ -121,28 +122,32 @@
     ///
     /// # Errors
     /// None has it.
-    pub fn by_hand(&self, call: &Call) -> Result<(), No> {
+    pub fn by_hand(&self, call: &AdminRequest) -> Result<(), AdminError> {
         let (target, done): (_, Vec<_>) = match call {
-            Call::Detach(target) => (target, self.drivers().iter().map(|d| d.detach(target)).collect()),
-            Call::Attach(target) => (target, self.drivers().iter().map(|d| d.attach(target)).collect()),
-            Call::Ready | Call::Vars => return Ok(()), // which change nothing
+            AdminRequest::Detach(target) => {
+                (target, self.drivers().iter().map(|d| d.detach(target)).collect())
+            }
+            AdminRequest::Attach(target) => {
+                (target, self.drivers().iter().map(|d| d.attach(target)).collect())
+            }
+            AdminRequest::Ready | AdminRequest::Vars => return Ok(()), // which change nothing
         };
-        if done.iter().any(Result::is_ok) { Ok(()) } else { Err(No::Unknown(target.clone())) }
+        if done.iter().any(Result::is_ok) { Ok(()) } else { Err(AdminError::Unknown(target.clone())) }
     }
 
     /// Does what an operator asked of another process. Danger: a change of the list reaches one process before the
     /// other; what only that one lists when it is taken out would be used here from when it is listed here.
-    pub fn by_hand_elsewhere(&self, call: &Call) {
-        if let (Call::Detach(target), Err(_)) = (call, self.by_hand(call)) {
+    pub fn by_hand_elsewhere(&self, call: &AdminRequest) {
+        if let (AdminRequest::Detach(target), Err(_)) = (call, self.by_hand(call)) {
             self.drivers().iter().for_each(|driver| driver.detach_ahead(target));
         }
     }
 
     /// What the next process must know.
     pub fn state(&self) -> State {
-        let knowledge = self.registry.as_ref().map(|driver| driver.knowledge());
+        let learned_state = self.registry.as_ref().map(|driver| driver.knowledge());
         let mut state = State {
-            knowledge,
+            learned_state,
             list: self.registry.as_ref().map(|driver| driver.held_list()),
             clock: Some(self.shared.clock.reading(&SystemClocks)),
             list_complete_at: self.registry.as_ref().and_then(|driver| driver.list_complete_at()),
@@ -150,8 +155,8 @@
         };
         self.drivers().iter().for_each(|driver| state.start_times.extend(driver.start_times()));
         for (out, back) in self.drivers().iter().map(|driver| driver.by_hand()) {
-            state.out.extend(out);
-            state.back.extend(back);
+            state.detached.extend(out);
+            state.attached_at.extend(back);
         }
         state
     }
@@ -390,7 +395,7 @@
         let list = format!(r#"{{"version":2,"full":true,"servers":[{},{}]}}"#, server("a"), server("b"));
         actix_rt::System::new().block_on(async {
             let clusters = Clusters::start(start, &Logger::root(Discard, o!()));
-            clusters.by_hand_elsewhere(&Call::Detach("a".into()));
+            clusters.by_hand_elsewhere(&AdminRequest::Detach("a".into()));
             let registry = clusters.registry.as_ref().expect("the platform's own");
             registry.follow(&known(Some(&list), &clusters.log));
             assert_eq!(clusters.pool(), Pool { size: 2, ejected: 1 });
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,7 @@
-//! The one place where configuration is read, given defaults and checked. Messages name the faulty key.
+//! The configuration of `olivecart serve`: read from the file and the environment, given defaults and checked.
+//!
+//! `cli.rs` reads it once, and `reload.rs` again at each SIGHUP. Errors name the key or variable at fault. Nothing else
+//! reads a configuration of `serve`; the sidecar has one of its own.
 
 use crate::console;
 use crate::operators::{self, Operators};
@@ -11,20 +14,20 @@
 use std::path::{Path, PathBuf};
 
 /// Descriptors kept back for the listener, discovery, the log, the runtime, and clients over their share.
-const OWN_SOCKETS: usize = 48;
+const RESERVED_DESCRIPTORS: usize = 48;
 
 /// The part of the memory that long bodies may hold. The rest is for what a process needs at rest, some 4 MB, and for
 /// what each connection holds beside them.
-const BODIES: f64 = 0.4;
+const BODY_MEMORY_SHARE: f64 = 0.4;
 
 /// Least memory: 4 MB at rest, and some 40 kB for each connection of a client's and a backend's.
-const LEAST_MEMORY_MB: f64 = 16.0;
+const MINIMUM_MEMORY_MB: f64 = 16.0;
 
 /// Fewest descriptors for clients and backends together.
-const LEAST_SOCKETS: usize = 32;
+const MINIMUM_CONNECTIONS: usize = 32;
 
 /// The variable that names the operators' file.
-const CLUSTERS: &str = "OLIVECART_CLUSTERS";
+const OPERATORS_FILE_VARIABLE: &str = "OLIVECART_CLUSTERS";
 
 /// Why there is no usable configuration.
 #[derive(Debug, thiserror::Error)]
@@ -48,7 +51,7 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The operators' file cannot be read.
-    #[error("{CLUSTERS}: {path}: {error}", path = .0.display(), error = .1)]
+    #[error("{OPERATORS_FILE_VARIABLE}: {path}: {error}", path = .0.display(), error = .1)]
     NoOperators(PathBuf, std::io::Error),
     /// The operators' file is unusable.
     #[error(transparent)]
@@ -96,8 +99,8 @@
 impl Sockets {
     /// The part of each where so many processes share a limit. What a process needs for itself comes off each part.
     pub fn part(self, parts: u32) -> Sockets {
-        let (parts, least) = (parts.max(1) as usize, LEAST_SOCKETS / 2);
-        let own = OWN_SOCKETS + console::CONNECTIONS;
+        let (parts, least) = (parts.max(1) as usize, MINIMUM_CONNECTIONS / 2);
+        let own = RESERVED_DESCRIPTORS + console::MOST_CONNECTIONS;
         let part =
             |all: usize| (all / parts).saturating_sub(own / 2 * (parts - 1) / parts).max(least.min(all));
         Sockets { clients: part(self.clients), backends: part(self.backends) }
@@ -127,21 +130,21 @@
     /// The operators' file, if there is one. It is not read again while all runs on.
     pub operators: Option<Operators>,
     /// Where this was read, for reading it again.
-    pub origin: Origin,
+    pub origin: ConfigSource,
 }
 
 /// Where a configuration was read, and what of it is in force: it can be read again while all runs on.
 #[derive(Clone)]
-pub struct Origin {
+pub struct ConfigSource {
     path: PathBuf,
-    said: Said,
+    file_values: FileValues,
     listen: SocketAddr,
     discovery: SocketAddr,
 }
 
 /// What the file said, in its own words, whatever variables had made of it.
 #[derive(Clone, PartialEq, Eq)]
-struct Said {
+struct FileValues {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -162,29 +165,29 @@
     pub at_start: Vec<&'static str>,
 }
 
-impl Origin {
+impl ConfigSource {
     /// Reads the file again and checks it as a whole; on an error all stays as it was. A variable that
     /// overrode a key at the start does so no longer once the file says something new there.
-    pub fn again(&mut self) -> Result<Changes, ConfigError> {
+    pub fn reload(&mut self) -> Result<Changes, ConfigError> {
         let text = text(&self.path)?;
         let mut file = File::parse(&text)?;
-        let said = file.said();
+        let file_values = file.values();
         let keep = |key: &mut Option<String>, before: &Option<String>, in_force: SocketAddr| {
             if key.is_none() || key == before {
                 *key = Some(in_force.to_string());
             }
         };
-        keep(&mut file.listen, &self.said.listen, self.listen);
-        keep(&mut file.discovery, &self.said.discovery, self.discovery);
+        keep(&mut file.listen, &self.file_values.listen, self.listen);
+        keep(&mut file.discovery, &self.file_values.discovery, self.discovery);
         let new = Config::read(self.path.clone(), file, |_| None)?;
         let differs = [
-            ("name", said.name != self.said.name),
+            ("name", file_values.name != self.file_values.name),
             ("listen", new.listen != self.listen),
-            ("console", said.console != self.said.console),
-            ("settings", said.settings != self.said.settings),
+            ("console", file_values.console != self.file_values.console),
+            ("settings", file_values.settings != self.file_values.settings),
         ];
         let at_start = differs.into_iter().filter_map(|(key, differs)| differs.then_some(key)).collect();
-        (self.said, self.discovery) = (said, new.discovery);
+        (self.file_values, self.discovery) = (file_values, new.discovery);
         Ok(Changes { discovery: new.discovery, sockets: new.sockets, bodies: new.bodies, at_start })
     }
 }
@@ -202,8 +205,8 @@
         Ok(file)
     }
 
-    fn said(&self) -> Said {
-        Said {
+    fn values(&self) -> FileValues {
+        FileValues {
             name: self.name.clone(),
             listen: self.listen.clone(),
             discovery: self.discovery.clone(),
@@ -221,8 +224,9 @@
         let file = path(file, "EDGE_CONFIG").ok_or(ConfigError::NoFile)?;
         let text = text(&file)?;
         let mut config = Config::read(file, File::parse(&text)?, |name| std::env::var(name).ok())?;
-        config.operators =
-            path(clusters, CLUSTERS).map(|file| operators_file(&file, &config.site)).transpose()?;
+        config.operators = path(clusters, OPERATORS_FILE_VARIABLE)
+            .map(|file| operators_file(&file, &config.site))
+            .transpose()?;
         Ok(config)
     }
 
@@ -231,7 +235,7 @@
         file: File,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
-        let said = file.said();
+        let file_values = file.values();
         let settings =
             file.settings.ok_or(ConfigError::Missing("settings", "a key of EDGE_CONFIG's file"))?;
         let listen = address(("EDGE_LISTEN", variable("EDGE_LISTEN")), ("listen", file.listen))?;
@@ -245,12 +249,15 @@
             discovery,
             console,
             seed: seed(file.seed)?,
-            sockets: share_out(&file.limits, if console.is_some() { console::CONNECTIONS } else { 0 })?,
-            bodies: (file.limits.memory_mb * BODIES * 1e6) as usize,
+            sockets: divide_descriptors(
+                &file.limits,
+                if console.is_some() { console::MOST_CONNECTIONS } else { 0 },
+            )?,
+            bodies: (file.limits.memory_mb * BODY_MEMORY_SHARE * 1e6) as usize,
             known: file.known.map(|k| k.get().to_owned()),
             site: Site::read(settings.get())?,
             operators: None,
-            origin: Origin { path, said, listen, discovery },
+            origin: ConfigSource { path, file_values, listen, discovery },
         })
     }
 }
@@ -305,28 +312,18 @@
 /// Half and half: each request that a client waits for has one attempt out at most, so that a backend's
 /// connection is there for every client's; the idle ones beyond that are let go as they are in the way.
 /// `console`: those that are set aside for operators' calls.
-fn share_out(limits: &Limits, console: usize) -> Result<Sockets, ConfigError> {
+fn divide_descriptors(limits: &Limits, console: usize) -> Result<Sockets, ConfigError> {
     let bad = |what| Err(ConfigError::Value("limits.sockets", limits.sockets.to_string(), what));
-    if limits.memory_mb < LEAST_MEMORY_MB {
+    if limits.memory_mb < MINIMUM_MEMORY_MB {
         return Err(ConfigError::Value("limits.memory_mb", limits.memory_mb.to_string(), "16 or more"));
     }
-    match limits.sockets.checked_sub(OWN_SOCKETS + console) {
-        Some(left) if left >= LEAST_SOCKETS => Ok(Sockets { clients: left / 2, backends: left - left / 2 }),
+    match limits.sockets.checked_sub(RESERVED_DESCRIPTORS + console) {
+        Some(left) if left >= MINIMUM_CONNECTIONS => {
+            Ok(Sockets { clients: left / 2, backends: left - left / 2 })
+        }
         _ => bad("enough: 80 at least, or 104 with a console"),
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn two_processes_hold_no_more_descriptors_than_one_may_have() {
-        for sockets in [208, 256, 384, 1024] {
-            let limits = Limits { sockets, ..Limits::default() };
-            let part = share_out(&limits, console::CONNECTIONS).expect("enough").part(2);
-            let each = OWN_SOCKETS + console::CONNECTIONS + part.clients + part.backends;
-            assert!(2 * each <= sockets, "{sockets}: {each} each");
-        }
-    }
-}
+mod tests;
--- a/crates/proxy/src/console/mod.rs
+++ b/crates/proxy/src/console/mod.rs
@@ -1,14 +1,15 @@
-//! Where operators call: readiness, figures, backends out by hand. `docs/operators/console.md` is for its callers.
+//! The admin server: readiness, figures, and endpoints detached or attached by operators. `docs/operators/console.md` is
+//! for its callers.
 //!
 //! It runs on a thread of its own and reads the figures without the event loop, so that it answers however busy that
-//! is. Only a change has to be done there: it is put to it, and waited for within bounds.
+//! is. Only a change is made in the event loop: `serve.rs` receives it, and the answer is awaited within bounds.
 
-pub mod call;
+pub mod request;
 
 use crate::accept::Acceptor;
 use crate::interrupted::Uninterrupted;
 use crate::stats::Stats;
-use call::{Call, No};
+use request::{AdminError, AdminRequest};
 use slog::{Logger, info, warn};
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,31 +24,31 @@
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Connections at a time; so many descriptors are set aside for them.
-pub const CONNECTIONS: usize = 24;
+/// Most connections at a time; so many descriptors are set aside for them.
+pub const MOST_CONNECTIONS: usize = 24;
 /// Connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// A call is there this long after its connection was made, or never.
-const WHOLE: Duration = Duration::from_secs(5);
-/// Where all connections are taken, one without a whole call gives way after this long. Danger: callers that
-/// connect and say nothing, and so keep out those that call.
-const FRESH: Duration = Duration::from_millis(20);
-/// Longest wait for the event loop; the answer is owed in 1 s.
-const DONE: Duration = Duration::from_millis(800);
-/// Longest that an answer takes to be written, and its reader to close.
-const READ: Duration = Duration::from_secs(1);
+/// A request is complete this long after its connection was accepted.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Where all connections are taken, one without a complete request is evicted after this long. Danger: callers that
+/// connect and send nothing, and so keep out those that do.
+const EVICTION_GRACE: Duration = Duration::from_millis(20);
+/// Longest wait for the event loop; the answer is awaiting_request in 1 s.
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Longest that a response takes to be written, and its reader to close.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Changes that wait for the event loop.
-const WAITING: usize = 64;
+const MOST_QUEUED_CHANGES: usize = 64;
 
-/// Something to do in the event loop, and who is told that it was done.
+/// A change to be made in the event loop, and who is told of its outcome.
 pub struct Change {
-    /// [`Call::Detach`] or [`Call::Attach`].
-    pub call: Call,
-    /// Told what came of it.
-    pub done: oneshot::Sender<Result<(), No>>,
+    /// [`AdminRequest::Detach`] or [`AdminRequest::Attach`].
+    pub request: AdminRequest,
+    /// Told the outcome.
+    pub done: oneshot::Sender<Result<(), AdminError>>,
 }
 
-/// Listens where operators call.
+/// Binds the address for operators.
 ///
 /// # Errors
 /// The address can't be had.
@@ -61,18 +62,18 @@
     Ok(socket.into())
 }
 
-/// Starts to answer, on a thread of its own, for as long as the process lives. What is to be done in the event loop
-/// comes from the receiver.
+/// Starts to serve, on a thread of its own, for as long as the process lives. The receiver has the changes to be made
+/// in the event loop.
 ///
 /// # Errors
 /// There is no thread.
 pub fn start(listener: Bound, stats: Arc<Stats>, log: Logger) -> io::Result<mpsc::Receiver<Change>> {
-    let (changes, receiver) = mpsc::channel(WAITING);
+    let (changes, receiver) = mpsc::channel(MOST_QUEUED_CHANGES);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("console".into()).spawn(move || {
         runtime.block_on(LocalSet::new().run_until(async move {
             match TcpListener::from_std(listener) {
-                Ok(listener) => Rc::new(Console::new(stats, changes, log)).accept(listener).await,
+                Ok(listener) => Rc::new(AdminServer::new(stats, changes, log)).accept(listener).await,
                 Err(e) => warn!(log, "the console does not answer"; "error" => %e),
             }
         }));
@@ -80,13 +81,13 @@
     Ok(receiver)
 }
 
-struct Console {
+struct AdminServer {
     stats: Arc<Stats>,
     changes: mpsc::Sender<Change>,
-    /// Connections without a whole call, oldest first.
-    owed: RefCell<VecDeque<(u64, Instant, AbortHandle)>>,
+    /// Connections without a complete request, oldest first.
+    awaiting_request: RefCell<VecDeque<(u64, Instant, AbortHandle)>>,
     open: Rc<()>,
-    left: Rc<Notify>,
+    closed: Rc<Notify>,
     log: Logger,
 }
 
@@ -99,57 +100,67 @@
     }
 }
 
-impl Console {
-    fn new(stats: Arc<Stats>, changes: mpsc::Sender<Change>, log: Logger) -> Console {
-        Console { stats, changes, owed: RefCell::default(), open: Rc::default(), left: Rc::default(), log }
+impl AdminServer {
+    fn new(stats: Arc<Stats>, changes: mpsc::Sender<Change>, log: Logger) -> AdminServer {
+        AdminServer {
+            stats,
+            changes,
+            awaiting_request: RefCell::default(),
+            open: Rc::default(),
+            closed: Rc::default(),
+            log,
+        }
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut acceptor = Acceptor::new(listener, "console", self.log.clone());
         for number in 0.. {
             self.make_room().await;
-            let (stream, _) = acceptor.accept(|| _ = self.give_up_oldest(FRESH)).await;
-            let open = Open(self.open.clone(), self.left.clone());
+            let (stream, _) = acceptor.accept(|| _ = self.evict_oldest()).await;
+            let open = Open(self.open.clone(), self.closed.clone());
             let serving = self.clone().serve(number, stream, open);
             let task = spawn_local(serving).abort_handle();
-            self.owed.borrow_mut().push_back((number, Instant::now(), task));
+            self.awaiting_request.borrow_mut().push_back((number, Instant::now(), task));
         }
     }
 
-    /// Waits until there is room for one more. The oldest without a whole call gives way, but not before it had a
-    /// moment to make it.
+    /// Waits until there is room for one more. The oldest without a complete request is evicted, but not before
+    /// [`EVICTION_GRACE`].
     async fn make_room(&self) {
-        while Rc::strong_count(&self.open) > CONNECTIONS {
-            let wait = self.give_up_oldest(FRESH);
-            let _ = timeout(wait, self.left.notified()).await;
+        while Rc::strong_count(&self.open) > MOST_CONNECTIONS {
+            let wait = self.evict_oldest();
+            let _ = timeout(wait, self.closed.notified()).await;
         }
     }
 
-    /// Gives up the oldest connection without a whole call, if it is of that age at least. How long to wait for room.
-    fn give_up_oldest(&self, least_age: Duration) -> Duration {
-        let oldest = self.owed.borrow().front().map(|(_, since, _)| since.elapsed());
+    /// Evicts the oldest connection without a complete request, unless it is younger than [`EVICTION_GRACE`]. Returns how
+    /// long to wait for room.
+    fn evict_oldest(&self) -> Duration {
+        let oldest = self.awaiting_request.borrow().front().map(|(_, since, _)| since.elapsed());
         match oldest {
-            Some(age) if age >= least_age => {
-                let given_up = self.owed.borrow_mut().pop_front();
-                given_up.into_iter().for_each(|(_, _, task)| task.abort());
-                least_age
+            Some(age) if age >= EVICTION_GRACE => {
+                if let Some((_, _, task)) = self.awaiting_request.borrow_mut().pop_front() {
+                    task.abort();
+                }
+                EVICTION_GRACE
             }
-            Some(age) => least_age - age,
-            None => least_age,
+            Some(age) => EVICTION_GRACE - age,
+            None => EVICTION_GRACE,
         }
     }
 
     async fn serve(self: Rc<Self>, number: u64, stream: TcpStream, _open: Open) {
         let mut stream = Uninterrupted(stream);
-        let call = timeout(WHOLE, receive(&mut stream)).await;
-        self.owed.borrow_mut().retain(|(other, ..)| *other != number);
-        let answer = match call {
-            Ok(Ok(Ok(call))) => self.answer(call).await,
-            Ok(Ok(Err(no))) => Err(no),
-            Ok(Err(_)) | Err(_) => return, // gone, or nothing to answer
+        let received = timeout(REQUEST_TIMEOUT, receive(&mut stream)).await;
+        self.awaiting_request.borrow_mut().retain(|(other, ..)| *other != number);
+        let answer = match received {
+            Ok(Ok(Ok(request))) => self.answer(request).await,
+            Ok(Ok(Err(rejected))) => Err(rejected),
+            Ok(Err(_closed)) => return,
+            Err(_elapsed) => return,
         };
-        let _ = timeout(READ, async {
-            stream.write_all(call::word(&answer).as_bytes()).await?;
+        let _ = timeout(RESPONSE_TIMEOUT, async {
+            stream.write_all(request::response(&answer).as_bytes()).await?;
             stream.shutdown().await?;
             // Danger: closed with bytes unread, the caller's end is reset and the answer with it.
             let mut rest = [0; 1024];
@@ -159,33 +170,43 @@
         .await;
     }
 
-    async fn answer(&self, call: Call) -> Result<String, No> {
-        match call {
-            Call::Ready if self.stats.ready() => Ok("ready".into()),
-            Call::Ready => Err(No::NotReady),
-            Call::Vars => Ok(self.stats.to_string()),
-            Call::Detach(_) | Call::Attach(_) => {
-                let (done, told) = oneshot::channel();
-                let words = format!("{call:?}");
-                self.changes.try_send(Change { call, done }).map_err(|_| No::Busy)?;
-                let done = timeout(DONE, told).await.ok().and_then(Result::ok).unwrap_or(Err(No::Busy));
-                info!(self.log, "console"; "call" => words, "no" => done.as_ref().err().map(No::to_string));
-                done.map(|()| "done".into())
+    async fn answer(&self, request: AdminRequest) -> Result<String, AdminError> {
+        match request {
+            AdminRequest::Ready if self.stats.ready() => Ok("ready".into()),
+            AdminRequest::Ready => Err(AdminError::NotReady),
+            AdminRequest::Vars => Ok(self.stats.to_string()),
+            AdminRequest::Detach(_) | AdminRequest::Attach(_) => {
+                let shown = format!("{request:?}");
+                let outcome = self.change(request).await?;
+                let error = outcome.as_ref().err().map(AdminError::to_string);
+                info!(self.log, "admin request handled"; "request" => shown, "error" => error);
+                outcome.map(|()| "done".into())
             }
         }
     }
+
+    /// Has a change made in the event loop. The outer error: it was not even queued.
+    async fn change(&self, request: AdminRequest) -> Result<Result<(), AdminError>, AdminError> {
+        let (done, outcome) = oneshot::channel();
+        self.changes.try_send(Change { request, done }).map_err(|_full| AdminError::Busy)?;
+        match timeout(CHANGE_TIMEOUT, outcome).await {
+            Ok(Ok(outcome)) => Ok(outcome),
+            Ok(Err(_dropped)) => Ok(Err(AdminError::Busy)),
+            Err(_elapsed) => Ok(Err(AdminError::Busy)),
+        }
+    }
 }
 
-/// A whole call. The outer error: there will be none.
-async fn receive(stream: &mut Uninterrupted<TcpStream>) -> io::Result<Result<Call, No>> {
-    let mut came = Vec::with_capacity(1024);
+/// A complete request. The outer error: its connection has ended before.
+async fn receive(stream: &mut Uninterrupted<TcpStream>) -> io::Result<Result<AdminRequest, AdminError>> {
+    let mut received = Vec::with_capacity(1024);
     loop {
-        match call::read(&came) {
-            Ok(Some(call)) => return Ok(Ok(call)),
+        match request::read(&received) {
+            Ok(Some(request)) => return Ok(Ok(request)),
             Ok(None) => {}
-            Err(no) => return Ok(Err(no)),
+            Err(rejected) => return Ok(Err(rejected)),
         }
-        if stream.read_buf(&mut came).await? == 0 {
+        if stream.read_buf(&mut received).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -1,6 +1,7 @@
 //! Owns the decisions of one cluster: puts every event to them in order, does what they answer, and keeps
 //! their timers. What it shares with other clusters' is [`Shared`].
 
+use crate::admin_overrides::{AdminOverrides, ListedEndpoint, UnknownEndpoint};
 use crate::backends::Backends;
 use crate::bodies::Budget;
 use crate::call::Verdict;
@@ -9,7 +10,6 @@
 use crate::discovery::{Discovery, Subscriber};
 use crate::invariant::{must, take_broken};
 use crate::membership::{Endpoint, News};
-use crate::overlay::{Overlay, Place, Unknown};
 use crate::platform::registry;
 use crate::stages::book::Book;
 use crate::stages::context::{Context, Decisions, Limits};
@@ -64,7 +64,7 @@
     shared: Rc<Shared>,
     balancer: RefCell<Balancer>,
     /// What operators said over the list.
-    overlay: RefCell<Overlay>,
+    overrides: RefCell<AdminOverrides>,
     /// When its endpoints started.
     starts: RefCell<StartTimes>,
     /// Where the platform's own cluster comes from.
@@ -106,7 +106,7 @@
                 shared.stats.clone(),
             )),
             shared: shared.clone(),
-            overlay: RefCell::new(Overlay::restored(&shared.by_hand.0, &shared.by_hand.1)),
+            overrides: RefCell::new(AdminOverrides::restored(&shared.by_hand.0, &shared.by_hand.1)),
             starts: RefCell::new(StartTimes::restored(shared.starts.0, &shared.starts.1)),
             version: Cell::new(0),
             balancer: RefCell::new(Balancer::new(settings, seed, shared.clock.now())),
@@ -147,9 +147,9 @@
 
     /// The list as it is held, in discovery's form.
     pub fn held_list(&self) -> String {
-        let (overlay, site) = (self.overlay.borrow(), self.shared.site.borrow());
+        let (overrides, site) = (self.overrides.borrow(), self.shared.site.borrow());
         let starts = self.starts.borrow();
-        let endpoint = |(entry, addr): &'_ Place| Endpoint {
+        let endpoint = |(entry, addr): &'_ ListedEndpoint| Endpoint {
             name: entry.name.to_string().into(),
             state: entry.state,
             zone: site.zones.name(entry.zone.0.into()).map_or("".into(), |name| name.to_string().into()),
@@ -159,14 +159,14 @@
             started: starts.listed(&entry.name, entry.started),
             addr: *addr,
         };
-        let endpoints = overlay.listed().map(endpoint).collect();
+        let endpoints = overrides.listed().map(endpoint).collect();
         registry::write(&News { version: self.version.get(), full: true, endpoints })
     }
 
     /// Who is out by hand, and who was put back when.
     pub fn by_hand(&self) -> (Vec<String>, Vec<(String, Nanos)>) {
-        let overlay = self.overlay.borrow();
-        let (out, back) = overlay.by_hand();
+        let overrides = self.overrides.borrow();
+        let (out, back) = overrides.overrides();
         let back = back.iter().map(|(name, at)| (name.to_string(), *at)).collect();
         (out.map(|name| name.to_string()).collect(), back)
     }
@@ -192,14 +192,14 @@
         debug!(self.log, "list"; "version" => version, "full" => news.full, "entries" => named);
         if news.full {
             self.context.backends.forget_all();
-            self.overlay.borrow_mut().whole_list_follows();
+            self.overrides.borrow_mut().begin_snapshot();
         }
         self.version.set(version);
         self.discovery.iter().for_each(|discovery| discovery.set_version(version));
         let mut entries = Vec::with_capacity(named);
         for endpoint in &news.endpoints {
             let entry = self.dated(numbered(&mut self.shared.site.borrow_mut(), endpoint));
-            let entry = self.overlay.borrow_mut().pass(entry, endpoint.addr);
+            let entry = self.overrides.borrow_mut().apply(entry, endpoint.addr);
             trace::listed(&self.log, &entry);
             self.place(&entry, endpoint.addr);
             entries.push(entry);
@@ -211,7 +211,7 @@
     /// Takes in changed endpoints in the numbers of whoever brings them, and tells the decisions.
     pub fn change(&self, changed: impl Iterator<Item = (EndpointEntry, Option<SocketAddr>)>) {
         let noted = |(entry, addr): (EndpointEntry, _)| {
-            let entry = self.overlay.borrow_mut().pass(self.dated(entry), addr);
+            let entry = self.overrides.borrow_mut().apply(self.dated(entry), addr);
             self.place(&entry, addr);
             entry
         };
@@ -228,8 +228,8 @@
     }
 
     fn bound_start_times(&self) {
-        let overlay = self.overlay.borrow();
-        self.starts.borrow_mut().bound(|name| overlay.is_listed(name));
+        let overrides = self.overrides.borrow();
+        self.starts.borrow_mut().bound(|name| overrides.is_listed(name));
     }
 
     fn place(&self, entry: &EndpointEntry, addr: Option<SocketAddr>) {
@@ -238,7 +238,7 @@
 
     /// Tells the decisions of a change of the list, once it is noted here.
     fn tell_list(&self, change: EndpointUpdate) {
-        self.context.set_all_out(self.overlay.borrow().leaves_none());
+        self.context.set_all_out(self.overrides.borrow().detaches_all_ready());
         self.tell(Event::Endpoints(change));
     }
 
@@ -246,23 +246,23 @@
     ///
     /// # Errors
     /// It is not of this cluster.
-    pub fn detach(&self, name: &str) -> Result<(), Unknown> {
-        let changed = self.overlay.borrow_mut().detach(name)?;
+    pub fn detach(&self, name: &str) -> Result<(), UnknownEndpoint> {
+        let changed = self.overrides.borrow_mut().detach(name)?;
         self.change_one(changed);
         Ok(())
     }
 
     /// The same for one that another process lists, and this one not yet.
     pub fn detach_ahead(&self, name: &str) {
-        self.overlay.borrow_mut().detach_ahead(name);
+        self.overrides.borrow_mut().detach_unlisted(name);
     }
 
     /// Puts an endpoint back by hand, and checks it at once.
     ///
     /// # Errors
     /// It is not of this cluster.
-    pub fn attach(&self, name: &str) -> Result<(), Unknown> {
-        let changed = self.overlay.borrow_mut().attach(name, self.shared.clock.now())?;
+    pub fn attach(&self, name: &str) -> Result<(), UnknownEndpoint> {
+        let changed = self.overrides.borrow_mut().attach(name, self.shared.clock.now())?;
         let takes = changed
             .as_ref()
             .filter(|(entry, _)| entry.state == EndpointState::Ready)
@@ -295,7 +295,7 @@
                     | EndpointStatus::Ejected { .. }
             )
         };
-        self.overlay.borrow().pool(avoids)
+        self.overrides.borrow().pool(avoids)
     }
 
     /// The cluster is no more: nothing new goes to its endpoints. What was taken in finishes, or fails by its
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/driver/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::clock::{SystemClocks, TimeSource};
 use crate::clusters::{Clusters, Routing, Start};
-use crate::handover::State;
+use crate::hot_restart::State;
 use olivecart_decisions::EndpointId;
 
 #[test]
--- a/crates/proxy/src/handover/message.rs
+++ b/crates/proxy/src/hot_restart/message.rs
@@ -1,49 +1,54 @@
-//! What the two processes say to each other: a JSON object a line.
+//! Messages between the two processes of a hot restart: a JSON object a line.
+//!
+//! [`super`] sends and reads them. Their serialized names are read by other builds and must not change.
 
-use super::core::ByHand;
+use super::state_machine::ManualChange;
 use crate::clock::ClockReading;
 use crate::start_times::StartTime;
 use olivecart_decisions::LearnedState;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Both must speak the same; another build may not.
-pub const PROTOCOL: u32 = 1;
-/// Longest line.
-pub const LONGEST: usize = 16 << 20;
+/// Both processes must have the same one; another build may not.
+pub const PROTOCOL_VERSION: u32 = 1;
+/// Longest line, in bytes.
+pub const LONGEST_LINE_BYTES: usize = 16 << 20;
 
 /// One line.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// The later process asks to be let in.
+    /// The successor introduces itself.
     Hello {
-        /// [`PROTOCOL`].
+        /// [`PROTOCOL_VERSION`].
         protocol: u32,
     },
-    /// All that it needs besides the listening socket, which comes with this line's first byte.
+    /// All that it needs besides the listening socket, which comes along with the first byte of this line.
     State(Box<State>),
-    /// It is ready to serve.
+    /// The successor is ready to serve.
     Ready,
-    /// A backend was taken out by hand.
+    /// An endpoint was detached by an operator.
     Detach(String),
-    /// A backend was put back by hand.
+    /// An endpoint was attached by an operator.
     Attach(String),
 }
 
-/// What a process knows that the next one must.
+/// What a process knows that its successor must.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct State {
-    /// [`PROTOCOL`].
+    /// [`PROTOCOL_VERSION`].
     pub protocol: u32,
     /// The list as it is held, in discovery's form.
     pub list: Option<String>,
     /// What the decisions have learned of it.
-    pub knowledge: Option<LearnedState>,
-    /// Backends out by hand.
-    pub out: BTreeSet<String>,
-    /// When others were put back, on the process's clock.
-    pub back: BTreeMap<String, u64>,
+    #[serde(rename = "knowledge")]
+    pub learned_state: Option<LearnedState>,
+    /// Endpoints detached by operators.
+    #[serde(rename = "out")]
+    pub detached: BTreeSet<String>,
+    /// When others were attached, on the process's clock.
+    #[serde(rename = "back")]
+    pub attached_at: BTreeMap<String, u64>,
     /// The process's clock, which all times here are on; none from builds that did not hand it over.
     #[serde(default)]
     pub clock: Option<ClockReading>,
@@ -55,9 +60,12 @@
     pub start_times: BTreeMap<String, StartTime>,
 }
 
-impl From<ByHand> for Message {
-    fn from(ByHand { target, back }: ByHand) -> Message {
-        if back { Message::Attach(target) } else { Message::Detach(target) }
+impl From<ManualChange> for Message {
+    fn from(change: ManualChange) -> Message {
+        match change {
+            ManualChange::Detach(target) => Message::Detach(target),
+            ManualChange::Attach(target) => Message::Attach(target),
+        }
     }
 }
 
--- /dev/null
+++ b/crates/proxy/src/hot_restart/tests.rs
@@ -0,0 +1,43 @@
+use super::*;
+use std::io::BufRead;
+
+/// A backend is taken out here at the moment at which the next process is told the state.
+#[derive(Default)]
+struct Changing(RefCell<Weak<HotRestart>>);
+
+impl HotRestartHost for Changing {
+    fn listener(&self) -> io::Result<OwnedFd> {
+        Ok(TcpListener::bind(("127.0.0.1", 0))?.into())
+    }
+
+    fn state(&self) -> State {
+        let change = ManualChange::Detach("a".into());
+        self.0.borrow().upgrade().iter().for_each(|hot_restart| hot_restart.on_manual_change(change.clone()));
+        State::default()
+    }
+
+    fn set_accepting(&self, _: bool) {}
+    fn share_limits(&self, _: u32) {}
+    fn apply(&self, _: &ManualChange) {}
+}
+
+#[test]
+fn what_is_done_by_hand_while_the_state_is_on_its_way_reaches_the_next_process() {
+    actix_rt::System::new().block_on(async {
+        let name = format!("olivecart-hot_restart-test-{}.sock", std::process::id());
+        let (path, host) = (std::env::temp_dir().join(name), Rc::new(Changing::default()));
+        let log = Logger::root(slog::Discard, slog::o!());
+        let hot_restart = HotRestart::start(host.clone(), path.clone(), None, log);
+        host.0.replace(Rc::downgrade(&hot_restart));
+        let told = tokio::task::spawn_blocking(move || {
+            let PeerConnection { stream, read_ahead } = take_over(&path).expect("let in").connection;
+            let _ = std::fs::remove_file(&path);
+            let mut line = String::new();
+            io::BufReader::new(io::Read::chain(read_ahead.as_slice(), stream))
+                .read_line(&mut line)
+                .map(|_| line)
+        });
+        let line = told.await.expect("no panic").expect("in time");
+        assert!(matches!(serde_json::from_str(&line), Ok(Message::Detach(id)) if id == "a"), "{line}");
+    });
+}
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -257,15 +257,15 @@
 
 async fn handle(control: Rc<AcceptControl>, request: Request) -> Result<Response<AnswerBody>, Infallible> {
     let Some(client) = request.conn_data::<Rc<Client>>().cloned() else {
-        return Ok(client::held(client::refusal(Duration::ZERO))); // on_connect_ext leaves none without
+        return Ok(client::buffered(client::refusal(Duration::ZERO))); // on_connect_ext leaves none without
     };
     if client.is_ending() {
         // It was sent behind the request that the last response is for: its client can't take this for another's.
-        return Ok(client::held(client::crowded()));
+        return Ok(client::buffered(client::overloaded()));
     }
     let response = match request.path() {
-        client::READY => Ok(client::held(client::health(control.is_ready()))),
-        client::LIVE => Ok(client::held(client::health(true))),
+        client::READY => Ok(client::buffered(client::health(control.is_ready()))),
+        client::LIVE => Ok(client::buffered(client::health(true))),
         _ => take_request(&control, request, &client).await,
     };
     match response {
@@ -281,7 +281,7 @@
         }
         Err(reject) => {
             client.on_request_rejected();
-            Ok(client::held(client::rejection(&reject)))
+            Ok(client::buffered(client::rejection(&reject)))
         }
     }
 }
@@ -361,19 +361,19 @@
         Body::Streamed(_) => RequestBody::Streaming,
     });
     if control.clients.in_flight() > control.sockets.get().clients {
-        return Ok(client::held(client::crowded()));
+        return Ok(client::buffered(client::overloaded()));
     }
     if client.has_closed() {
         return Ok(client::answer(Verdict::Failed)); // nobody reads it
     }
     let context = match control.routes.choose(|| client::traits(&call)) {
         Ok(context) => context,
-        Err(absent) => return Ok(client::held(client::absent(&absent))),
+        Err(absent) => return Ok(client::buffered(client::absent(&absent))),
     };
     let mut held = match admit::admit(&context, call) {
         Ok(held) => held,
-        Err(NotAdmitted::Full) => return Ok(client::held(client::crowded())),
-        Err(NotAdmitted::AllOut) => return Ok(client::held(client::refusal(Duration::ZERO))),
+        Err(NotAdmitted::Full) => return Ok(client::buffered(client::overloaded())),
+        Err(NotAdmitted::AllOut) => return Ok(client::buffered(client::refusal(Duration::ZERO))),
         Err(NotAdmitted::Twice) => return Err(client::Reject::Open),
     };
     let taken_at = Instant::now();
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,6 +4,7 @@
 //! answers; [`platform`] alone knows the names of this protocol.
 
 mod accept;
+mod admin_overrides;
 mod answer;
 mod backends;
 mod bodies;
@@ -20,16 +21,17 @@
 mod descriptors;
 mod discovery;
 mod driver;
-mod handover;
+mod hot_restart;
 mod interrupted;
 mod invariant;
 mod latency;
 mod listen;
 mod membership;
 mod operators;
-mod overlay;
 mod platform;
 mod reload;
+mod serve;
+mod serving_process;
 mod shutdown;
 mod sidecar;
 mod stages;
@@ -37,7 +39,6 @@
 mod stats;
 mod tools;
 mod trace;
-mod upgrade;
 mod wire;
 
 use std::process::ExitCode;
--- a/crates/proxy/src/platform/client.rs
+++ b/crates/proxy/src/platform/client.rs
@@ -1,4 +1,7 @@
-//! What callers send and what they are told.
+//! The clients' side of this platform's protocol: the headers that a request must have, and the responses of the proxy's
+//! own.
+//!
+//! `stages/intake.rs` and `listen.rs` call it. It knows nothing of connections or endpoints.
 
 use super::{end_to_end, names};
 use crate::bodies::LONGEST;
@@ -13,8 +16,8 @@
 /// Whether the process runs at all.
 pub const LIVE: &str = "/health/live";
 
-/// Come-back time of a refusal for which the decisions name none.
-const COME_BACK: Duration = Duration::from_millis(250);
+/// `Retry-After` of a refusal for which the decisions name none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Why a caller's request is not taken.
 #[derive(Debug, thiserror::Error)]
@@ -148,22 +151,22 @@
             *response.headers_mut() = answer.headers;
             response
         }
-        Verdict::Refused { come_back } => held(refusal(come_back)),
-        Verdict::Failed => held(plain(StatusCode::BAD_GATEWAY, "failed\n")),
-        Verdict::Overdue => held(plain(StatusCode::GATEWAY_TIMEOUT, "out of time\n")),
+        Verdict::Refused { come_back } => buffered(refusal(come_back)),
+        Verdict::Failed => buffered(plain(StatusCode::BAD_GATEWAY, "failed\n")),
+        Verdict::Overdue => buffered(plain(StatusCode::GATEWAY_TIMEOUT, "out of time\n")),
     }
 }
 
-/// An answer that is held whole.
-pub fn held(response: Response<Bytes>) -> Response<AnswerBody> {
+/// A response whose body is held whole.
+pub fn buffered(response: Response<Bytes>) -> Response<AnswerBody> {
     response.map_body(|_, body| body.into())
 }
 
 /// A refusal; trying again is harmless.
-pub fn refusal(come_back: Duration) -> Response<Bytes> {
-    let come_back = if come_back.is_zero() { COME_BACK } else { come_back };
+pub fn refusal(retry_after: Duration) -> Response<Bytes> {
+    let retry_after = if retry_after.is_zero() { DEFAULT_RETRY_AFTER } else { retry_after };
     let mut response = ResponseBuilder::new(StatusCode::SERVICE_UNAVAILABLE);
-    response.insert_header((header::RETRY_AFTER, format!("{:.3}", come_back.as_secs_f64())));
+    response.insert_header((header::RETRY_AFTER, format!("{:.3}", retry_after.as_secs_f64())));
     built(response, Bytes::from_static(b"refused\n"))
 }
 
@@ -172,8 +175,8 @@
     refusal(Duration::ZERO).set_body(Bytes::from(format!("refused: {absent}\n")))
 }
 
-/// A refusal for want of room, which ends the connection too.
-pub fn crowded() -> Response<Bytes> {
+/// A refusal for want of connections or memory, which ends the connection too.
+pub fn overloaded() -> Response<Bytes> {
     let mut refusal = refusal(Duration::ZERO);
     refusal.head_mut().set_connection_type(ConnectionType::Close);
     refusal
@@ -198,17 +201,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::deadline;
-    use std::time::Duration;
-
-    #[test]
-    fn deadlines_are_numbers_with_a_unit_and_nothing_else() {
-        assert_eq!(deadline("480m"), Some(Duration::from_millis(480)));
-        assert_eq!(deadline("1500u"), Some(Duration::from_micros(1500)));
-        assert_eq!(deadline("0.5m"), Some(Duration::from_micros(500)));
-        for bad in ["", "m", "480", "480s", "-1m", "infm", "1e9m", "NaNu", "9999999999999m", "4 8m", "é"] {
-            assert_eq!(deadline(bad), None, "{bad:?}");
-        }
-    }
-}
+mod tests;
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,7 +1,7 @@
 //! A new configuration while all runs on: SIGHUP reads the file again. What can change at once does, and a
 //! file that is no good leaves the old one in force.
 
-use crate::config::{Changes, Origin};
+use crate::config::{Changes, ConfigSource};
 use slog::{Logger, info, warn};
 use std::convert::Infallible;
 use std::io;
@@ -16,7 +16,7 @@
 /// reading are one more reading.
 pub async fn on_signal(
     mut hang_up: Signal,
-    mut origin: Origin,
+    mut origin: ConfigSource,
     adopt: impl Fn(&Changes),
     log: Logger,
 ) -> Infallible {
@@ -24,7 +24,7 @@
         if hang_up.recv().await.is_none() {
             std::future::pending::<()>().await; // the runtime is going
         }
-        match origin.again() {
+        match origin.reload() {
             Ok(changes) => {
                 info!(log, "configuration read again"; "discovery" => %changes.discovery);
                 if !changes.at_start.is_empty() {
--- a/crates/proxy/src/sidecar/admin.rs
+++ b/crates/proxy/src/sidecar/admin.rs
@@ -1,7 +1,7 @@
 //! The listener for operators, on loopback: whether it is ready, what is in force, what there is, figures, and the
 //! word to end.
 
-use super::Sidecar;
+use super::{Listener, Sidecar};
 use crate::accept::Acceptor;
 use crate::interrupted::Uninterrupted;
 use actix_http::{HttpService, Method, Request, Response, StatusCode};
@@ -21,7 +21,7 @@
 use tokio::sync::Semaphore;
 
 /// Connections at a time: it is for a few operators, and must not take others' descriptors.
-const MOST: usize = 4;
+const MOST_CONNECTIONS: usize = 4;
 
 /// Serves for good.
 pub async fn serve(listener: TcpListener, sidecar: Rc<Sidecar>, log: Logger) {
@@ -35,7 +35,7 @@
     let Ok(service) = service.new_service(()).await else {
         return warn!(log, "the admin service did not start");
     };
-    let (service, room) = (Rc::new(service), Arc::new(Semaphore::new(MOST)));
+    let (service, room) = (Rc::new(service), Arc::new(Semaphore::new(MOST_CONNECTIONS)));
     let mut acceptor = Acceptor::new(listener, "admin", log);
     loop {
         let Ok(permit) = room.clone().acquire_owned().await else { return };
@@ -59,7 +59,7 @@
         (&Method::GET, "/clusters") => told(StatusCode::OK, clusters(sidecar)),
         (&Method::GET, "/metrics") => told(StatusCode::OK, metrics(sidecar)),
         (&Method::POST, "/drain") => {
-            sidecar.leave.notify_one();
+            sidecar.shutdown.notify_one();
             told(StatusCode::OK, "leaving\n".into())
         }
         (_, "/ready" | "/config" | "/clusters" | "/metrics" | "/drain") => {
@@ -74,7 +74,7 @@
 /// A line for each cluster of each listener.
 fn clusters(sidecar: &Sidecar) -> String {
     let mut out = String::new();
-    for (listener, control, clusters) in &sidecar.sides {
+    for Listener { name: listener, control, clusters } in &sidecar.listeners {
         // Writing to a string does not fail.
         let _ = writeln!(out, "listener {listener}: connections {}", control.connections());
         for place in clusters.routes.places() {
@@ -117,7 +117,7 @@
     let open = family(&mut registry, "open_requests", "Open requests, by listener and cluster");
     let refused =
         family(&mut registry, "refused_absent", "Requests refused since their cluster was not there");
-    for (listener, control, clusters) in &sidecar.sides {
+    for Listener { name: listener, control, clusters } in &sidecar.listeners {
         let label = |name: &str, value: &str| (name.to_owned(), value.to_owned());
         clients.get_or_create(&vec![label("listener", listener)]).set(control.connections() as i64);
         for place in clusters.routes.places() {
--- a/crates/proxy/src/sidecar/application.rs
+++ b/crates/proxy/src/sidecar/application.rs
@@ -1,4 +1,6 @@
-//! The application before which the sidecar stands: whether it passes its checks, and what follows.
+//! The application behind the inbound listener: health checks, and the cluster that is there while they pass.
+//!
+//! [`super`] starts one task of [`Application::watch`], which ends with the runtime.
 
 use crate::catalog::{Numbered, Step};
 use crate::clusters::Clusters;
@@ -16,13 +18,14 @@
 
 /// The cluster that it is.
 pub const CLUSTER: &str = "application";
-/// Checks while it is not up, and while it is.
-const SOON: Duration = Duration::from_millis(100);
-const OFTEN: Duration = Duration::from_millis(500);
+/// Between two checks while it is down, or after one that failed.
+const CHECK_INTERVAL_WHILE_DOWN: Duration = Duration::from_millis(100);
+/// Between two checks while it is up.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// A check that takes longer has failed.
-const LONG: Duration = Duration::from_millis(500);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Checks that fail in a row before it is down.
-const FAILS: u32 = 3;
+const FAILURES_UNTIL_DOWN: u32 = 3;
 /// What a check asks for; the same as the decisions' probes.
 const CHECK: &[u8] = b"GET /health/live HTTP/1.1\r\nHost: application\r\nConnection: close\r\n\r\n";
 
@@ -37,13 +40,13 @@
     /// Takes in a check. Tells what it is from now on, if that is another.
     pub fn checked(&mut self, passed: bool) -> Option<bool> {
         self.failed = if passed { 0 } else { self.failed.saturating_add(1) };
-        let is_up = passed || (self.is_up && self.failed < FAILS);
+        let is_up = passed || (self.is_up && self.failed < FAILURES_UNTIL_DOWN);
         (std::mem::replace(&mut self.is_up, is_up) != is_up).then_some(is_up)
     }
 
     /// When it is checked next.
-    pub fn wait(&self) -> Duration {
-        if self.is_up && self.failed == 0 { OFTEN } else { SOON }
+    pub fn next_check_after(&self) -> Duration {
+        if self.is_up && self.failed == 0 { CHECK_INTERVAL } else { CHECK_INTERVAL_WHILE_DOWN }
     }
 }
 
@@ -60,7 +63,7 @@
     }
 
     /// Another one holds from now on; what is open stays open.
-    pub async fn adopt(&self, most: u32) {
+    pub async fn set(&self, most: u32) {
         self.most.set(most);
         let (cluster, limits) = (CLUSTER.into(), Some(self.settings()));
         let step = Step::Changed { cluster, limits, stops: Vec::new(), takes: Vec::new(), words: None };
@@ -90,15 +93,15 @@
     pub async fn watch(self) {
         let mut health = Health::default();
         loop {
-            let passed = matches!(timeout(LONG, passes(self.address)).await, Ok(Ok(true)));
+            let passed = matches!(timeout(CHECK_TIMEOUT, passes(self.address)).await, Ok(Ok(true)));
             if let Some(is_up) = health.checked(passed) {
-                self.is(is_up).await;
+                self.on_health_changed(is_up).await;
             }
-            sleep(health.wait()).await;
+            sleep(health.next_check_after()).await;
         }
     }
 
-    async fn is(&self, is_up: bool) {
+    async fn on_health_changed(&self, is_up: bool) {
         match is_up {
             true => info!(self.log, "the application is up"; "at" => %self.address),
             false => warn!(self.log, "the application is down"; "at" => %self.address),
@@ -129,18 +132,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn one_good_check_is_up_and_three_bad_ones_in_a_row_are_down() {
-        let mut health = Health::default();
-        let said: Vec<_> = "..+-+--+---.+".chars().map(|c| health.checked(c == '+')).collect();
-        let no = None;
-        let expected = [no, no, Some(true), no, no, no, no, no, no, no, Some(false), no, Some(true)];
-        assert_eq!(said, expected);
-        assert_eq!(health.wait(), OFTEN);
-        health.checked(false);
-        assert_eq!(health.wait(), SOON);
-    }
-}
+mod tests;
--- a/crates/proxy/src/sidecar/live.rs
+++ b/crates/proxy/src/sidecar/live.rs
@@ -33,11 +33,11 @@
     /// Reads the file again at each signal, for good.
     pub async fn follow(mut self, mut signal: Signal) {
         while signal.recv().await.is_some() {
-            self.again().await;
+            self.reload().await;
         }
     }
 
-    async fn again(&mut self) {
+    async fn reload(&mut self) {
         let new = match super::read(&self.path, &self.environment) {
             Ok((_, resolved)) => resolved.proxy,
             Err(error) => return warn!(self.log, "the configuration stays as it was"; "error" => %error),
@@ -55,7 +55,7 @@
         let most = new.inbound.as_ref().and_then(|inbound| inbound.max_requests);
         if let (Some((control, limit)), Some(inbound)) = (&self.inbound, &mut self.proxy.inbound) {
             control.set_limits(sockets(shares.inbound));
-            limit.adopt(most.unwrap_or(MAX_REQUESTS)).await;
+            limit.set(most.unwrap_or(MAX_REQUESTS)).await;
             inbound.max_requests = most;
         }
         info!(self.log, "configuration read again"; "live" => edits.len() - waits.len());
--- a/crates/proxy/src/tools.rs
+++ b/crates/proxy/src/tools.rs
@@ -141,7 +141,7 @@
         Ok(Parsed { clusters, remarks }) => {
             println!("{}: {}", path.display(), summary(&clusters));
             remarks.iter().for_each(|remark| println!("{remark}"));
-            let held = held_back(&[], &clusters);
+            let held = quarantined(&[], &clusters);
             held.iter().for_each(|held| println!("would be held back: {held}"));
             if held.is_empty() { FINE } else { FOUND }
         }
@@ -163,11 +163,11 @@
     };
     let differences = diff(&old, &new);
     differences.iter().for_each(|difference| println!("{difference}"));
-    held_back(&old, &new).iter().for_each(|held| println!("would be held back: {held}"));
+    quarantined(&old, &new).iter().for_each(|held| println!("would be held back: {held}"));
     if differences.is_empty() { FINE } else { FOUND }
 }
 
 /// What a catalog with the usual figures would hold back.
-fn held_back(old: &[Cluster], new: &[Cluster]) -> Vec<Held> {
+fn quarantined(old: &[Cluster], new: &[Cluster]) -> Vec<Held> {
     held(old, new, Policy::default()).unwrap_or_default() // the usual figures are in their ranges
 }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -191,7 +191,7 @@
     let mut program = olivecart("serve", &site.config);
     program.env("EDGE_CONSOLE", free_port().to_string()).env("TMPDIR", env!("CARGO_TARGET_TMPDIR"));
     let mut program = Program::start(&mut program);
-    program.line("nothing to take over");
+    program.line("no process to take over from");
     program.signal("TERM");
     let status = program.ends();
     assert!(status.success(), "{status}, by signal {:?}", status.signal());
--- a/crates/proxy/tests/upgrade.rs
+++ b/crates/proxy/tests/upgrade.rs
@@ -96,11 +96,11 @@
                 new.operator("GET /_vars", "").contains("edge.ok.view=1")
             });
         } else {
-            new.program.line("takes over");
+            new.program.line("listener taken over");
         }
         new.program.signal("KILL");
         new.program.ends();
-        old.program.line("ended: Newer"); // until then the next one is turned away
+        old.program.line("process disconnected, peer: Successor"); // until then the next one is turned away
         asks(&site);
     }
     // Nor does the death of the one before: the next takes over from this one.
@@ -108,7 +108,7 @@
         let new = site.serving();
         old.program.signal("KILL");
         old.program.ends();
-        new.program.line("ended: Older");
+        new.program.line("process disconnected, peer: Predecessor");
         old = new;
         asks(&site);
     }
@@ -132,14 +132,14 @@
         }
     });
     let mut second = site.serving();
-    first.program.line("accepts: false");
+    first.program.line("accepting: false");
     first.program.signal("TERM");
     let third = site.serving();
     second.program.signal("TERM");
     assert!(second.program.ends().success());
-    first.program.line("ended: Newer");
+    first.program.line("process disconnected, peer: Successor");
     let _fourth = site.serving();
-    third.program.line("beside: Newer");
+    third.program.line("process connected, peer: Successor");
     drop(ended);
     writes.join().expect("served to the end");
     assert!(first.program.ends().success());
@@ -153,7 +153,7 @@
     before.line("listening");
     asks(&site);
     let next = site.start();
-    next.program.line("nothing to take over");
+    next.program.line("no process to take over from");
     before.signal("KILL");
     before.ends();
     next.is_ready();
