--- a/crates/proxy/src/catalog/mod.rs
+++ b/crates/proxy/src/catalog/mod.rs
@@ -15,7 +15,7 @@
 use crate::operators::{REGISTRY, Source};
 use catalog_log::CatalogLog;
 use members::{EndpointChanges, Members};
-use olivecart_membership::source::{Ask, Heard, SINK_BOUND};
+use olivecart_membership::source::{EVENT_QUEUE_CAPACITY, RefetchRequest, SourceEvent};
 use olivecart_membership::{
     BadPolicy, Catalog, ClusterName, ClusterSettings, Event, Output, Policy, SourceId,
 };
@@ -112,7 +112,7 @@
     let ((into, steps), (report, reports)) = (channel(MOST_QUEUED_STEPS), channel(1));
     let named: BTreeSet<_> = named.into_iter().filter(|name| name.as_str() != REGISTRY).collect();
     let catalog_log = CatalogLog::new(log, named.clone());
-    let (sink, heard) = channel(SINK_BOUND);
+    let (sink, heard) = channel(EVENT_QUEUE_CAPACITY);
     let starter = SourceStarter { sink, notices: catalog_log.notices(), policy, seed };
     let thread = CatalogThread {
         catalog,
@@ -134,7 +134,7 @@
     named: BTreeSet<ClusterName>,
     members: BTreeMap<ClusterName, Members>,
     steps: Sender<Step>,
-    asks: BTreeMap<SourceId, Sender<Ask>>,
+    asks: BTreeMap<SourceId, Sender<RefetchRequest>>,
     clock: Clock,
     catalog_log: CatalogLog,
 }
@@ -145,7 +145,7 @@
         mut self,
         sources: Vec<Source>,
         starter: SourceStarter,
-        mut heard: Receiver<Heard>,
+        mut heard: Receiver<SourceEvent>,
         mut reports: Receiver<()>,
     ) {
         for source in sources {
@@ -164,7 +164,7 @@
             };
             let (event, report) = tokio::select! {
                 () = self.steps.closed() => return,
-                Some(Heard { event, .. }) = heard.recv() => (event, None),
+                Some(SourceEvent { event, .. }) = heard.recv() => (event, None),
                 () = tick => (Event::Tick, None),
                 // The tick brings the catalog's time up to date.
                 Some(()) = reports.recv() => (Event::Tick, Some(usize::MAX)),
@@ -209,12 +209,12 @@
                 }
                 steps
             }
-            Output::AskAgain { cluster, source } => {
+            Output::RefetchRequested { cluster, source } => {
                 // Danger: waiting for a source that waits for us. Without room the catalog asks again later.
                 self.asks
                     .get(&source)
                     .into_iter()
-                    .for_each(|asks| _ = asks.try_send(Ask { cluster: cluster.clone() }));
+                    .for_each(|asks| _ = asks.try_send(RefetchRequest { cluster: cluster.clone() }));
                 Vec::new()
             }
             _ => Vec::new(),
