--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/answer.rs
@@ -6,22 +6,19 @@
 //! bodies are told apart by actix-http's own codec, so that awc never sees another border than this.
 
 use crate::stats::Stats;
-use crate::wire::Tap;
+use crate::wire::{Socket, Tap, uninterrupted};
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, MessageType};
 use actix_http::header::{CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use actix_http::{ResponseHead, StatusCode, Version};
 use bytes::BytesMut;
-use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::fmt;
 use std::io;
-use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::{Context, Poll, ready};
 use std::time::{Duration, Instant};
-use tokio::io::{AsyncRead, ReadBuf};
-use tokio::net::TcpStream;
+use tokio::io::ReadBuf;
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 use tokio_util::codec::Decoder;
@@ -253,18 +250,17 @@
 
 /// Whether something has come, or the end, that the runtime has not heard of yet. Danger: a peer that closes
 /// right after its answer, and a request written to what it closed: it may have run, and can't be repeated.
-fn has_news(stream: &TcpStream) -> bool {
-    let mut one = [MaybeUninit::uninit()];
-    match SockRef::from(stream).peek(&mut one) {
-        Ok(_) => true,
-        Err(e) => e.kind() != io::ErrorKind::WouldBlock,
+fn has_news(stream: &dyn Socket) -> bool {
+    match uninterrupted(|| Poll::Ready(stream.peek_byte())) {
+        Poll::Ready(Err(e)) => e.kind() != io::ErrorKind::WouldBlock,
+        _ => true,
     }
 }
 
 impl Tap for Seen {
     fn poll_read(
         &self,
-        mut stream: Pin<&mut TcpStream>,
+        mut stream: Pin<&mut dyn Socket>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
@@ -280,9 +276,9 @@
             }
             let mut space = [0; READ];
             let mut came = ReadBuf::new(&mut space);
-            let read = match stream.as_mut().poll_read(cx, &mut came) {
+            let read = match uninterrupted(|| stream.as_mut().poll_read(cx, &mut came)) {
                 Poll::Pending if !reading.out.is_empty() => break,
-                Poll::Pending if whole && has_news(&stream) => {
+                Poll::Pending if whole && has_news(&*stream) => {
                     self.ended.set(true);
                     return Poll::Ready(Ok(()));
                 }
--- a/crates/proxy/src/wire.rs
+++ b/crates/proxy/src/wire.rs
@@ -5,19 +5,47 @@
 //! cut off (`answer.rs`). The clients' side is `clients/stream.rs`.
 
 use actix_rt::net::{ActixStream, Ready};
+use socket2::SockRef;
 use std::io;
+use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
+/// A socket, as far as a stream to a backend uses it: the seam to the operating system.
+pub trait Socket: AsyncRead + AsyncWrite + ActixStream {
+    /// Looks at the next byte without taking it; how many there were, 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// `WouldBlock`: nothing has come.
+    fn peek_byte(&self) -> io::Result<usize>;
+}
+
+impl Socket for TcpStream {
+    fn peek_byte(&self) -> io::Result<usize> {
+        SockRef::from(self).peek(&mut [MaybeUninit::uninit()])
+    }
+}
+
+/// Does it again as long as a signal interrupts it. Danger: an interrupted call has done nothing, and taken for a
+/// broken connection it ends a request that may have run.
+pub fn uninterrupted<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
+    loop {
+        match call() {
+            Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::Interrupted => {}
+            done => return done,
+        }
+    }
+}
+
 /// Somebody through whom all reads of a stream go, and who is told of writes.
 pub trait Tap {
     /// Reads.
     fn poll_read(
         &self,
-        stream: Pin<&mut TcpStream>,
+        stream: Pin<&mut dyn Socket>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>>;
@@ -33,14 +61,14 @@
 
 /// The stream.
 #[derive(Debug)]
-pub struct Wire<T> {
+pub struct Wire<T, S = TcpStream> {
     /// The socket.
-    pub stream: TcpStream,
+    pub stream: S,
     /// Who reads.
     pub tap: Rc<T>,
 }
 
-impl<T: Tap> AsyncRead for Wire<T> {
+impl<T: Tap, S: Socket> AsyncRead for Wire<T, S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -51,12 +79,12 @@
     }
 }
 
-impl<T: Tap> AsyncWrite for Wire<T> {
+impl<T: Tap, S: Socket> AsyncWrite for Wire<T, S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         if let Err(closed) = self.tap.writes() {
             return Poll::Ready(Err(closed));
         }
-        Pin::new(&mut self.stream).poll_write(cx, buf)
+        uninterrupted(|| Pin::new(&mut self.stream).poll_write(cx, buf))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -68,7 +96,7 @@
     }
 }
 
-impl<T: Tap + 'static> ActixStream for Wire<T> {
+impl<T: Tap + 'static, S: Socket> ActixStream for Wire<T, S> {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.stream, cx)
     }
@@ -77,3 +105,6 @@
         ActixStream::poll_write_ready(&self.stream, cx)
     }
 }
+
+#[cfg(test)]
+mod tests;
