--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -5,6 +5,7 @@
 
 use crate::answer::Seen;
 use crate::bodies::LONGEST;
+use crate::connect::{Connect, ConnectFailure, SystemConnect};
 use crate::descriptors::{Descriptors, Holder, Open};
 use crate::wire::Wire;
 use actix_service::fn_service;
@@ -14,10 +15,14 @@
 use olivecart_decisions::EndpointId;
 use slog::{Logger, debug};
 use std::cell::{Cell, RefCell};
+use std::fmt;
+use std::future::{Future, ready};
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
+use tokio::time::timeout;
 
 /// Part of the other side's idle time for which a connection is kept: a request that is written while it is
 /// being closed over there may have run.
@@ -26,6 +31,9 @@
 /// The end of a connection that its peer ends right after an answer is here within this time.
 const SETTLES: Duration = Duration::from_millis(5);
 
+/// A client takes a connection that is established already at once.
+const HANDED_OVER: Duration = Duration::from_secs(60);
+
 /// A process at an endpoint, as the list named it when a connection was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
@@ -36,6 +44,17 @@
     started: Option<u64>,
 }
 
+/// Why there is no connection to use for an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LeaseError {
+    /// The list gives no address for it.
+    #[error("endpoint {} has no address", .0.0)]
+    NoAddress(EndpointId),
+    /// As many connections are open as may be: no fault of the endpoint.
+    #[error("no descriptor is left for a connection to endpoint {}", .0.0)]
+    AtLimit(EndpointId),
+}
+
 /// A connection, or the means to make one.
 pub struct Lease {
     /// The client that holds it.
@@ -46,10 +65,44 @@
     pub seen: Rc<Seen>,
     /// It was kept from an earlier request.
     pub kept: bool,
+    /// Established and not yet taken by the client.
+    established: Established,
+    connect: Rc<dyn Connect>,
+    connect_timeout: Duration,
     /// Of all connections, and of this cluster's.
     _open: [Open; 2],
 }
 
+/// Where a connection that has come up waits for the client that is to use it.
+type Established = Rc<RefCell<Option<TcpStream>>>;
+
+impl fmt::Debug for Lease {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.debug_struct("Lease")
+            .field("target", &self.target)
+            .field("kept", &self.kept)
+            .finish_non_exhaustive()
+    }
+}
+
+impl Lease {
+    /// Establishes a connection for the next request that the client sends.
+    ///
+    /// # Errors
+    /// It does not come up; [`ConnectFailure`] says whose fault that is.
+    pub async fn connect(&self) -> Result<(), ConnectFailure> {
+        let addr = self.target.addr;
+        let connected = timeout(self.connect_timeout, self.connect.connect(addr)).await;
+        let stream = connected
+            .map_err(|_| ConnectFailure::TimedOut(addr))?
+            .map_err(|error| ConnectFailure::of(addr, error))?;
+        let _ = stream.set_nodelay(true); // a hint; without it small requests wait for acknowledgements
+        self.seen.comes_up();
+        self.established.replace(Some(stream));
+        Ok(())
+    }
+}
+
 struct Idle {
     lease: Lease,
     since: Instant,
@@ -89,6 +142,7 @@
     /// Most connections of this one, idle ones included, and how many there are.
     most: Cell<usize>,
     open: Open,
+    connect: Rc<dyn Connect>,
     log: Logger,
 }
 
@@ -123,16 +177,28 @@
             descriptors,
             most: Cell::new(usize::MAX),
             open: Rc::default(),
+            connect: Rc::new(SystemConnect),
             log,
         }
     }
 
+    /// Establishes its connections through this from now on.
+    #[cfg(test)]
+    pub fn connecting_through(self, connect: Rc<dyn Connect>) -> Backends {
+        Backends { connect, ..self }
+    }
+
     /// Other limits hold for this cluster from now on.
     pub fn adopt(&self, connect_timeout: Duration, most: usize) {
         self.connect_timeout.set(connect_timeout);
         self.most.set(most);
     }
 
+    /// Where it logs.
+    pub fn log(&self) -> &Logger {
+        &self.log
+    }
+
     /// How many connections are open, idle ones included.
     pub fn connections(&self) -> usize {
         Rc::strong_count(&self.open) - 1
@@ -182,12 +248,15 @@
         self.ready.get() > 0
     }
 
-    /// A connection to an endpoint: the idle one used last, or a new one. None: nobody knows where it is, or
-    /// there are no descriptors left for it.
-    pub fn lease(&self, endpoint: EndpointId) -> Option<Lease> {
+    /// A connection to an endpoint: the idle one used last, or a new one that is still to be established.
+    ///
+    /// # Errors
+    /// Nobody knows where it is, or there are no descriptors left for it.
+    pub fn lease(&self, endpoint: EndpointId) -> Result<Lease, LeaseError> {
+        let unknown = LeaseError::NoAddress(endpoint);
         let mut table = self.table.0.borrow_mut();
-        let backend = table.get_mut(endpoint.0 as usize)?;
-        let target = Target { endpoint, addr: backend.addr?, started: backend.started };
+        let backend = table.get_mut(endpoint.0 as usize).ok_or(unknown)?;
+        let target = Target { endpoint, addr: backend.addr.ok_or(unknown)?, started: backend.started };
         // Danger: one that ends connections right after an answer. Where that was seen lately, a connection is
         // used again only once the end would have come.
         let wary = backend.ended_one.is_some_and(|at| at.elapsed() < self.idle_life);
@@ -195,19 +264,19 @@
         if let Some(at) = backend.idle.iter().rposition(settled) {
             let idle = backend.idle.remove(at);
             if idle.since.elapsed() < self.idle_life {
-                return Some(Lease { kept: true, ..idle.lease });
+                return Ok(Lease { kept: true, ..idle.lease });
             }
         }
         drop(table); // which may have to make room
         if self.connections() >= self.most.get() {
             self.table.give_up();
             if self.connections() >= self.most.get() {
-                return None;
+                return Err(LeaseError::AtLimit(endpoint));
             }
         }
         debug!(self.log, "connect"; "open" => self.connections(), "endpoint" => endpoint.0);
-        let open = [self.descriptors.take()?, self.open.clone()];
-        Some(self.connection(target, open))
+        let descriptor = self.descriptors.take().ok_or(LeaseError::AtLimit(endpoint))?;
+        Ok(self.connection(target, [descriptor, self.open.clone()]))
     }
 
     /// Takes back a connection if it can carry another request and the endpoint is where it was and takes any.
@@ -246,26 +315,59 @@
 
     fn connection(&self, target: Target, open: [Open; 2]) -> Lease {
         let seen = Rc::new(Seen::new(LONGEST as usize));
-        let client = client(target.addr, self.connect_timeout.get(), &seen);
-        Lease { client, target, seen, kept: false, _open: open }
+        let established = Established::default();
+        Lease {
+            client: client_of(&established, &seen),
+            target,
+            seen,
+            kept: false,
+            established,
+            connect: self.connect.clone(),
+            connect_timeout: self.connect_timeout.get(),
+            _open: open,
+        }
     }
 }
 
-/// An awc client for one address that does nothing by itself: no time-outs of its own, no redirects, no
-/// headers, and no lingering when a connection is dropped.
+/// A client that uses the connection that was established for it. Asked for another, it says
+/// `ConnectError::Io`: the one it kept has ended, and nothing was sent.
+fn client_of(established: &Established, seen: &Rc<Seen>) -> Client {
+    let (established, seen) = (established.clone(), seen.clone());
+    plain_client(HANDED_OVER, move || {
+        let connection = established.take().map(|stream| Wire { stream, tap: seen.clone() });
+        ready(connection.ok_or_else(|| io::Error::from(io::ErrorKind::NotConnected)))
+    })
+}
+
+/// A client that connects to one address when it is asked to send something.
 pub fn client(addr: SocketAddr, connect_timeout: Duration, seen: &Rc<Seen>) -> Client {
     let seen = seen.clone();
-    let connect = fn_service(move |info: ConnectInfo<Uri>| {
+    plain_client(connect_timeout, move || {
         let seen = seen.clone();
         async move {
-            let stream = TcpStream::connect(addr).await.map_err(ConnectError::Io)?;
-            let _ = stream.set_nodelay(true); // a hint; without it small requests wait for acknowledgements
+            let stream = TcpStream::connect(addr).await?;
+            let _ = stream.set_nodelay(true);
             seen.comes_up();
-            Ok::<_, ConnectError>(Connection::new(info.request().clone(), Wire { stream, tap: seen }))
+            Ok(Wire { stream, tap: seen })
+        }
+    })
+}
+
+/// An awc client that does nothing by itself: no time-outs of its own, no redirects, no headers, and no
+/// lingering when a connection is dropped.
+fn plain_client<F>(connect_timeout: Duration, connect: impl Fn() -> F + Clone + 'static) -> Client
+where
+    F: Future<Output = io::Result<Wire<Seen>>> + 'static,
+{
+    let service = fn_service(move |info: ConnectInfo<Uri>| {
+        let connecting = connect();
+        async move {
+            let wire = connecting.await.map_err(ConnectError::Io)?;
+            Ok::<_, ConnectError>(Connection::new(info.request().clone(), wire))
         }
     });
     let connector = Connector::new()
-        .connector(connect)
+        .connector(service)
         .timeout(connect_timeout)
         .conn_lifetime(Duration::from_secs(86_400))
         .conn_keep_alive(Duration::from_secs(86_400))
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -15,6 +15,7 @@
 mod clusters;
 mod config;
 mod config_tool;
+mod connect;
 mod console;
 mod descriptors;
 mod discovery;
--- a/crates/proxy/src/stages/gate.rs
+++ b/crates/proxy/src/stages/gate.rs
@@ -7,8 +7,13 @@
 use super::context::Context;
 use crate::backends::Target;
 use olivecart_decisions::RequestId;
+use std::cell::Cell;
 use std::rc::Rc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
+
+/// A head that was built longer ago than this before its first byte tells the endpoint too much time. Well under
+/// the slack that a deadline header has (150 ms), since the network and the endpoint take some of it too.
+const MAX_HEAD_AGE: Duration = Duration::from_millis(50);
 
 /// Why an attempt must not begin any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -25,6 +30,9 @@
     /// A repeat of it would no longer be known as one.
     #[error("the window for repeats of request {} is over", .0.0)]
     WindowOver(RequestId),
+    /// The time left that its head tells is no longer true: the process stood still since it was built.
+    #[error("the head of request {} was built too long ago", .0.0)]
+    HeadOutdated(RequestId),
 }
 
 /// All that has to hold of one attempt.
@@ -34,13 +42,35 @@
     request: RequestId,
     until: Instant,
     start_by: Instant,
+    /// When the head that is to be written was built.
+    head_built_at: Cell<Option<Instant>>,
+    /// What the last look came to, if it was not open.
+    refused: Cell<Option<Closed>>,
 }
 
 impl WriteGate {
     /// For an attempt on a connection to this target.
     pub fn new(context: &Rc<Context>, attempt: &Attempt, target: Target) -> WriteGate {
         let Attempt { request, until, start_by, .. } = *attempt;
-        WriteGate { context: context.clone(), target, request, until, start_by }
+        let context = context.clone();
+        let (head_built_at, refused) = (Cell::new(None), Cell::new(None));
+        WriteGate { context, target, request, until, start_by, head_built_at, refused }
+    }
+
+    /// The time that is left for the attempt.
+    pub fn time_left(&self, now: Instant) -> Duration {
+        self.until.saturating_duration_since(now)
+    }
+
+    /// A head is built, which tells the time left by now.
+    pub fn head_is_built(&self, now: Instant) {
+        self.head_built_at.set(Some(now));
+        self.refused.set(None);
+    }
+
+    /// Whether all that was wrong with the attempt is its head, which can be built anew.
+    pub fn wants_new_head(&self) -> bool {
+        matches!(self.refused.get(), Some(Closed::HeadOutdated(_)))
     }
 
     /// Whether the first byte may be written now.
@@ -48,7 +78,11 @@
     /// # Errors
     /// Something that was so when the attempt was decided is not so any more.
     pub fn check(&self) -> Result<(), Closed> {
-        let now = Instant::now();
+        self.check_at(Instant::now()).inspect_err(|closed| self.refused.set(Some(*closed)))
+    }
+
+    fn check_at(&self, now: Instant) -> Result<(), Closed> {
+        let head_age = self.head_built_at.get().map(|at| now.saturating_duration_since(at));
         if !self.context.book.is_open(self.request) {
             Err(Closed::Ended(self.request))
         } else if !self.context.backends.still_takes(self.target) {
@@ -57,6 +91,8 @@
             Err(Closed::Overdue(self.request))
         } else if now >= self.start_by {
             Err(Closed::WindowOver(self.request))
+        } else if head_age.is_some_and(|age| age > MAX_HEAD_AGE) {
+            Err(Closed::HeadOutdated(self.request))
         } else {
             Ok(())
         }
--- a/crates/proxy/src/stages/gate/tests.rs
+++ b/crates/proxy/src/stages/gate/tests.rs
@@ -94,3 +94,15 @@
     gate.until = Instant::now();
     assert_eq!(gate.check(), Err(Closed::Overdue(request)));
 }
+
+#[test]
+fn it_closes_once_the_head_is_so_old_that_it_tells_too_much_time() {
+    let (context, request) = stage();
+    let gate = gate(&context, request, Instant::now() + Duration::from_secs(600));
+    let now = Instant::now();
+    gate.head_is_built(now);
+    assert_eq!(gate.check_at(now + MAX_HEAD_AGE), Ok(()));
+    assert!(!gate.wants_new_head());
+    let late = now + MAX_HEAD_AGE + Duration::from_millis(1);
+    assert_eq!(gate.check_at(late), Err(Closed::HeadOutdated(request)));
+}
--- a/crates/proxy/src/stages/send.rs
+++ b/crates/proxy/src/stages/send.rs
@@ -5,17 +5,19 @@
 use super::context::Context;
 use super::gate::WriteGate;
 use crate::answer::{Gate, Seen};
-use crate::backends::Lease;
+use crate::backends::{Lease, LeaseError};
 use crate::bodies::{Feed, Gathered, LONGEST, ON_THE_WAY, SHORT, Upload, feed};
 use crate::call::{Answer, AnswerBody, Body, Payload, Verdict};
+use crate::connect::ConnectFailure;
 use crate::platform::backend;
 use actix_http::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 use actix_http::{Method, StatusCode, Version};
-use awc::SendClientRequest;
 use awc::error::{ConnectError, PayloadError, SendRequestError};
+use awc::{ClientResponse, SendClientRequest};
 use bytes::Bytes;
 use futures_util::StreamExt;
 use olivecart_decisions::{AttemptEnd, EndpointId, Event, LoadReport, Outcome, RequestId};
+use slog::debug;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep_until, timeout};
@@ -26,6 +28,9 @@
 /// An answer whose head says that it is long goes on this long after its head at the latest. Before, what is spoilt
 /// can still be told from what is slow.
 const HELD_BACK: Duration = Duration::from_millis(250);
+/// Heads that are built for one attempt at most: for a connection that was kept, for one in its place, and once more
+/// where the process stood still.
+const MOST_HEADS: usize = 3;
 /// A long body of which nothing moves for so long has ended, whoever stands still.
 const STILL: Duration = Duration::from_secs(10);
 
@@ -42,7 +47,7 @@
 struct Rest {
     feed: Feed,
     lease: Lease,
-    response: awc::ClientResponse,
+    response: ClientResponse,
     closes: bool,
     /// Bytes of the body so far.
     came: u64,
@@ -58,11 +63,10 @@
 pub async fn attempt(context: Rc<Context>, mut attempt: Attempt, endpoint: EndpointId) {
     let began = Instant::now();
     let lease = context.backends.lease(endpoint);
-    let seen = lease.as_ref().map(|lease| lease.seen.clone());
-    if let Some(lease) = &lease {
-        let gate = WriteGate::new(&context, &attempt, lease.target);
-        let gate: Gate = Box::new(move || gate.check().map_err(std::io::Error::other));
-        lease.seen.begin(Some(gate));
+    let seen = lease.as_ref().ok().map(|lease| lease.seen.clone());
+    let gate = lease.as_ref().ok().map(|lease| Rc::new(WriteGate::new(&context, &attempt, lease.target)));
+    if let Some(seen) = &seen {
+        seen.begin(None); // nothing of this request is written yet
     }
     let upload = match &attempt.payload.body {
         Body::Streamed(upload) => Some(upload.clone()),
@@ -70,7 +74,7 @@
     };
     let (mut lets_go, mut starts) = (upload.is_some(), began);
     let mut end = {
-        let exchange = exchange(&context, lease, &attempt.payload, attempt.until);
+        let exchange = exchange(&context, lease, gate, &attempt.payload);
         let expires = expires(upload.as_deref(), attempt.until);
         tokio::pin!(exchange, expires);
         loop {
@@ -177,27 +181,21 @@
     context.tell(Event::AttemptEnded(end));
 }
 
-async fn exchange(context: &Context, lease: Option<Lease>, payload: &Payload, until: Instant) -> End {
-    // Danger: being out of descriptors is no fault of the backend's, and must not be held against it.
-    let Some(lease) = lease else { return Outcome::NotSent.into() };
-    let (endpoint, left) = (lease.target.endpoint, until.saturating_duration_since(Instant::now()));
-    let request = backend::request(&lease.client, lease.target.addr, payload, left);
-    lease.seen.bodiless.set(payload.method == Method::HEAD);
+/// Danger: being out of descriptors is no fault of the backend's, and must not be held against it.
+async fn exchange(
+    context: &Context,
+    lease: Result<Lease, LeaseError>,
+    gate: Option<Rc<WriteGate>>,
+    payload: &Payload,
+) -> End {
+    let (Ok(lease), Some(gate)) = (lease, gate) else { return Outcome::NotSent.into() };
+    let (endpoint, method) = (lease.target.endpoint, &payload.method);
+    lease.seen.bodiless.set(*method == Method::HEAD);
     let (seen, kept) = (lease.seen.clone(), lease.kept);
-    seen.tries.replace(context.stats.clone());
-    let sent = match &payload.body {
-        Body::Whole { bytes, .. }
-            if bytes.is_empty() && matches!(payload.method, Method::GET | Method::HEAD) =>
-        {
-            request.send()
-        }
-        Body::Whole { bytes, .. } => request.send_body(bytes.clone()),
-        Body::Streamed(upload) => {
-            let tries = seen.tries.take(); // counted with its last byte
-            request.send_body(upload.body(move || tries.iter().for_each(|stats| stats.tried())))
-        }
+    let received = match sent(context, &lease, &gate, payload).await {
+        Ok(response) => receive(context, lease, method, response).await,
+        Err(outcome) => Err(outcome),
     };
-    let received = receive(context, lease, &payload.method, sent).await;
     let replaced = seen.replaced.take();
     let broke = matches!(received, Err(Outcome::Reset)) && kept && !replaced;
     if broke || kept && replaced {
@@ -218,13 +216,91 @@
     }
 }
 
+/// Sends an attempt's request, and waits for the head of its answer. Danger: a connection may take its whole time-out
+/// to come up. So the head, which tells the time that is left, is built when there is one, and built anew for another.
+async fn sent(
+    context: &Context,
+    lease: &Lease,
+    gate: &Rc<WriteGate>,
+    payload: &Payload,
+) -> Result<ClientResponse, Outcome> {
+    let mut needs_connection = !lease.kept;
+    for _ in 0..MOST_HEADS {
+        if needs_connection {
+            connect(context, lease).await?;
+            if gate.wants_new_head() {
+                lease.seen.replaced.set(false); // the endpoint had not ended it
+            }
+        }
+        match awaited(&lease.seen, send_once(context, lease, gate, payload)).await? {
+            Ok(response) => return Ok(response),
+            Err(error) if !lacks_connection(&error) && !gate.wants_new_head() => {
+                return Err(failure(&error, &lease.seen));
+            }
+            Err(_) => needs_connection = true, // what was kept had ended, or was not to be written to
+        }
+    }
+    Err(Outcome::NotSent)
+}
+
+async fn connect(context: &Context, lease: &Lease) -> Result<(), Outcome> {
+    lease.connect().await.map_err(|failure| {
+        debug!(context.backends.log(), "connect failed"; "reason" => %failure);
+        match failure {
+            ConnectFailure::Local(..) => Outcome::NotSent,
+            ConnectFailure::TimedOut(_) | ConnectFailure::Unreachable(..) => Outcome::ConnectFailed,
+        }
+    })
+}
+
+/// Sends the request once, with the time that is left now, on the connection there is.
+fn send_once(context: &Context, lease: &Lease, gate: &Rc<WriteGate>, payload: &Payload) -> SendClientRequest {
+    let now = Instant::now();
+    let left = gate.time_left(now);
+    let request = backend::request(&lease.client, lease.target.addr, payload, left);
+    let stats = context.stats.clone();
+    lease.seen.tries.replace(None);
+    match &payload.body {
+        Body::Whole { bytes, .. } => {
+            gate.head_is_built(now);
+            lease.seen.begin(Some(asking(gate)));
+            lease.seen.tries.replace(stats);
+            let without_body = bytes.is_empty() && matches!(payload.method, Method::GET | Method::HEAD);
+            if without_body { request.send() } else { request.send_body(bytes.clone()) }
+        }
+        // Its time runs from its last byte: what its head tells is as true however late that goes out.
+        Body::Streamed(upload) => {
+            lease.seen.begin(Some(asking(gate)));
+            let counts = move || stats.iter().for_each(|stats| stats.tried()); // with its last byte
+            request.send_body(upload.body(counts))
+        }
+    }
+}
+
+fn asking(gate: &Rc<WriteGate>) -> Gate {
+    let gate = gate.clone();
+    Box::new(move || gate.check().map_err(std::io::Error::other))
+}
+
+/// The head of an answer. Danger: one that begins and never ends holds the request until its deadline.
+async fn awaited(
+    seen: &Seen,
+    sending: SendClientRequest,
+) -> Result<Result<ClientResponse, SendRequestError>, Outcome> {
+    tokio::select! {
+        biased;
+        response = sending => Ok(response),
+        () = seen.stalls() => Err(Outcome::Error),
+    }
+}
+
 struct Head {
     status: StatusCode,
     headers: HeaderMap,
 }
 
 impl Head {
-    fn of(response: &awc::ClientResponse) -> Head {
+    fn of(response: &ClientResponse) -> Head {
         Head { status: response.status(), headers: response.headers().clone() }
     }
 
@@ -237,17 +313,15 @@
     }
 }
 
-/// The whole answer with its connection given back, or the beginning of a long one; or what its lack means. Danger: an
-/// answer that begins and never ends holds the request until its deadline.
+/// The whole answer with its connection given back, or the beginning of a long one; or what its lack means.
 async fn receive(
     context: &Context,
     lease: Lease,
     method: &Method,
-    sent: SendClientRequest,
+    mut response: ClientResponse,
 ) -> Result<(Head, AnswerBody, Option<Box<Rest>>), Outcome> {
     let seen = lease.seen.clone();
     let received = async {
-        let mut response = sent.await.map_err(|e| failure(&e, &seen))?;
         let head = Head::of(&response);
         let long =
             if backend::is_final(head.status) && *method != Method::HEAD { head.length() } else { None };
@@ -286,7 +360,7 @@
 /// The body; or the beginning of one that is too long to be held, and whether there is more.
 async fn beginning(
     seen: &Seen,
-    response: &mut awc::ClientResponse,
+    response: &mut ClientResponse,
     length: u64,
 ) -> Result<(Bytes, bool), Outcome> {
     let held_back = Instant::now() + HELD_BACK;
@@ -347,9 +421,15 @@
     }
 }
 
-/// What an attempt without an answer means. awc says `Disconnected` of a connection that ended while the
-/// answer was awaited: the request was written by then, so that it may have run. What came and was no answer
-/// tells no more of the backend than an error would: it is there, and does not cut calls off.
+/// Whether nothing was sent, since the connection that was kept had ended.
+fn lacks_connection(error: &SendRequestError) -> bool {
+    matches!(error, SendRequestError::Connect(ConnectError::Io(_)))
+}
+
+/// What an attempt without an answer means, once there was a connection for it. awc says `Disconnected` of one that
+/// ended while the answer was awaited: the request was written by then, so that it may have run, as after any error of
+/// reading or writing. What came and was no answer tells no more of the backend than an error would: it is there, and
+/// does not cut calls off.
 fn failure(error: &SendRequestError, seen: &Seen) -> Outcome {
     match error {
         _ if seen.spoilt.get() => Outcome::Error,
@@ -369,7 +449,7 @@
 /// Whether a body that ended is whole. awc ends a body quietly where its connection ended in the middle of it, so
 /// the length is compared, and a chunked body is not whole if the stream ended before its last chunk. One without
 /// either is whole if the backend ended its connection after it, as its head has to say.
-fn is_whole(seen: &Seen, method: &Method, response: &awc::ClientResponse, came: u64) -> Result<(), Outcome> {
+fn is_whole(seen: &Seen, method: &Method, response: &ClientResponse, came: u64) -> Result<(), Outcome> {
     match response.headers().get(CONTENT_LENGTH) {
         _ if *method == Method::HEAD => Ok(()),
         Some(length) if length.to_str().is_ok_and(|l| l.trim().parse() == Ok(came)) => Ok(()),
@@ -382,31 +462,49 @@
     }
 }
 
-/// Probes an endpoint and tells the decisions what came of it.
+/// Probes an endpoint and tells the decisions what came of it: nothing, where this machine could not ask.
 pub async fn probe(context: Rc<Context>, endpoint: EndpointId) {
     let began = Instant::now();
     let lease = context.backends.lease(endpoint);
     let asked = async {
-        let Some(lease) = lease else { return Outcome::ConnectFailed.into() };
-        lease.seen.bodiless.set(false);
-        lease.seen.tries.take(); // a probe is no attempt
-        lease.seen.begin(None);
-        let sent = backend::probe(&lease.client, lease.target.addr).send();
-        match receive(&context, lease, &Method::GET, sent).await {
-            Ok((_, _, Some(_))) => Outcome::Error.into(), // no probe has so long an answer
-            Ok((head, ..)) => {
-                let outcome = backend::outcome(head.status, &head.headers);
-                End { load: backend::load(&head.headers), ..outcome.into() }
-            }
-            Err(outcome) => outcome.into(),
+        match lease {
+            Ok(lease) => probed(&context, lease).await.unwrap_or_else(End::from),
+            Err(LeaseError::NoAddress(_)) => Outcome::ConnectFailed.into(),
+            Err(LeaseError::AtLimit(_)) => Outcome::NotSent.into(),
         }
     };
-    let end = tokio::time::timeout(PROBE_LIMIT, asked).await.unwrap_or_else(|_| Outcome::Timeout.into());
-    let (outcome, load) = (end.outcome, end.load);
-    context.tell(Event::HealthCheckCompleted {
-        endpoint,
-        outcome,
-        duration: began.elapsed().as_nanos() as u64,
-        load,
-    });
+    let End { outcome, load, .. } =
+        timeout(PROBE_LIMIT, asked).await.unwrap_or_else(|_| Outcome::Timeout.into());
+    // Danger: taken for a failed one, a probe that was never sent takes a good endpoint out of service.
+    if outcome != Outcome::NotSent {
+        let duration = began.elapsed().as_nanos() as u64;
+        context.tell(Event::HealthCheckCompleted { endpoint, outcome, duration, load });
+    }
 }
+
+async fn probed(context: &Context, lease: Lease) -> Result<End, Outcome> {
+    let seen = lease.seen.clone();
+    seen.bodiless.set(false);
+    seen.tries.take(); // a probe is no attempt
+    seen.begin(None);
+    if !lease.kept {
+        connect(context, &lease).await?;
+    }
+    let send = || backend::probe(&lease.client, lease.target.addr).send();
+    let mut response = awaited(&seen, send()).await?;
+    if response.as_ref().is_err_and(lacks_connection) {
+        connect(context, &lease).await?;
+        response = awaited(&seen, send()).await?;
+    }
+    let response = response.map_err(|error| failure(&error, &seen))?;
+    match receive(context, lease, &Method::GET, response).await? {
+        (_, _, Some(_)) => Err(Outcome::Error), // no probe has so long an answer
+        (head, ..) => {
+            let outcome = backend::outcome(head.status, &head.headers);
+            Ok(End { load: backend::load(&head.headers), ..outcome.into() })
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/tests/gate.rs
+++ b/crates/proxy/tests/gate.rs
@@ -31,6 +31,23 @@
     );
 }
 
+/// Half a second of the first request's time passes for certain before its connection comes up: that of the second one.
+#[test]
+fn a_head_tells_what_is_left_when_its_connection_has_come_up_and_not_what_was_when_it_was_decided() {
+    play_late(
+        &["latecomer"],
+        &patient(),
+        "c send POST /1 X-Class=book X-Deadline=10000m | x
+         proxy expect log connect
+         c2 send GET /2 X-Deadline=500m
+         c2 expect 503
+         latecomer accept
+         latecomer expect POST /1 left=c | x
+         latecomer send 200 | yes
+         c expect 200 | yes",
+    );
+}
+
 #[test]
 fn nothing_is_written_to_an_endpoint_that_drains_by_the_time_its_connection_comes_up() {
     play_late(
--- a/crates/proxy/tests/scenario/mod.rs
+++ b/crates/proxy/tests/scenario/mod.rs
@@ -20,7 +20,8 @@
 //!
 //! Clients are `c`, `c2`...; backends `a` and `b` answer probes by themselves, `a` is the preferred one, and a
 //! call is `on=same` or `on=new` connection; `x` comes before `a` but refuses connections, and to `latecomer` none comes up
-//! before `latecomer accept`; `a expect nothing` waits for the end of a connection that has brought no call. `discovery` is
+//! before `latecomer accept`; its `expect POST / left=c` wants the head to tell at most what `c`'s deadline left when it
+//! accepted, with the slack there is; `a expect nothing` waits for the end of a connection that has brought no call. `discovery` is
 //! a peer like a backend, and `moved` another. Nothing sleeps: every wait is for an event.
 
 #![allow(dead_code)] // no test file uses all of it
@@ -46,6 +47,9 @@
 /// Longer than anything takes on any machine; a test that gets here has failed.
 pub const NEVER: Duration = Duration::from_secs(60);
 
+/// How much more than its client has left a request may tell a backend.
+const DEADLINE_SLACK: Duration = Duration::from_millis(150);
+
 pub const SETTINGS: &str = r#"{"a-key-of-tomorrow":[1],"dcs":["z"],"zone":"z","me":0,"group-size":1,"tier":0,
 "registry-mode":"automatic","granularity-ns":1000000,"accounts":[{"name":"t","share":1.0,"quota-per-s":100.0}],
 "allowed":{"may-cancel":true,"probes":true,"max-attempts":3,"second-copies":false,"retry-after":true,
@@ -176,6 +180,21 @@
     }
 }
 
+/// A client's deadline, and when it began to send its request.
+#[derive(Clone, Copy)]
+struct Asked {
+    deadline: Duration,
+    at: Instant,
+}
+
+/// Whether a request tells a backend no more time than its client had left at an instant before it was written.
+fn tells_at_most(got: &Message, asked: Asked, opened: Instant) -> Result<(), String> {
+    let told = got.headers.get("x-deadline").and_then(|told| told.strip_suffix('u')?.parse().ok());
+    let told = Duration::from_micros(told.ok_or("no deadline")?);
+    let left = asked.deadline.saturating_sub(opened.duration_since(asked.at)) + DEADLINE_SLACK;
+    if told <= left { Ok(()) } else { Err(format!("it tells {told:?} where {left:?} are left")) }
+}
+
 fn unescape(text: &str) -> String {
     text.replace("\\r", "\r").replace("\\n", "\n")
 }
@@ -194,6 +213,8 @@
     current: Option<(u32, TcpStream)>,
     /// Connections to it do not come up yet.
     closed: Option<Door>,
+    /// When they did.
+    opened: Option<Instant>,
 }
 
 /// A listener whose queue is full, so that the system lets no further connection come up; and who fills it.
@@ -225,19 +246,27 @@
     fn new() -> Peer {
         let ((sender, arrivals), numbers) = (channel(), AtomicU32::new(1));
         let addr = serve(move |stream| listen(stream, numbers.fetch_add(1, Ordering::Relaxed), &sender));
-        Peer { addr, arrivals, waiting: Vec::new(), current: None, closed: None }
+        Peer { addr, arrivals, waiting: Vec::new(), current: None, closed: None, opened: None }
     }
 
     /// One that accepts nothing yet.
     fn late() -> Peer {
         let door = Door::shut();
         let addr = door.listener.local_addr().expect("bound");
-        Peer { addr, arrivals: channel().1, waiting: Vec::new(), current: None, closed: Some(door) }
+        Peer {
+            addr,
+            arrivals: channel().1,
+            waiting: Vec::new(),
+            current: None,
+            closed: Some(door),
+            opened: None,
+        }
     }
 
     fn accept(&mut self) -> Result<(), String> {
         let ((sender, arrivals), numbers) = (channel(), AtomicU32::new(1));
         self.arrivals = arrivals;
+        self.opened = Some(Instant::now());
         let listener = self.closed.take().ok_or("it accepts")?.open();
         serve_at(listener, move |stream| listen(stream, numbers.fetch_add(1, Ordering::Relaxed), &sender));
         Ok(())
@@ -258,7 +287,7 @@
         }
     }
 
-    fn step(&mut self, verb: &str, rest: &str) -> Result<(), String> {
+    fn step(&mut self, verb: &str, rest: &str, asked: &HashMap<String, Asked>) -> Result<(), String> {
         let (number, stream) = match &self.current {
             Some((number, stream)) => (*number, Some(stream)),
             None => (0, None),
@@ -280,6 +309,11 @@
                 {
                     return Err(format!("on connection {number} after {before:?}"));
                 }
+                if let Some(at) = wanted.headers.iter().position(|(name, _)| name == "left") {
+                    let client = wanted.headers.remove(at).1;
+                    let opened = self.opened.ok_or("it was always open")?;
+                    tells_at_most(&message, *asked.get(&client).ok_or("no deadline")?, opened)?;
+                }
                 compare(&message, &wanted)
             }
             ("send", _) => {
@@ -327,6 +361,8 @@
     listen: SocketAddr,
     peers: HashMap<String, Peer>,
     clients: HashMap<String, BufReader<TcpStream>>,
+    /// What those said that gave a deadline in milliseconds.
+    asked: HashMap<String, Asked>,
     file: PathBuf,
     disk: PathBuf,
     /// There if the operators' file names it.
@@ -418,8 +454,8 @@
             program.env("OLIVECART_CLUSTERS", disk.join("clusters.toml"));
         }
         let program = Program::start(&mut program);
-        let clients = HashMap::new();
-        let stage = Stage { program, listen, peers, clients, file: config, disk, plane, console };
+        let (clients, asked) = (HashMap::new(), HashMap::new());
+        let stage = Stage { program, listen, peers, clients, asked, file: config, disk, plane, console };
         stage.answers("/health/live", "200").expect("it starts");
         stage
     }
@@ -480,7 +516,7 @@
             }
             _ if self.peers.contains_key(who) => {
                 let rest = self.addressed(rest);
-                self.peers.get_mut(who).ok_or("no such peer")?.step(verb, &rest)
+                self.peers.get_mut(who).ok_or("no such peer")?.step(verb, &rest, &self.asked)
             }
             _ if who.starts_with('c') => self.client(who, verb, rest),
             _ => Err("no such step".into()),
@@ -559,6 +595,11 @@
                     Some(raw) => unescape(raw),
                     None => request(Wanted::parse(rest)),
                 };
+                let deadline = rest.split_whitespace().find_map(|word| word.strip_prefix("X-Deadline="));
+                if let Some(ms) = deadline.and_then(|text| text.strip_suffix('m')?.parse().ok()) {
+                    let asked = Asked { deadline: Duration::from_millis(ms), at: Instant::now() };
+                    self.asked.insert(who.to_owned(), asked);
+                }
                 link.get_mut().write_all(text.as_bytes()).map_err(plain)
             }
             ("expect", "closed") => match link.read(&mut [0; 1]) {
