--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -17,6 +17,7 @@
 mod clusters;
 mod config;
 mod config_tool;
+mod connect;
 mod console;
 mod descriptors;
 mod discovery;
