--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -21,7 +21,7 @@
     Action, Balancer, Discovery as Mode, EndpointEntry, EndpointState, EndpointStatus, EndpointUpdate, Event,
     LearnedState, Nanos, Settings, Timer,
 };
-use olivecart_settings::{ListedEndpoint, Site};
+use olivecart_settings::Site;
 use slog::{Logger, debug, error, info};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -422,7 +422,7 @@
 
 /// An endpoint in the module's numbers; what is new gets one.
 fn numbered(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
-    site.entry(&ListedEndpoint {
+    site.entry(&olivecart_settings::ListedEndpoint {
         name: &endpoint.name,
         state: endpoint.state,
         zone: &endpoint.zone,
