--- a/crates/proxy/src/admin_overrides.rs
+++ b/crates/proxy/src/admin_overrides.rs
@@ -15,13 +15,13 @@
 const MOST_OVERRIDES: usize = 4096;
 
 /// An endpoint as the list describes it, and its address.
-pub type ListedEndpoint = (EndpointEntry, Option<SocketAddr>);
+pub type AddressedEntry = (EndpointEntry, Option<SocketAddr>);
 
 /// The list, and what operators changed of it.
 #[derive(Default)]
 pub struct AdminOverrides {
     /// What is listed and not gone.
-    listed: BTreeMap<Rc<str>, ListedEndpoint>,
+    listed: BTreeMap<Rc<str>, AddressedEntry>,
     detached: BTreeSet<Rc<str>>,
     /// When those were attached that had been detached.
     attached_at: BTreeMap<Rc<str>, Nanos>,
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// No endpoint has that name.
-    pub fn detach(&mut self, name: &str) -> Result<Option<ListedEndpoint>, UnknownEndpoint> {
+    pub fn detach(&mut self, name: &str) -> Result<Option<AddressedEntry>, UnknownEndpoint> {
         if self.detached.contains(name) {
             return Ok(None);
         }
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// No endpoint has that name.
-    pub fn attach(&mut self, name: &str, now: Nanos) -> Result<Option<ListedEndpoint>, UnknownEndpoint> {
+    pub fn attach(&mut self, name: &str, now: Nanos) -> Result<Option<AddressedEntry>, UnknownEndpoint> {
         if !self.detached.remove(name) {
             return if self.listed.contains_key(name) { Ok(None) } else { Err(UnknownEndpoint) };
         }
@@ -88,7 +88,7 @@
 
     /// The list's size, and how many of it take no requests: by an operator, by the list, or by the decisions.
     pub fn pool(&self, avoids: impl Fn(EndpointId) -> bool) -> Pool {
-        let avoided = |(entry, _): &&ListedEndpoint| {
+        let avoided = |(entry, _): &&AddressedEntry| {
             entry.state != EndpointState::Ready || self.detached.contains(&entry.name) || avoids(entry.id)
         };
         Pool { size: self.listed.len(), ejected: self.listed.values().filter(avoided).count() }
@@ -107,7 +107,7 @@
     }
 
     /// What is listed, by name.
-    pub fn listed(&self) -> impl Iterator<Item = &ListedEndpoint> {
+    pub fn listed(&self) -> impl Iterator<Item = &AddressedEntry> {
         self.listed.values()
     }
 
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -1,7 +1,7 @@
 //! Owns the decisions of one cluster: puts every event to them in order, does what they answer, and keeps
 //! their timers. What it shares with other clusters' is [`Shared`].
 
-use crate::admin_overrides::{AdminOverrides, ListedEndpoint, UnknownEndpoint};
+use crate::admin_overrides::{AddressedEntry, AdminOverrides, UnknownEndpoint};
 use crate::backends::Backends;
 use crate::bodies::Budget;
 use crate::call::Verdict;
@@ -150,7 +150,7 @@
     pub fn held_list(&self) -> String {
         let (overrides, site) = (self.overrides.borrow(), self.shared.site.borrow());
         let starts = self.starts.borrow();
-        let endpoint = |(entry, addr): &'_ ListedEndpoint| Endpoint {
+        let endpoint = |(entry, addr): &'_ AddressedEntry| Endpoint {
             name: entry.name.to_string().into(),
             state: entry.state,
             zone: site.zones.name(entry.zone.0.into()).map_or("".into(), |name| name.to_string().into()),
