--- a/crates/lab/benches/decisions.rs
+++ b/crates/lab/benches/decisions.rs
@@ -7,7 +7,7 @@
 
 use criterion::{BenchmarkId, Criterion};
 use olivecart_decisions::*;
-use olivecart_lab::policy::{self, Place, Policy, Sight, Truth};
+use olivecart_lab::policy::{self, Policy, PolicyContext, TrueState, TrueStateView};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,9 +18,9 @@
 
 struct Blind;
 
-impl Sight for Blind {
-    fn see(&self, _endpoint: EndpointId) -> Truth {
-        Truth::default()
+impl TrueStateView for Blind {
+    fn true_state(&self, _endpoint: EndpointId) -> TrueState {
+        TrueState::default()
     }
 }
 
@@ -39,8 +39,8 @@
 impl Bench {
     fn new(name: &str, n: u32) -> Bench {
         let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
-        let place = Place { settings, seed: 1, now: 1000 * S, sight: Rc::new(Blind) };
-        let policy = policy::named(name).expect("an ordinary name")(place);
+        let context = PolicyContext { settings, seed: 1, now: 1000 * S, true_state: Rc::new(Blind) };
+        let policy = policy::named(name).expect("an ordinary name")(context);
         let entries: Vec<_> =
             (0..n).map(|i| EndpointEntry::ready(EndpointId(i), &format!("endpoint-{i}"))).collect();
         let mut bench = Bench {
--- a/crates/lab/src/cli/sockets.rs
+++ b/crates/lab/src/cli/sockets.rs
@@ -94,8 +94,8 @@
 }
 
 fn world(path: &Path, seed: u64) -> Result<Result<World, u8>, Box<dyn Error>> {
-    let maker = named("olivecart")?;
-    Ok(read(path).map(|scenario| World::new(scenario.into_inner(), seed, "olivecart", maker, false)))
+    let policy_factory = named("olivecart")?;
+    Ok(read(path).map(|scenario| World::new(scenario.into_inner(), seed, "olivecart", policy_factory, false)))
 }
 
 impl Fleet {
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -1,375 +1,190 @@
 //! A discrete-event engine that gives the same result on any number of threads.
 //!
-//! A model is a set of nodes that act on each other by messages alone. A message to another node takes at
-//! least the model's *lookahead*; so all events within one lookahead of the earliest can be played by every
-//! thread for its own nodes without waiting for the others (conservative windows: Lubachevsky 1989, after
-//! Chandy and Misra 1979). Events have a total order that depends neither on threads nor on how nodes are
-//! spread over them (see [`queue::Place`]), each node sees its own events in that order, and a node's state
-//! follows from them alone: hence the same digest whatever the number of threads.
+//! A model is a set of nodes that interact by messages alone. A message to another node takes at least the
+//! model's *lookahead*; so every thread can play all events within one lookahead of the earliest for its own
+//! nodes, without waiting for the other threads (conservative windows: Lubachevsky 1989, after Chandy and
+//! Misra 1979). Events have a total order that depends neither on threads nor on how nodes are spread over
+//! them (see [`queue::EventKey`]), each node sees its own events in that order, and a node's state follows
+//! from them alone: hence the same digest whatever the number of threads.
+//!
+//! The model of the fleet and that of the sidecars run on it. The engine knows nothing of either.
 
 mod barrier;
+mod exchange;
 mod queue;
+mod worker;
 
-use barrier::Barrier;
+use exchange::Exchange;
 use olivecart_decisions::Nanos;
-pub use queue::{Event, Place, Queue};
-use std::panic::{AssertUnwindSafe, catch_unwind};
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Mutex, PoisonError};
+pub use queue::{Event, EventKey, EventQueue};
+use worker::{PANIC_ELSEWHERE, Worker};
 
-/// What the engine plays.
+/// What the engine runs.
 pub trait Model: Sync {
     /// One node; lives in one thread.
     type Node;
-    /// What nodes tell each other and themselves.
+    /// What nodes send to each other and to themselves.
     type Message: Send;
-    /// What every thread is told at the begin of the next window.
-    type Post: Clone + Send;
-    /// What a thread's nodes have in common; nothing in it may depend on which nodes they are.
-    type Local;
-    /// What is left of a thread's part.
-    type Rest: Send;
-
-    /// How many nodes there are.
-    fn nodes(&self) -> u32;
-    /// Least time that a message to another node takes; above 0.
+    /// What a node tells all threads, received at the begin of the next window.
+    type Broadcast: Clone + Send;
+    /// What the nodes of a thread share; nothing in it may depend on which nodes these are.
+    type ThreadState;
+    /// What a thread's part of the run comes to.
+    type ThreadOutput: Send;
+
+    /// The number of nodes.
+    fn node_count(&self) -> u32;
+    /// The least time that a message to another node takes; above 0.
     fn lookahead(&self) -> Nanos;
     /// Events at or after this time are not played.
-    fn end(&self) -> Nanos;
-    /// Begins a thread's part.
-    fn local(&self) -> Self::Local;
-    /// Makes a node, which may send its first messages.
-    fn node(&self, id: u32, local: &mut Self::Local, out: &mut Outbox<Self>) -> Self::Node;
+    fn end_time(&self) -> Nanos;
+    /// The state of a thread at its start.
+    fn thread_state(&self) -> Self::ThreadState;
+    /// Creates a node, which may send its first messages.
+    fn create_node(&self, id: u32, state: &mut Self::ThreadState, outbox: &mut Outbox<Self>) -> Self::Node;
     /// Plays one event.
     fn handle(
         &self,
         node: &mut Self::Node,
         now: Nanos,
         message: Self::Message,
-        local: &mut Self::Local,
-        out: &mut Outbox<Self>,
+        state: &mut Self::ThreadState,
+        outbox: &mut Outbox<Self>,
     );
-    /// Takes in what was posted in the last window.
-    fn heard(&self, post: Self::Post, local: &mut Self::Local);
-    /// A number that must stay under [`Model::most_open`], summed over all threads.
-    fn open(&self, local: &Self::Local) -> u64;
-    /// Most of that.
-    fn most_open(&self) -> u64;
-    /// Most events that may wait.
-    fn most_events(&self) -> u64;
+    /// Receives what was broadcast in the last window.
+    fn receive_broadcast(&self, broadcast: Self::Broadcast, state: &mut Self::ThreadState);
+    /// The number of open requests of a thread; summed over all threads, it is bounded by
+    /// [`Model::max_open_requests`].
+    fn open_requests(&self, state: &Self::ThreadState) -> u64;
+    /// The limit of open requests.
+    fn max_open_requests(&self) -> u64;
+    /// The limit of pending events.
+    fn max_pending_events(&self) -> u64;
     /// Ends a thread's part.
-    fn finish(&self, nodes: Vec<(u32, Self::Node)>, local: Self::Local) -> Self::Rest;
+    fn finish(&self, nodes: Vec<(u32, Self::Node)>, state: Self::ThreadState) -> Self::ThreadOutput;
 }
 
-/// Why a run did not come to its end.
+/// Why a run stopped before its end.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
     /// Memory is bounded, and this run would need more.
-    #[error("at {at_ms} ms of the run {waiting} events wait, more than model.most_events = {most}: stopped")]
-    Events {
+    #[error("at {at_ms} ms of the run {pending} events wait, more than model.most_events = {limit}: stopped")]
+    TooManyEvents {
         /// When, in milliseconds.
         at_ms: u64,
-        /// How many waited.
-        waiting: u64,
+        /// How many events were pending.
+        pending: u64,
         /// The limit.
-        most: u64,
+        limit: u64,
     },
-    /// Clients have too much open.
-    #[error("at {at_ms} ms of the run {open} requests are open, more than model.most_open = {most}: stopped")]
-    Open {
+    /// Clients have too many requests open.
+    #[error(
+        "at {at_ms} ms of the run {open} requests are open, more than model.most_open = {limit}: stopped"
+    )]
+    TooManyOpenRequests {
         /// When, in milliseconds.
         at_ms: u64,
         /// How many were open.
         open: u64,
         /// The limit.
-        most: u64,
+        limit: u64,
     },
     /// A thread ended early.
     #[error("the model panicked: {0}")]
     Panic(String),
 }
 
-/// Where a node puts what it causes.
+/// Collects what a node sends.
 pub struct Outbox<M: Model + ?Sized> {
     now: Nanos,
     node: u32,
-    number: u32,
+    /// How many events the node has sent before.
+    sequence: u32,
     lookahead: Nanos,
     events: Vec<Event<M::Message>>,
-    posts: Vec<M::Post>,
+    broadcasts: Vec<M::Broadcast>,
 }
 
 impl<M: Model + ?Sized> Outbox<M> {
+    fn new(lookahead: Nanos) -> Outbox<M> {
+        Outbox { now: 0, node: 0, sequence: 0, lookahead, events: Vec::new(), broadcasts: Vec::new() }
+    }
+
     /// Sends a message to another node, to arrive at a time no earlier than the lookahead from now.
     ///
-    /// Danger: one that arrives earlier could be late for its node's thread. It is put off to the earliest
+    /// Danger: one that arrives earlier could be late for its node's thread. It is delayed to the earliest
     /// time that is safe, and asserted in debug builds.
-    pub fn send(&mut self, to: u32, at: Nanos, message: M::Message) {
-        debug_assert!(to == self.node || at >= self.now + self.lookahead, "a message outruns the lookahead");
-        let at = if to == self.node { at.max(self.now) } else { at.max(self.now + self.lookahead) };
-        let place = Place { at, from: self.node, number: self.number };
-        self.number += 1;
-        self.events.push(Event { place, to, message });
+    pub fn send(&mut self, receiver: u32, at: Nanos, message: M::Message) {
+        let is_own = receiver == self.node;
+        debug_assert!(is_own || at >= self.now + self.lookahead, "a message outruns the lookahead");
+        let earliest = if is_own { self.now } else { self.now + self.lookahead };
+        let key = EventKey { at: at.max(earliest), sender: self.node, sequence: self.sequence };
+        self.sequence += 1;
+        self.events.push(Event { key, receiver, message });
     }
 
-    /// Sends one to itself, at any time from now.
-    pub fn wake(&mut self, at: Nanos, message: M::Message) {
+    /// Schedules a message of the node to itself, at any time from now.
+    pub fn schedule(&mut self, at: Nanos, message: M::Message) {
         self.send(self.node, at, message);
     }
 
     /// Tells all threads something at the begin of the next window.
-    pub fn post(&mut self, post: M::Post) {
-        self.posts.push(post);
+    pub fn broadcast(&mut self, broadcast: M::Broadcast) {
+        self.broadcasts.push(broadcast);
     }
 }
 
+/// The counters that a thread publishes before each window.
+struct ThreadCounters {
+    /// When its next event is due.
+    next_due: Nanos,
+    pending_events: u64,
+    open_requests: u64,
+}
+
 /// What a run came to.
-pub struct Played<R> {
-    /// The parts of the threads.
-    pub rest: Vec<R>,
+pub struct RunOutcome<T> {
+    /// By thread.
+    pub outputs: Vec<T>,
     /// Events played.
     pub events: u64,
     /// Windows that the run was cut into.
     pub windows: u64,
 }
 
-/// Events on their way from one thread to another.
-type Letters<M> = Mutex<Vec<Event<<M as Model>::Message>>>;
-
-/// What the threads share.
-struct Meeting<M: Model> {
-    barrier: Barrier,
-    /// By thread: when its next event is due; how many wait; how many requests are open.
-    next: Vec<AtomicU64>,
-    waiting: Vec<AtomicU64>,
-    open: Vec<AtomicU64>,
-    /// By thread that sends and thread that receives.
-    mail: Vec<Vec<Letters<M>>>,
-    /// By thread that posts and thread that hears.
-    posts: Vec<Vec<Mutex<Vec<M::Post>>>>,
-}
-
-impl<M: Model> Meeting<M> {
-    fn new(threads: usize) -> Meeting<M> {
-        let numbers = || (0..threads).map(|_| AtomicU64::new(0)).collect();
-        Meeting {
-            barrier: Barrier::new(threads),
-            next: numbers(),
-            waiting: numbers(),
-            open: numbers(),
-            mail: (0..threads).map(|_| (0..threads).map(|_| Mutex::default()).collect()).collect(),
-            posts: (0..threads).map(|_| (0..threads).map(|_| Mutex::default()).collect()).collect(),
-        }
-    }
-
-    fn sum(of: &[AtomicU64]) -> u64 {
-        of.iter().map(|n| n.load(Ordering::Acquire)).sum()
-    }
-}
-
-/// Plays a model to its end on so many threads, at least one.
-pub fn play<M: Model>(model: &M, threads: usize) -> Result<Played<M::Rest>, EngineError> {
-    let threads = threads.clamp(1, model.nodes().max(1) as usize);
-    let meeting = Meeting::new(threads);
-    let parts: Vec<_> = std::thread::scope(|scope| {
-        let part = |thread| {
-            let meeting = &meeting;
-            scope.spawn(move || Part::new(model, meeting, thread, threads).play())
+/// Runs a model to its end on this number of threads, at least one.
+pub fn run<M: Model>(model: &M, threads: usize) -> Result<RunOutcome<M::ThreadOutput>, EngineError> {
+    let threads = threads.clamp(1, model.node_count().max(1) as usize);
+    let exchange = Exchange::new(threads);
+    let results: Vec<_> = std::thread::scope(|scope| {
+        let spawn = |thread| {
+            let exchange = &exchange;
+            scope.spawn(move || Worker::new(model, exchange, thread, threads).run())
         };
-        let handles: Vec<_> = (0..threads).map(part).collect();
-        handles.into_iter().map(|h| h.join()).collect()
+        let handles: Vec<_> = (0..threads).map(spawn).collect();
+        handles.into_iter().map(|handle| handle.join()).collect()
     });
-    let mut played = Played { rest: Vec::with_capacity(threads), events: 0, windows: 0 };
-    let mut failed = None;
-    for part in parts {
-        match part {
-            Ok(Ok((rest, events, windows))) => {
-                played.rest.push(rest);
-                played.events += events;
-                played.windows = windows;
+    let mut outcome = RunOutcome { outputs: Vec::with_capacity(threads), events: 0, windows: 0 };
+    let mut failure = None;
+    for result in results {
+        match result {
+            Ok(Ok(worker)) => {
+                outcome.outputs.push(worker.output);
+                outcome.events += worker.events;
+                outcome.windows = worker.windows;
             }
-            // The thread that panicked says what happened; the others only that one did.
-            Ok(Err(EngineError::Panic(text))) if text.is_empty() => {
-                failed = failed.or(Some(EngineError::Panic(text)));
+            // The thread that panicked reports the cause; the others only that one did.
+            Ok(Err(EngineError::Panic(message))) if message == PANIC_ELSEWHERE => {
+                failure = failure.or(Some(EngineError::Panic(message)));
             }
-            Ok(Err(error)) => failed = Some(error),
-            Err(_) => failed = failed.or(Some(EngineError::Panic("a thread ended".into()))),
+            Ok(Err(error)) => failure = Some(error),
+            Err(_) => failure = failure.or(Some(EngineError::Panic("a thread ended".into()))),
         }
     }
-    failed.map_or(Ok(played), Err)
-}
-
-/// One thread's part of a run.
-struct Part<'a, M: Model> {
-    model: &'a M,
-    meeting: &'a Meeting<M>,
-    thread: usize,
-    threads: usize,
-    nodes: Vec<M::Node>,
-    /// How many events each node has caused.
-    caused: Vec<u32>,
-    local: M::Local,
-    queue: Queue<M::Message>,
-    out: Outbox<M>,
-    /// By thread: what is for its nodes.
-    mail: Vec<Vec<Event<M::Message>>>,
-    events: u64,
-    windows: u64,
-}
-
-type End<M> = Result<(<M as Model>::Rest, u64, u64), EngineError>;
-
-impl<'a, M: Model> Part<'a, M> {
-    fn new(model: &'a M, meeting: &'a Meeting<M>, thread: usize, threads: usize) -> Part<'a, M> {
-        let out = Outbox {
-            now: 0,
-            node: 0,
-            number: 0,
-            lookahead: model.lookahead().max(1),
-            events: Vec::new(),
-            posts: Vec::new(),
-        };
-        let (nodes, caused, queue) = (Vec::new(), Vec::new(), Queue::new(out.lookahead));
-        let (local, mail) = (model.local(), (0..threads).map(|_| Vec::new()).collect());
-        Part {
-            model,
-            meeting,
-            thread,
-            threads,
-            nodes,
-            caused,
-            local,
-            queue,
-            out,
-            mail,
-            events: 0,
-            windows: 0,
-        }
+    match failure {
+        Some(error) => Err(error),
+        None => Ok(outcome),
     }
-
-    fn play(mut self) -> End<M> {
-        self.guarded(|part| part.make_nodes())?;
-        loop {
-            match self.guarded(|part| part.window())? {
-                Some(Ok(())) => {}
-                Some(Err(error)) => return Err(error),
-                None => break,
-            }
-        }
-        let (model, thread, threads) = (self.model, self.thread, self.threads);
-        let ids = (0..).map(|i: u32| (thread + i as usize * threads) as u32);
-        let rest = model.finish(ids.zip(self.nodes).collect(), self.local);
-        Ok((rest, self.events, self.windows))
-    }
-
-    /// Runs a step. Danger: a thread that panics would leave the others waiting at the barrier for good.
-    fn guarded<T>(&mut self, step: impl FnOnce(&mut Self) -> T) -> Result<T, EngineError> {
-        match catch_unwind(AssertUnwindSafe(|| step(self))) {
-            Ok(value) => Ok(value),
-            Err(panic) => {
-                self.meeting.barrier.break_up();
-                let text = panic.downcast_ref::<String>().map(String::as_str);
-                let text = text.or_else(|| panic.downcast_ref::<&str>().copied());
-                Err(EngineError::Panic(text.unwrap_or("of unknown cause").into()))
-            }
-        }
-    }
-
-    fn make_nodes(&mut self) {
-        for id in (self.thread as u32..self.model.nodes()).step_by(self.threads) {
-            (self.out.node, self.out.number) = (id, 0);
-            self.nodes.push(self.model.node(id, &mut self.local, &mut self.out));
-            self.caused.push(self.out.number);
-            self.deliver();
-        }
-        self.hand_over();
-    }
-
-    /// Plays one window. None: the run is over.
-    fn window(&mut self) -> Option<Result<(), EngineError>> {
-        let meeting = self.meeting;
-        // All have handed over what they caused.
-        if !meeting.barrier.wait() {
-            return Some(Err(EngineError::Panic(String::new())));
-        }
-        for from in 0..self.threads {
-            let mail = std::mem::take(&mut *lock(&meeting.mail[from][self.thread]));
-            mail.into_iter().for_each(|event| self.queue.push(event));
-            let posts = std::mem::take(&mut *lock(&meeting.posts[from][self.thread]));
-            posts.into_iter().for_each(|post| self.model.heard(post, &mut self.local));
-        }
-        let next = self.queue.next_at().unwrap_or(Nanos::MAX);
-        meeting.next[self.thread].store(next, Ordering::Release);
-        meeting.waiting[self.thread].store(self.queue.len() as u64, Ordering::Release);
-        meeting.open[self.thread].store(self.model.open(&self.local), Ordering::Release);
-        // All know when the next event of anybody is due.
-        if !meeting.barrier.wait() {
-            return Some(Err(EngineError::Panic(String::new())));
-        }
-        let begin = meeting.next.iter().map(|n| n.load(Ordering::Acquire)).min().unwrap_or(Nanos::MAX);
-        if begin >= self.model.end() {
-            return None;
-        }
-        if let Err(error) = self.within_limits(begin) {
-            return Some(Err(error));
-        }
-        self.windows += 1;
-        let end = begin.saturating_add(self.out.lookahead).min(self.model.end());
-        while let Some(event) = self.queue.pop_before(end) {
-            self.play_one(event);
-        }
-        self.hand_over();
-        Some(Ok(()))
-    }
-
-    fn within_limits(&self, at: Nanos) -> Result<(), EngineError> {
-        let at_ms = at / 1_000_000;
-        let (waiting, most) = (Meeting::<M>::sum(&self.meeting.waiting), self.model.most_events());
-        if waiting > most {
-            return Err(EngineError::Events { at_ms, waiting, most });
-        }
-        let (open, most) = (Meeting::<M>::sum(&self.meeting.open), self.model.most_open());
-        if open > most {
-            return Err(EngineError::Open { at_ms, open, most });
-        }
-        Ok(())
-    }
-
-    fn play_one(&mut self, event: Event<M::Message>) {
-        let at = event.to as usize / self.threads;
-        (self.out.now, self.out.node, self.out.number) = (event.place.at, event.to, self.caused[at]);
-        self.events += 1;
-        let node = &mut self.nodes[at];
-        self.model.handle(node, event.place.at, event.message, &mut self.local, &mut self.out);
-        self.caused[at] = self.out.number;
-        self.deliver();
-    }
-
-    /// What is for nodes of this thread goes straight to its queue: it may be due within this window.
-    fn deliver(&mut self) {
-        for event in self.out.events.drain(..) {
-            let to = event.to as usize % self.threads;
-            if to == self.thread { self.queue.push(event) } else { self.mail[to].push(event) }
-        }
-    }
-
-    /// Hands what is for other threads' nodes over to them, and posts to everybody.
-    fn hand_over(&mut self) {
-        for (to, events) in self.mail.iter_mut().enumerate().filter(|(_, events)| !events.is_empty()) {
-            lock(&self.meeting.mail[self.thread][to]).append(events);
-        }
-        if !self.out.posts.is_empty() {
-            for to in 0..self.threads {
-                lock(&self.meeting.posts[self.thread][to]).extend(self.out.posts.iter().cloned());
-            }
-            self.out.posts.clear();
-        }
-    }
-}
-
-/// A thread that panicked while it held the lock has ended the run already.
-fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 #[cfg(test)]
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -149,7 +149,7 @@
             }
             let (factor, _) = self.shape(ctx.world, at as Nanos);
             if ctx.rng.random::<f64>() * most < factor {
-                return ctx.out.wake((at as Nanos).max(ctx.now + 1), Message::Arrive);
+                return ctx.out.schedule((at as Nanos).max(ctx.now + 1), Message::Arrive);
             }
         }
     }
@@ -231,12 +231,12 @@
             deadline: ends,
             work: request.work,
         };
-        ctx.out.wake(ends, Message::Patience(logical, call.attempt));
+        ctx.out.schedule(ends, Message::Patience(logical, call.attempt));
         if ctx.world.scenario.clients.impatient > 0.0
             && ctx.rng.random::<f64>() < ctx.world.scenario.clients.impatient
         {
             let early = ctx.now + ((ends - ctx.now) as f64 * ctx.rng.random::<f64>()) as Nanos;
-            ctx.out.wake(early, Message::Leaves(logical, call.attempt));
+            ctx.out.schedule(early, Message::Leaves(logical, call.attempt));
         }
         if let Some(proxy) = proxy {
             let at = ctx.now + net::client(ctx.world, ctx.rng);
@@ -299,7 +299,7 @@
                 let Some(request) = self.get(logical) else { return };
                 (request.attempt, request.last) = (request.attempt + 1, None);
                 ctx.local.tally.client_retry(ctx.now);
-                ctx.out.wake(ctx.now + wait, Message::Again(logical));
+                ctx.out.schedule(ctx.now + wait, Message::Again(logical));
             }
             None => self.end(ctx, logical, verdict),
         }
--- a/crates/lab/src/model/ctx.rs
+++ b/crates/lab/src/model/ctx.rs
@@ -3,7 +3,7 @@
 use super::message::Out;
 use super::tally::Tally;
 use super::world::World;
-use crate::policy::{Sight, Truth};
+use crate::policy::{TrueState, TrueStateView};
 use olivecart_decisions::{EndpointId, Nanos};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -28,15 +28,15 @@
 }
 
 /// The true state of all servers as of the begin of the window, by tier.
-pub type Truths = Rc<RefCell<Vec<Vec<Truth>>>>;
+pub type TrueStates = Rc<RefCell<Vec<Vec<TrueState>>>>;
 
 /// What the nodes of one thread have in common. Nothing in it acts on them but what is the same in all
-/// threads: names, and the truth as of the begin of a window.
+/// threads: names, and the true states as of the begin of a window.
 pub struct Local {
     /// Names of servers, by tier.
     pub names: Vec<Vec<Rc<str>>>,
-    /// For policies that see the truth.
-    pub truths: Truths,
+    /// For policies that may see them.
+    pub true_states: TrueStates,
     /// The time, for those.
     pub clock: Rc<Cell<Nanos>>,
     /// Counts.
@@ -51,11 +51,15 @@
     /// A thread's part at its begin.
     pub fn new(world: &World) -> Local {
         let names = |t: &super::world::Tier| t.servers.iter().map(|s| Rc::from(s.name.as_str())).collect();
-        let truths = |t: &super::world::Tier| vec![Truth::default(); t.servers.len()];
-        let truths = if world.sighted { world.tiers.iter().map(truths).collect() } else { Vec::new() };
+        let true_states = |t: &super::world::Tier| vec![TrueState::default(); t.servers.len()];
+        let true_states = if world.policy_sees_true_state {
+            world.tiers.iter().map(true_states).collect()
+        } else {
+            Vec::new()
+        };
         Local {
             names: world.tiers.iter().map(names).collect(),
-            truths: Rc::new(RefCell::new(truths)),
+            true_states: Rc::new(RefCell::new(true_states)),
             clock: Rc::default(),
             tally: Tally::new(world),
             open: 0,
@@ -90,10 +94,10 @@
     }
 }
 
-/// One proxy's sight of the truth about the servers of a tier.
-pub struct FromZone {
-    /// The truths.
-    pub truths: Truths,
+/// The true state of the servers of a tier, as reachable from one zone.
+pub struct ZoneTrueStateView {
+    /// The true states of all servers.
+    pub true_states: TrueStates,
     /// The time.
     pub clock: Rc<Cell<Nanos>>,
     /// The tier.
@@ -106,17 +110,18 @@
     pub zone: u16,
 }
 
-impl Sight for FromZone {
-    fn see(&self, endpoint: EndpointId) -> Truth {
+impl TrueStateView for ZoneTrueStateView {
+    fn true_state(&self, endpoint: EndpointId) -> TrueState {
         let slot = endpoint.0 as usize;
-        let truths = self.truths.borrow();
-        let truth = truths.get(self.tier as usize).and_then(|t| t.get(slot)).copied().unwrap_or_default();
+        let true_states = self.true_states.borrow();
+        let true_state =
+            true_states.get(self.tier as usize).and_then(|t| t.get(slot)).copied().unwrap_or_default();
         let zone = self.zones.get(slot).copied().unwrap_or(self.zone);
         let now = self.clock.get();
         let cut = |(from, to, cut): &(Nanos, Nanos, u16)| {
             (*from..*to).contains(&now) && (*cut == zone || *cut == self.zone)
         };
         let reached = zone == self.zone || !self.cuts.iter().any(cut);
-        Truth { serves: truth.serves && reached, ..truth }
+        TrueState { is_serving: true_state.is_serving && reached, ..true_state }
     }
 }
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -62,10 +62,10 @@
             // During an outage it can't tell anybody; it does when it is back.
             let out = timeline.outages.iter().filter(|o| o.holds(heard)).map(|o| o.to).max();
             heard = out.unwrap_or(heard);
-            ctx.out.wake(heard, Message::Heard([(*tier, *line)].into()));
+            ctx.out.schedule(heard, Message::Heard([(*tier, *line)].into()));
         }
         for outage in &timeline.outages {
-            ctx.out.wake(outage.from, Message::Outage);
+            ctx.out.schedule(outage.from, Message::Outage);
         }
         let push = world.scenario.discovery.mode == DiscoveryMode::Push;
         let callers = |t: &super::world::Tier| {
@@ -125,7 +125,7 @@
     /// One who could not be told of a change gets the whole list as soon as it can be reached.
     fn fall_behind(&mut self, ctx: &mut Ctx, proxy: u32) {
         if self.behind.is_empty() {
-            ctx.out.wake(ctx.now + 500_000_000, Message::Heard([].into()));
+            ctx.out.schedule(ctx.now + 500_000_000, Message::Heard([].into()));
         }
         self.behind.insert(proxy);
     }
@@ -153,7 +153,7 @@
             return ctx.out.send(proxy, at, Message::News(News::Failed));
         }
         self.busy_until = done;
-        ctx.out.wake(done, Message::Turn(proxy, watch));
+        ctx.out.schedule(done, Message::Turn(proxy, watch));
     }
 
     fn turn(&mut self, ctx: &mut Ctx, proxy: u32, watch: bool) {
--- a/crates/lab/src/model/machine.rs
+++ b/crates/lab/src/model/machine.rs
@@ -29,7 +29,7 @@
         let proxy = spec.proxy.map(|(tier, among)| Proxy::new(world, number, tier, among));
         let mut machine = Machine { number, node: world.machine_node(number), server, proxy };
         for &(at, change) in &world.timeline.changes[number as usize] {
-            ctx.out.wake(at, Message::Change(change));
+            ctx.out.schedule(at, Message::Change(change));
         }
         let there = machine.server.as_ref().is_none_or(Server::runs);
         if let Some(proxy) = machine.proxy.as_mut().filter(|_| there) {
@@ -212,10 +212,10 @@
     }
 
     fn post(&self, ctx: &mut Ctx) {
-        if ctx.world.sighted
+        if ctx.world.policy_sees_true_state
             && let Some(server) = &self.server
         {
-            ctx.out.post(server.post(ctx.world, ctx.now));
+            ctx.out.broadcast(server.post(ctx.world, ctx.now));
         }
     }
 
--- a/crates/lab/src/model/message.rs
+++ b/crates/lab/src/model/message.rs
@@ -230,15 +230,15 @@
     Executed(Logical, u64),
 }
 
-/// Truth about a server, for all threads.
+/// The true state of a server, broadcast to all threads.
 #[derive(Clone, Copy, Debug)]
-pub struct Post {
+pub struct ServerStateBroadcast {
     /// The tier.
     pub tier: u8,
     /// The server's place in it.
     pub slot: u32,
     /// Its state.
-    pub truth: crate::policy::Truth,
+    pub true_state: crate::policy::TrueState,
 }
 
 /// Where nodes put what they cause.
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -25,7 +25,7 @@
 use ctx::{Ctx, Local};
 use discovery::Discovery;
 use machine::Machine;
-use message::{Message, Post};
+use message::{Message, ServerStateBroadcast};
 use monitor::Rule;
 use olivecart_decisions::Nanos;
 use rand::SeedableRng;
@@ -79,11 +79,11 @@
 impl Model for World {
     type Node = Node;
     type Message = Message;
-    type Post = Post;
-    type Local = Local;
-    type Rest = Rest;
+    type Broadcast = ServerStateBroadcast;
+    type ThreadState = Local;
+    type ThreadOutput = Rest;
 
-    fn nodes(&self) -> u32 {
+    fn node_count(&self) -> u32 {
         self.discovery_node() + 1
     }
 
@@ -91,15 +91,15 @@
         net::least(&self.scenario.network)
     }
 
-    fn end(&self) -> Nanos {
+    fn end_time(&self) -> Nanos {
         self.ends()
     }
 
-    fn local(&self) -> Local {
+    fn thread_state(&self) -> Local {
         Local::new(self)
     }
 
-    fn node(&self, id: u32, local: &mut Local, out: &mut Outbox<World>) -> Node {
+    fn create_node(&self, id: u32, local: &mut Local, out: &mut Outbox<World>) -> Node {
         let mut rng = Pcg64Mcg::seed_from_u64(world::mix(self.seed, u64::from(id) + 1));
         let mut ctx = Ctx { world: self, now: 0, rng: &mut rng, out, local };
         let role = if id < self.clients {
@@ -138,21 +138,22 @@
         }
     }
 
-    fn heard(&self, post: Post, local: &mut Local) {
-        let mut truths = local.truths.borrow_mut();
-        let truth = truths.get_mut(post.tier as usize).and_then(|t| t.get_mut(post.slot as usize));
-        truth.into_iter().for_each(|truth| *truth = post.truth);
+    fn receive_broadcast(&self, broadcast: ServerStateBroadcast, local: &mut Local) {
+        let mut true_states = local.true_states.borrow_mut();
+        let true_state =
+            true_states.get_mut(broadcast.tier as usize).and_then(|t| t.get_mut(broadcast.slot as usize));
+        true_state.into_iter().for_each(|true_state| *true_state = broadcast.true_state);
     }
 
-    fn open(&self, local: &Local) -> u64 {
+    fn open_requests(&self, local: &Local) -> u64 {
         local.open
     }
 
-    fn most_open(&self) -> u64 {
+    fn max_open_requests(&self) -> u64 {
         self.scenario.model.most_open
     }
 
-    fn most_events(&self) -> u64 {
+    fn max_pending_events(&self) -> u64 {
         self.scenario.model.most_events
     }
 
--- a/crates/lab/src/model/proxy.rs
+++ b/crates/lab/src/model/proxy.rs
@@ -1,12 +1,12 @@
 //! A proxy: a policy, and round it what the real proxy has: open requests, connections, probes, timers. It
 //! does what the policy decides and watches that this keeps the rules.
 
-use super::ctx::{Ctx, FromZone};
+use super::ctx::{Ctx, ZoneTrueStateView};
 use super::message::{Answer, Attempt, AttemptId, Call, Closed, Line, Logical, Message, News, Verdict};
 use super::monitor::{Monitor, Note, Rule};
 use super::net;
 use super::world::{World, mix};
-use crate::policy::{Place, Policy, Standing};
+use crate::policy::{EndpointHealth, Policy, PolicyContext};
 use crate::run::result::Held;
 use olivecart_decisions::{
     Action, AttemptEnd, ClassId, DeduplicationScope, EndpointId, EndpointState, EndpointUpdate, Event,
@@ -18,7 +18,7 @@
 
 /// A watch that says nothing for this long is dead.
 const SILENCE: Nanos = 3_000_000_000;
-/// The standing of endpoints is looked at this often, at a few proxies of tiers that are not too large.
+/// The health of endpoints is looked at this often, at a few proxies of tiers that are not too large.
 const LOOK: Nanos = 200_000_000;
 const LOOKING_PROXIES: u32 = 8;
 const LOOKED_AT: usize = 400;
@@ -84,7 +84,7 @@
     events: VecDeque<Event>,
     actions: Vec<Action>,
     telling: bool,
-    standings: Vec<(Standing, Nanos)>,
+    endpoint_healths: Vec<(EndpointHealth, Nanos)>,
     held: Vec<Held>,
     taken: u64,
     ended: u64,
@@ -117,7 +117,7 @@
             events: VecDeque::new(),
             actions: Vec::new(),
             telling: false,
-            standings: Vec::new(),
+            endpoint_healths: Vec::new(),
             held: Vec::new(),
             taken: 0,
             ended: 0,
@@ -153,16 +153,16 @@
         let (world, zone) = (ctx.world, world_zone(ctx.world, self.machine));
         let zones = world.tiers[self.tier as usize].servers.iter().map(|s| s.zone).collect();
         let cuts = world.timeline.cuts.iter().map(|(time, zone)| (time.from, time.to, *zone)).collect();
-        let (truths, clock, tier) = (ctx.local.truths.clone(), ctx.local.clock.clone(), self.tier);
-        let sight = Rc::new(FromZone { truths, clock, tier, zones, cuts, zone });
+        let (true_states, clock, tier) = (ctx.local.true_states.clone(), ctx.local.clock.clone(), self.tier);
+        let true_state = Rc::new(ZoneTrueStateView { true_states, clock, tier, zones, cuts, zone });
         let seed = mix(mix(world.seed, u64::from(self.node)), u64::from(self.life) + 1);
-        let place = Place { settings: self.settings.clone(), seed, now: ctx.now, sight };
-        self.policy = Some((world.maker)(place));
+        let context = PolicyContext { settings: self.settings.clone(), seed, now: ctx.now, true_state };
+        self.policy = Some((world.policy_factory)(context));
         let known: Vec<Line> = world.list_as_of(self.tier, ctx.now);
         self.listen(ctx, &known, true, EndpointUpdate::Cached);
-        ctx.out.wake(ctx.now + self.sweep_every(ctx.world), Message::Sweep(self.life));
+        ctx.out.schedule(ctx.now + self.sweep_every(ctx.world), Message::Sweep(self.life));
         if self.number < LOOKING_PROXIES && world.tiers[self.tier as usize].servers.len() <= LOOKED_AT {
-            ctx.out.wake(ctx.now + LOOK, Message::Look);
+            ctx.out.schedule(ctx.now + LOOK, Message::Look);
         }
     }
 
@@ -196,7 +196,7 @@
         self.started.clear();
         self.probes.clear();
         self.events.clear();
-        self.standings.clear();
+        self.endpoint_healths.clear();
         self.watching = false;
     }
 
@@ -220,7 +220,7 @@
         if let Origin::Client(logical, attempt) = origin {
             self.by_client.insert((logical, attempt), number);
         }
-        ctx.out.wake(call.deadline.max(ctx.now), Message::Expired(number));
+        ctx.out.schedule(call.deadline.max(ctx.now), Message::Expired(number));
         let tenant = (call.tenant != super::world::NOBODY).then_some(TenantId(call.tenant));
         let left = call.deadline.saturating_sub(ctx.now);
         let request = Request { tenant, is_retry: call.retry, ..Request::new(id, ClassId(call.class), left) };
@@ -255,7 +255,7 @@
         }
         if !ended && self.open.get(&number).is_some_and(|o| !o.ended) {
             let grace = ctx.world.scenario.rules.answer_grace.nanos();
-            ctx.out.wake(ctx.now + grace + 1, Message::Overdue(number));
+            ctx.out.schedule(ctx.now + grace + 1, Message::Overdue(number));
         }
     }
 
@@ -392,7 +392,7 @@
                 self.tell(ctx, Event::Endpoints(EndpointUpdate::Failed));
             }
         }
-        ctx.out.wake(ctx.now + every, Message::Sweep(self.life));
+        ctx.out.schedule(ctx.now + every, Message::Sweep(self.life));
     }
 
     fn sweep_every(&self, world: &World) -> Nanos {
@@ -438,7 +438,7 @@
             }
             Action::StartHealthCheck(endpoint) => self.check(ctx, endpoint.0),
             Action::SetTimer { at, timer } => {
-                ctx.out.wake(at.max(ctx.now + 1), Message::Timer(timer, self.life));
+                ctx.out.schedule(at.max(ctx.now + 1), Message::Timer(timer, self.life));
             }
             Action::WatchEndpoints(on) => self.ask(ctx, on, on),
             Action::RefreshEndpoints => self.ask(ctx, true, false),
@@ -492,7 +492,7 @@
         let call = open.call;
         if deadline < call.deadline {
             let outcome = Outcome::Timeout;
-            ctx.out.wake(deadline, Message::Capped { request, number, outcome });
+            ctx.out.schedule(deadline, Message::Capped { request, number, outcome });
         }
         ctx.local.tally.attempt(ctx.now, self.tier);
         let arrives = self.put_out(ctx, &call, AttemptId { proxy: self.node, request, number }, endpoint);
@@ -518,7 +518,7 @@
             if kept.is_none() {
                 let at = ctx.now + world.scenario.limits.connect_timeout.nanos();
                 let (AttemptId { request, number, .. }, outcome) = (id, Outcome::ConnectFailed);
-                ctx.out.wake(at, Message::Capped { request, number, outcome });
+                ctx.out.schedule(at, Message::Capped { request, number, outcome });
             }
             return arrives;
         }
@@ -696,7 +696,8 @@
         ctx.local.tally.probe(ctx.now);
         let server = ctx.world.server_node(self.tier, endpoint);
         let at = ctx.now + net::between(ctx.world, self.node, server, ctx.rng);
-        ctx.out.wake(ctx.now + ctx.world.scenario.limits.probe_timeout.nanos(), Message::ProbeLost(probe));
+        ctx.out
+            .schedule(ctx.now + ctx.world.scenario.limits.probe_timeout.nanos(), Message::ProbeLost(probe));
         if net::reaches(ctx.world, self.node, server, at) {
             ctx.out.send(server, at, Message::Probe(self.node, probe));
         }
@@ -713,7 +714,7 @@
             ctx.out.send(discovery, at, Message::Ask(self.node, watch));
         } else {
             let fails = ctx.now + ctx.world.scenario.discovery.timeout.nanos();
-            ctx.out.wake(fails, Message::News(News::Failed));
+            ctx.out.schedule(fails, Message::News(News::Failed));
         }
     }
 
@@ -721,21 +722,23 @@
 
     /// Looks at how the policy sees the servers.
     pub fn look(&mut self, ctx: &mut Ctx) {
-        ctx.out.wake(ctx.now + LOOK, Message::Look);
+        ctx.out.schedule(ctx.now + LOOK, Message::Look);
         let Some(policy) = &self.policy else { return };
         let servers = &ctx.world.tiers[self.tier as usize].servers;
-        self.standings.resize(servers.len(), (Standing::Good, ctx.now));
-        for (slot, (before, since)) in self.standings.iter_mut().enumerate() {
+        self.endpoint_healths.resize(servers.len(), (EndpointHealth::Healthy, ctx.now));
+        for (slot, (before, since)) in self.endpoint_healths.iter_mut().enumerate() {
             let listed = !self.unready.contains_key(&(slot as u32));
-            let standing =
-                policy.standing(EndpointId(slot as u32)).filter(|_| listed).unwrap_or(Standing::Good);
-            if standing == *before {
+            let health = policy
+                .endpoint_health(EndpointId(slot as u32))
+                .filter(|_| listed)
+                .unwrap_or(EndpointHealth::Healthy);
+            if health == *before {
                 continue;
             }
             let why = match before {
-                Standing::Good => "",
-                Standing::Down => "down",
-                Standing::Held => "held",
+                EndpointHealth::Healthy => "",
+                EndpointHealth::Unhealthy => "down",
+                EndpointHealth::Ejected => "held",
             };
             if !why.is_empty() && self.held.len() < HELD {
                 self.held.push(Held {
@@ -746,7 +749,7 @@
                     why: why.into(),
                 });
             }
-            (*before, *since) = (standing, ctx.now);
+            (*before, *since) = (health, ctx.now);
         }
     }
 
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -7,10 +7,10 @@
 
 use super::ctx::Ctx;
 use super::faults::Stretch;
-use super::message::{Answer, Attempt, AttemptId, Change, Message, Post};
+use super::message::{Answer, Attempt, AttemptId, Change, Message, ServerStateBroadcast};
 use super::pressure::Pressure;
 use super::world::World;
-use crate::policy::Truth;
+use crate::policy::TrueState;
 use crate::scenario::{Cancel, Kind};
 use olivecart_decisions::{LoadReport, Nanos, Outcome};
 use rand::Rng;
@@ -223,16 +223,16 @@
         (self.speed * warmth / crowd / self.slower).max(1e-6)
     }
 
-    /// The truth about it, for a policy that may see it.
-    pub fn truth(&self, world: &World, now: Nanos) -> Truth {
+    /// Its true state, for a policy that may see it.
+    pub fn true_state(&self, world: &World, now: Nanos) -> TrueState {
         let speed = self.speed_now(world, now);
         let capacity = f64::from(self.kind(world).cores) * speed;
         let paused = self.paused_until.saturating_sub(now);
-        Truth {
-            serves: self.state == State::Up && !self.hangs && self.errors < 0.5,
-            wait: (self.backlog as f64 / capacity) as Nanos + paused,
+        TrueState {
+            is_serving: self.state == State::Up && !self.hangs && self.errors < 0.5,
+            queue_delay: (self.backlog as f64 / capacity) as Nanos + paused,
             capacity,
-            speed,
+            core_speed: speed,
         }
     }
 
@@ -391,7 +391,7 @@
             return;
         }
         if ends > now {
-            return ctx.out.wake(ends, Message::Worked { job, run }); // it stood still meanwhile
+            return ctx.out.schedule(ends, Message::Worked { job, run }); // it stood still meanwhile
         }
         self.settle(world, now);
         let Some(Some(this)) = self.jobs.get_mut(job as usize) else { return };
@@ -520,7 +520,7 @@
             job.stage = Stage::Running { ends };
             self.cores_used += 1;
             self.counts.busy += took;
-            ctx.out.wake(ends, Message::Worked { job: at, run: job.run });
+            ctx.out.schedule(ends, Message::Worked { job: at, run: job.run });
         }
     }
 
@@ -607,7 +607,7 @@
     fn next_pause(&self, ctx: &mut Ctx) {
         if let Some(pause) = self.kind(ctx.world).pause {
             let wait = pause.every.nanos() as f64 * ctx.rng.sample::<f64, _>(Exp1);
-            ctx.out.wake(ctx.now + wait.max(1.0) as Nanos, Message::Pause);
+            ctx.out.schedule(ctx.now + wait.max(1.0) as Nanos, Message::Pause);
         }
     }
 
@@ -658,7 +658,7 @@
                 && *ends == Nanos::MAX
             {
                 *ends = now;
-                ctx.out.wake(now, Message::Worked { job: at, run: *run });
+                ctx.out.schedule(now, Message::Worked { job: at, run: *run });
             }
         }
         self.go_on(ctx);
@@ -698,9 +698,9 @@
         self.reports.clear();
     }
 
-    /// Its truth, for all.
-    pub fn post(&self, world: &World, now: Nanos) -> Post {
-        Post { tier: self.tier, slot: self.slot, truth: self.truth(world, now) }
+    /// Its true state, for all threads.
+    pub fn post(&self, world: &World, now: Nanos) -> ServerStateBroadcast {
+        ServerStateBroadcast { tier: self.tier, slot: self.slot, true_state: self.true_state(world, now) }
     }
 
     /// Every attempt that came is accounted for.
--- a/crates/lab/src/model/world.rs
+++ b/crates/lab/src/model/world.rs
@@ -3,7 +3,7 @@
 
 use super::faults::Timeline;
 use super::sample::Sampler;
-use crate::policy::Maker;
+use crate::policy::PolicyFactory;
 use crate::scenario::{self, DiscoveryMode, Scenario, Weights};
 use olivecart_decisions as decisions;
 use olivecart_decisions::{CellId, KindId, Nanos, ZoneId};
@@ -89,17 +89,23 @@
     pub fronts: Vec<Vec<u32>>,
     /// What goes wrong when.
     pub timeline: Timeline,
-    /// Makes a proxy's policy.
-    pub maker: Maker,
-    /// The policy sees the truth.
-    pub sighted: bool,
+    /// Constructs a proxy's policy.
+    pub policy_factory: PolicyFactory,
+    /// The policy may see the true state of the servers.
+    pub policy_sees_true_state: bool,
     /// Time spent in the policy is measured.
     pub timed: bool,
 }
 
 impl World {
     /// Draws what a seed makes of a scenario that was checked.
-    pub fn new(scenario: Scenario, seed: u64, policy: &str, maker: Maker, timed: bool) -> World {
+    pub fn new(
+        scenario: Scenario,
+        seed: u64,
+        policy: &str,
+        policy_factory: PolicyFactory,
+        timed: bool,
+    ) -> World {
         let mut rng = Pcg64Mcg::seed_from_u64(mix(seed, 0xA11_0CA7E));
         let mut world = World {
             seed,
@@ -111,8 +117,8 @@
             clients: 0,
             fronts: vec![Vec::new(); scenario.zones.len()],
             timeline: Timeline::default(),
-            maker,
-            sighted: policy == "oracle",
+            policy_factory,
+            policy_sees_true_state: policy == "oracle",
             timed,
             scenario,
         };
--- a/crates/lab/src/policy/named.rs
+++ b/crates/lab/src/policy/named.rs
@@ -1,22 +1,22 @@
-//! Policies by name.
+//! Looks up policies by the names that the command line and experiment plans use.
 
 use super::broken::{Broken, Bug};
-use super::chassis::Textbook;
-use super::pick::{LeastOutstanding, Oracle, Pick, PowerOfTwo, Random, RingHash, RoundRobin};
-use super::{Place, Policy};
+use super::pick::{EndpointPicker, LeastOutstanding, Oracle, PowerOfTwo, Random, RingHash, RoundRobin};
+use super::policy_harness::PolicyHarness;
+use super::{Policy, PolicyContext};
 use olivecart_config::document::instead;
 use olivecart_decisions::Balancer;
 use thiserror::Error;
 
-/// Makes a policy. A plain function, so that every thread can make its own.
-pub type Maker = fn(Place) -> Box<dyn Policy>;
+/// Constructs a policy. A plain function, so that every thread can construct its own.
+pub type PolicyFactory = fn(PolicyContext) -> Box<dyn Policy>;
 
 /// The ordinary policies: the project's own decisions first.
 pub const NAMES: &[&str] =
     &["olivecart", "random", "round_robin", "least_outstanding", "power_of_two", "ring_hash", "oracle"];
 
-/// The decisions with a bug, for the monitors to catch. Accepted by [`named`], but no policies to compare
-/// with.
+/// The decisions with a bug, for the monitors to catch. Accepted by [`named`], but not meant for
+/// comparisons.
 pub const BROKEN: &[&str] = &[
     "broken_sends_twice",
     "broken_sends_to_draining",
@@ -31,51 +31,51 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("there is no policy {name:?}; {}", instead(name, known.iter().copied()))]
 pub struct UnknownPolicy {
-    /// What was asked for.
+    /// The requested name.
     pub name: String,
     /// The ordinary policies.
     pub known: Vec<&'static str>,
 }
 
-/// The policy of a name.
+/// The factory of the policy with this name.
 ///
 /// # Errors
 /// The name is neither among [`NAMES`] nor among [`BROKEN`].
-pub fn named(name: &str) -> Result<Maker, UnknownPolicy> {
+pub fn named(name: &str) -> Result<PolicyFactory, UnknownPolicy> {
     ordinary(name)
         .or_else(|| broken(name))
         .ok_or_else(|| UnknownPolicy { name: name.to_owned(), known: NAMES.to_vec() })
 }
 
-fn ordinary(name: &str) -> Option<Maker> {
+fn ordinary(name: &str) -> Option<PolicyFactory> {
     Some(match name {
-        "olivecart" => |place| Box::new(Balancer::new(place.settings, place.seed, place.now)),
+        "olivecart" => |context| Box::new(Balancer::new(context.settings, context.seed, context.now)),
         "random" => textbook::<Random>,
         "round_robin" => textbook::<RoundRobin>,
         "least_outstanding" => textbook::<LeastOutstanding>,
         "power_of_two" => textbook::<PowerOfTwo>,
         "ring_hash" => textbook::<RingHash>,
-        "oracle" => |place| {
-            let oracle = Oracle::new(place.sight.clone());
-            Box::new(Textbook::new(place, oracle))
+        "oracle" => |context| {
+            let oracle = Oracle::new(context.true_state.clone());
+            Box::new(PolicyHarness::new(context, oracle))
         },
         _ => return None,
     })
 }
 
-fn broken(name: &str) -> Option<Maker> {
+fn broken(name: &str) -> Option<PolicyFactory> {
     Some(match name {
-        "broken_sends_twice" => |place| Broken::boxed(Bug::SendsTwice, place),
-        "broken_sends_to_draining" => |place| Broken::boxed(Bug::SendsToDraining, place),
-        "broken_answers_twice" => |place| Broken::boxed(Bug::AnswersTwice, place),
-        "broken_loses_one" => |place| Broken::boxed(Bug::LosesOne, place),
-        "broken_answers_late" => |place| Broken::boxed(Bug::AnswersLate, place),
-        "broken_floods_cold" => |place| Broken::boxed(Bug::FloodsCold, place),
-        "broken_resends_keyed" => |place| Broken::boxed(Bug::ResendsKeyed, place),
+        "broken_sends_twice" => |context| Broken::boxed(Bug::SendsTwice, context),
+        "broken_sends_to_draining" => |context| Broken::boxed(Bug::SendsToDraining, context),
+        "broken_answers_twice" => |context| Broken::boxed(Bug::AnswersTwice, context),
+        "broken_loses_one" => |context| Broken::boxed(Bug::LosesOne, context),
+        "broken_answers_late" => |context| Broken::boxed(Bug::AnswersLate, context),
+        "broken_floods_cold" => |context| Broken::boxed(Bug::FloodsCold, context),
+        "broken_resends_keyed" => |context| Broken::boxed(Bug::ResendsKeyed, context),
         _ => return None,
     })
 }
 
-fn textbook<P: Pick + Default + 'static>(place: Place) -> Box<dyn Policy> {
-    Box::new(Textbook::new(place, P::default()))
+fn textbook<P: EndpointPicker + Default + 'static>(context: PolicyContext) -> Box<dyn Policy> {
+    Box::new(PolicyHarness::new(context, P::default()))
 }
--- a/crates/lab/src/policy/pick/least_outstanding.rs
+++ b/crates/lab/src/policy/pick/least_outstanding.rs
@@ -1,100 +1,107 @@
-//! Least outstanding requests: the endpoint at which fewest of this proxy's own attempts are out.
+//! Least outstanding requests: the endpoint with the fewest of this proxy's own attempts in flight.
 
-use super::{Chance, Pick, TRIES, least};
-use crate::policy::pool::{Ask, Pool};
+use super::{EndpointPicker, MAX_PROBES, PolicyRng, lowest_score};
+use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 use rand::Rng;
 
-/// Place of an endpoint that is in no bucket.
-const NOWHERE: u32 = u32::MAX;
+/// The position of an endpoint that is in no bucket.
+const NOT_IN_A_BUCKET: u32 = u32::MAX;
 
-/// Fewest own attempts out; of equal ones each is as likely as the other.
+/// Fewest own attempts in flight; ties are broken evenly at random.
 ///
-/// Ready endpoints lie in buckets by their count, so that a choice and a change of a count take constant
+/// Ready endpoints are kept in buckets by their count, so that a pick and a change of a count take constant
 /// time.
 #[derive(Default)]
 pub struct LeastOutstanding {
-    /// By count; in no order within one.
+    /// By count; unordered within a bucket.
     buckets: Vec<Vec<EndpointId>>,
-    /// By endpoint: its place in its bucket.
-    places: Vec<u32>,
-    /// No bucket below this one has any.
-    lowest: usize,
+    /// By endpoint: its position within its bucket.
+    positions: Vec<u32>,
+    /// All buckets below this one are empty.
+    lowest_bucket: usize,
 }
 
 impl LeastOutstanding {
-    fn put(&mut self, id: EndpointId, count: u32) {
-        let (at, count) = (id.0 as usize, count as usize);
-        if self.places.len() <= at {
-            self.places.resize(at + 1, NOWHERE);
+    fn insert(&mut self, id: EndpointId, count: u32) {
+        let index = id.0 as usize;
+        let count = count as usize;
+        if self.positions.len() <= index {
+            self.positions.resize(index + 1, NOT_IN_A_BUCKET);
         }
         if self.buckets.len() <= count {
             self.buckets.resize_with(count + 1, Vec::new);
         }
-        self.places[at] = self.buckets[count].len() as u32;
+        self.positions[index] = self.buckets[count].len() as u32;
         self.buckets[count].push(id);
-        self.lowest = self.lowest.min(count);
+        self.lowest_bucket = self.lowest_bucket.min(count);
     }
 
-    /// Takes an endpoint out of the bucket of `count`; says whether it was in one.
-    fn take(&mut self, id: EndpointId, count: u32) -> bool {
-        let Some(place) = self.places.get_mut(id.0 as usize) else { return false };
-        let place = std::mem::replace(place, NOWHERE);
-        let Some(bucket) = self.buckets.get_mut(count as usize).filter(|_| place != NOWHERE) else {
+    /// Removes an endpoint from the bucket of `count`; returns whether it was in one.
+    fn remove(&mut self, id: EndpointId, count: u32) -> bool {
+        let Some(position) = self.positions.get_mut(id.0 as usize) else { return false };
+        let position = std::mem::replace(position, NOT_IN_A_BUCKET);
+        let Some(bucket) = self.buckets.get_mut(count as usize).filter(|_| position != NOT_IN_A_BUCKET)
+        else {
             return false;
         };
-        bucket.swap_remove(place as usize);
-        if let Some(moved) = bucket.get(place as usize) {
-            self.places[moved.0 as usize] = place;
+        bucket.swap_remove(position as usize);
+        if let Some(moved) = bucket.get(position as usize) {
+            self.positions[moved.0 as usize] = position;
         }
-        while self.buckets.get(self.lowest).is_some_and(Vec::is_empty) {
-            self.lowest += 1;
+        while self.buckets.get(self.lowest_bucket).is_some_and(Vec::is_empty) {
+            self.lowest_bucket += 1;
         }
         true
     }
 
-    fn recount(&mut self, id: EndpointId, before: u32, after: u32) {
-        if self.take(id, before) {
-            self.put(id, after);
+    fn move_between_buckets(&mut self, id: EndpointId, before: u32, after: u32) {
+        if self.remove(id, before) {
+            self.insert(id, after);
         }
     }
 }
 
-impl Pick for LeastOutstanding {
-    fn choose(&mut self, pool: &Pool, ask: &Ask, chance: &mut Chance) -> Option<EndpointId> {
-        if pool.confines(ask) {
-            return least(pool.candidates(ask), |id| pool.in_flight(id), chance);
+impl EndpointPicker for LeastOutstanding {
+    fn pick(
+        &mut self,
+        pool: &EndpointPool,
+        request: &PickRequest,
+        rng: &mut PolicyRng,
+    ) -> Option<EndpointId> {
+        if pool.is_confined_to_cell(request) {
+            return lowest_score(pool.candidates(request), |id| pool.in_flight(id), rng);
         }
-        for bucket in self.buckets.iter().skip(self.lowest).filter(|b| !b.is_empty()) {
-            for _ in 0..TRIES {
-                let id = bucket[chance.random_range(0..bucket.len())];
-                if pool.allows(ask, id) {
+        for bucket in self.buckets.iter().skip(self.lowest_bucket).filter(|b| !b.is_empty()) {
+            for _ in 0..MAX_PROBES {
+                let id = bucket[rng.random_range(0..bucket.len())];
+                if pool.allows(request, id) {
                     return Some(id);
                 }
             }
-            let allowed = bucket.iter().copied().filter(|id| pool.allows(ask, *id));
-            if let Some(id) = least(allowed, |_| 0, chance) {
+            let allowed = bucket.iter().copied().filter(|id| pool.allows(request, *id));
+            if let Some(id) = lowest_score(allowed, |_| 0, rng) {
                 return Some(id);
             }
         }
         None
     }
 
-    fn joined(&mut self, pool: &Pool, id: EndpointId, _name: &str) {
-        self.put(id, pool.in_flight(id));
+    fn endpoint_added(&mut self, pool: &EndpointPool, id: EndpointId, _name: &str) {
+        self.insert(id, pool.in_flight(id));
     }
 
-    fn left(&mut self, pool: &Pool, id: EndpointId) {
-        self.take(id, pool.in_flight(id));
+    fn endpoint_removed(&mut self, pool: &EndpointPool, id: EndpointId) {
+        self.remove(id, pool.in_flight(id));
     }
 
-    fn sent(&mut self, pool: &Pool, id: EndpointId, _ask: &Ask) {
+    fn attempt_started(&mut self, pool: &EndpointPool, id: EndpointId, _request: &PickRequest) {
         let count = pool.in_flight(id);
-        self.recount(id, count - 1, count);
+        self.move_between_buckets(id, count - 1, count);
     }
 
-    fn ended(&mut self, pool: &Pool, id: EndpointId) {
+    fn attempt_ended(&mut self, pool: &EndpointPool, id: EndpointId) {
         let count = pool.in_flight(id);
-        self.recount(id, count + 1, count);
+        self.move_between_buckets(id, count + 1, count);
     }
 }
--- a/crates/lab/src/policy/pick/mod.rs
+++ b/crates/lab/src/policy/pick/mod.rs
@@ -1,7 +1,8 @@
-//! How a textbook policy chooses a server; all the rest of one is the [chassis](super::chassis).
+//! How a textbook policy picks an endpoint; everything else about it is the
+//! [policy harness](super::policy_harness).
 //!
-//! None of them knows of sizes, zones, warm-up, load reports or failures but for its own attempts: that is
-//! what they are here to show.
+//! Apart from the oracle, no picker knows of sizes, zones, slow start, load reports or failures of other
+//! proxies' attempts: that is what they are here to show.
 
 mod least_outstanding;
 mod oracle;
@@ -17,70 +18,74 @@
 pub use ring_hash::RingHash;
 pub use round_robin::RoundRobin;
 
-use super::pool::{Ask, Pool};
+use super::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 use rand::Rng;
 
-/// The generator of a policy's chance: 16 bytes, the same sequence on every machine.
-pub type Chance = rand_pcg::Pcg64Mcg;
+/// The random number generator of a policy: 16 bytes, the same sequence on every machine.
+pub type PolicyRng = rand_pcg::Pcg64Mcg;
 
-/// Endpoints that are tried at random before the list is walked.
-const TRIES: u32 = 16;
+/// How many endpoints are probed at random before the list is walked.
+const MAX_PROBES: u32 = 16;
 
-/// A choice among the ready endpoints.
-pub trait Pick {
-    /// The endpoint a request goes to; none: there is none for it.
-    fn choose(&mut self, pool: &Pool, ask: &Ask, chance: &mut Chance) -> Option<EndpointId>;
+/// Picks one of the ready endpoints.
+pub trait EndpointPicker {
+    /// The endpoint that a request is sent to; `None` if there is none for it.
+    fn pick(&mut self, pool: &EndpointPool, request: &PickRequest, rng: &mut PolicyRng)
+    -> Option<EndpointId>;
 
-    /// An endpoint now takes requests. Its name is the same at all proxies.
-    fn joined(&mut self, _pool: &Pool, _id: EndpointId, _name: &str) {}
+    /// An endpoint started taking requests. Its name is the same at all proxies.
+    fn endpoint_added(&mut self, _pool: &EndpointPool, _id: EndpointId, _name: &str) {}
 
-    /// An endpoint no longer takes requests.
-    fn left(&mut self, _pool: &Pool, _id: EndpointId) {}
+    /// An endpoint stopped taking requests.
+    fn endpoint_removed(&mut self, _pool: &EndpointPool, _id: EndpointId) {}
 
-    /// All that one piece of news said has been told.
-    fn listed(&mut self, _pool: &Pool) {}
+    /// All changes of one update of the list have been reported.
+    fn update_completed(&mut self, _pool: &EndpointPool) {}
 
-    /// An attempt went out; the pool counts it already.
-    fn sent(&mut self, _pool: &Pool, _id: EndpointId, _ask: &Ask) {}
+    /// An attempt was started; the pool counts it already.
+    fn attempt_started(&mut self, _pool: &EndpointPool, _id: EndpointId, _request: &PickRequest) {}
 
-    /// An attempt ended; the pool counts it no more. The endpoint may have left meanwhile.
-    fn ended(&mut self, _pool: &Pool, _id: EndpointId) {}
+    /// An attempt ended; the pool no longer counts it. The endpoint may have been removed meanwhile.
+    fn attempt_ended(&mut self, _pool: &EndpointPool, _id: EndpointId) {}
 }
 
-/// One of those that may be chosen, all equally likely.
-fn any(pool: &Pool, ask: &Ask, chance: &mut Chance) -> Option<EndpointId> {
+/// One of the allowed endpoints, all equally likely.
+fn random_allowed(pool: &EndpointPool, request: &PickRequest, rng: &mut PolicyRng) -> Option<EndpointId> {
     let ready = pool.ready();
-    if !ready.is_empty() && !pool.confines(ask) {
-        for _ in 0..TRIES {
-            let id = ready[chance.random_range(0..ready.len())];
-            if pool.allows(ask, id) {
+    if !ready.is_empty() && !pool.is_confined_to_cell(request) {
+        for _ in 0..MAX_PROBES {
+            let id = ready[rng.random_range(0..ready.len())];
+            if pool.allows(request, id) {
                 return Some(id);
             }
         }
     }
-    least(pool.candidates(ask), |_| 0, chance)
+    lowest_score(pool.candidates(request), |_| 0, rng)
 }
 
-/// The one of least `score`, all such equally likely (reservoir sampling).
-fn least<S: PartialOrd>(
-    among: impl Iterator<Item = EndpointId>,
-    mut score: impl FnMut(EndpointId) -> S,
-    chance: &mut Chance,
+/// The endpoint with the lowest score, ties broken evenly at random (reservoir sampling).
+fn lowest_score<S: PartialOrd>(
+    candidates: impl Iterator<Item = EndpointId>,
+    mut score_of: impl FnMut(EndpointId) -> S,
+    rng: &mut PolicyRng,
 ) -> Option<EndpointId> {
     let mut best: Option<(S, EndpointId)> = None;
     let mut ties = 1u32;
-    for id in among {
-        let score = score(id);
+    for id in candidates {
+        let score = score_of(id);
         match &best {
-            Some((least, _)) if score > *least => {}
-            Some((least, _)) if score == *least => {
+            Some((lowest, _)) if score > *lowest => {}
+            Some((lowest, _)) if score == *lowest => {
                 ties += 1;
-                if chance.random_range(0..ties) == 0 {
+                if rng.random_range(0..ties) == 0 {
                     best = Some((score, id));
                 }
             }
-            _ => (best, ties) = (Some((score, id)), 1),
+            _ => {
+                best = Some((score, id));
+                ties = 1;
+            }
         }
     }
     best.map(|(_, id)| id)
--- a/crates/lab/src/policy/pick/random.rs
+++ b/crates/lab/src/policy/pick/random.rs
@@ -1,15 +1,20 @@
 //! Random: each ready endpoint equally likely.
 
-use super::{Chance, Pick, any};
-use crate::policy::pool::{Ask, Pool};
+use super::{EndpointPicker, PolicyRng, random_allowed};
+use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 
-/// Each ready endpoint equally likely, whatever is out there already.
+/// Each ready endpoint equally likely, whatever is in flight already.
 #[derive(Default)]
 pub struct Random;
 
-impl Pick for Random {
-    fn choose(&mut self, pool: &Pool, ask: &Ask, chance: &mut Chance) -> Option<EndpointId> {
-        any(pool, ask, chance)
+impl EndpointPicker for Random {
+    fn pick(
+        &mut self,
+        pool: &EndpointPool,
+        request: &PickRequest,
+        rng: &mut PolicyRng,
+    ) -> Option<EndpointId> {
+        random_allowed(pool, request, rng)
     }
 }
--- a/crates/lab/src/policy/pick/round_robin.rs
+++ b/crates/lab/src/policy/pick/round_robin.rs
@@ -1,31 +1,37 @@
 //! Round robin: one ready endpoint after another.
 
-use super::{Chance, Pick, TRIES, any};
-use crate::policy::pool::{Ask, Pool};
+use super::{EndpointPicker, MAX_PROBES, PolicyRng, random_allowed};
+use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 use rand::Rng;
 
-/// One ready endpoint after another, beginning anywhere: proxies that start together must not go in step.
+/// One ready endpoint after another, starting at a random one: proxies that start together must not go in
+/// step.
 #[derive(Default)]
 pub struct RoundRobin {
     next: Option<usize>,
 }
 
-impl Pick for RoundRobin {
-    fn choose(&mut self, pool: &Pool, ask: &Ask, chance: &mut Chance) -> Option<EndpointId> {
+impl EndpointPicker for RoundRobin {
+    fn pick(
+        &mut self,
+        pool: &EndpointPool,
+        request: &PickRequest,
+        rng: &mut PolicyRng,
+    ) -> Option<EndpointId> {
         let ready = pool.ready();
-        if ready.is_empty() || pool.confines(ask) {
-            return any(pool, ask, chance);
+        if ready.is_empty() || pool.is_confined_to_cell(request) {
+            return random_allowed(pool, request, rng);
         }
-        let mut at = self.next.unwrap_or_else(|| chance.random_range(0..ready.len()));
-        for _ in 0..TRIES {
-            let id = ready[at % ready.len()];
-            at = (at + 1) % ready.len();
-            self.next = Some(at);
-            if pool.allows(ask, id) {
+        let mut index = self.next.unwrap_or_else(|| rng.random_range(0..ready.len()));
+        for _ in 0..MAX_PROBES {
+            let id = ready[index % ready.len()];
+            index = (index + 1) % ready.len();
+            self.next = Some(index);
+            if pool.allows(request, id) {
                 return Some(id);
             }
         }
-        any(pool, ask, chance)
+        random_allowed(pool, request, rng)
     }
 }
--- a/crates/lab/src/policy/pool.rs
+++ b/crates/lab/src/policy/pool.rs
@@ -1,116 +1,124 @@
-//! What a textbook policy knows of the endpoints: which of them take requests, and how many attempts of its
-//! own each has out. Some 30 bytes for each, and nothing here walks the list for a request, but
-//! [`Pool::candidates`] on a list restricted to a zone.
+//! The endpoints that a textbook policy knows: which of them take requests, and how many of its own attempts
+//! each has in flight.
+//!
+//! Costs some 30 bytes per endpoint. Nothing here walks the whole list for a request, except
+//! [`EndpointPool::candidates`] for a request that is restricted to a zone.
 
 use olivecart_decisions::{
     CellId, DeduplicationScope, EndpointEntry, EndpointId, EndpointState, EndpointUpdate, Nanos, ZoneId,
 };
 use std::collections::BTreeSet;
 
-/// Place of an endpoint that is not among the ready ones.
-const NOWHERE: u32 = u32::MAX;
+/// The index of an endpoint that is not in the ready list.
+const NOT_READY: u32 = u32::MAX;
 
-/// What is remembered of an endpoint.
+/// The record of one endpoint.
 #[derive(Clone, Copy)]
-struct Slot {
+struct EndpointSlot {
     cell: CellId,
     in_flight: u32,
-    /// Index into the ready ones, or [`NOWHERE`].
-    place: u32,
+    /// Index into the ready list, or [`NOT_READY`].
+    ready_index: u32,
     zone: ZoneId,
 }
 
-const UNHEARD: Slot = Slot { cell: CellId(0), in_flight: 0, place: NOWHERE, zone: ZoneId(0) };
+const UNKNOWN: EndpointSlot =
+    EndpointSlot { cell: CellId(0), in_flight: 0, ready_index: NOT_READY, zone: ZoneId(0) };
 
-/// What one choice is about.
+/// One request for which an endpoint has to be picked.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    /// The time.
+pub struct PickRequest {
+    /// The current time.
     pub now: Nanos,
-    /// Hash of the request's subject, or of the request itself where it names none.
-    pub key: u64,
+    /// Hash of the request's key, or of the request's id if it has no key.
+    pub hash: u64,
     /// Expected work, as time on a standard core.
-    pub work: Nanos,
-    /// Where it was tried before.
-    pub not: Option<EndpointId>,
-    /// The only group it may still be sent to: that of this endpoint.
-    pub within: Option<(DeduplicationScope, EndpointId)>,
+    pub estimated_work: Nanos,
+    /// The endpoint of the previous attempt, which is not tried again.
+    pub excluded: Option<EndpointId>,
+    /// The request may be sent only to the deduplication group of this endpoint.
+    pub restricted_to: Option<(DeduplicationScope, EndpointId)>,
 }
 
 /// The endpoints of one proxy.
-pub struct Pool {
-    slots: Vec<Slot>,
+pub struct EndpointPool {
+    slots: Vec<EndpointSlot>,
     ready: Vec<EndpointId>,
-    /// The ready ones by cell; only kept where a class of requests has to stay in its cell.
-    cells: Option<BTreeSet<(CellId, EndpointId)>>,
+    /// The ready endpoints by cell; kept only if some request class is confined to its cell.
+    ready_by_cell: Option<BTreeSet<(CellId, EndpointId)>>,
 }
 
-impl Pool {
-    /// An empty one. `by_cell`: some class of requests has to stay in its cell.
-    pub fn new(by_cell: bool) -> Pool {
-        Pool { slots: Vec::new(), ready: Vec::new(), cells: by_cell.then(BTreeSet::new) }
+impl EndpointPool {
+    /// An empty pool. `index_cells`: some request class is confined to its cell.
+    pub fn new(index_cells: bool) -> EndpointPool {
+        let ready_by_cell = index_cells.then(BTreeSet::new);
+        EndpointPool { slots: Vec::new(), ready: Vec::new(), ready_by_cell }
     }
 
-    /// Those that take requests, in no order that means anything; the same events give the same order.
+    /// The endpoints that take requests, in an arbitrary order; the same events give the same order.
     pub fn ready(&self) -> &[EndpointId] {
         &self.ready
     }
 
-    /// Attempts of this proxy that are out at an endpoint.
+    /// How many attempts of this proxy are in flight at an endpoint.
     pub fn in_flight(&self, id: EndpointId) -> u32 {
         self.slot(id).in_flight
     }
 
     /// Whether an endpoint takes requests.
     pub fn is_ready(&self, id: EndpointId) -> bool {
-        self.slot(id).place != NOWHERE
+        self.slot(id).ready_index != NOT_READY
     }
 
-    /// Whether a ready endpoint may be chosen for `ask`.
-    pub fn allows(&self, ask: &Ask, id: EndpointId) -> bool {
-        let joins = |(group, like)| match group {
-            DeduplicationScope::All => true,
-            DeduplicationScope::Zone => self.slot(like).zone == self.slot(id).zone,
-            DeduplicationScope::Cell => self.slot(like).cell == self.slot(id).cell,
+    /// Whether a ready endpoint may be picked for a request.
+    pub fn allows(&self, request: &PickRequest, id: EndpointId) -> bool {
+        let is_excluded = request.excluded == Some(id);
+        let is_in_group = match request.restricted_to {
+            None | Some((DeduplicationScope::All, _)) => true,
+            Some((DeduplicationScope::Zone, member)) => self.slot(member).zone == self.slot(id).zone,
+            Some((DeduplicationScope::Cell, member)) => self.slot(member).cell == self.slot(id).cell,
         };
-        ask.not != Some(id) && ask.within.is_none_or(joins)
+        !is_excluded && is_in_group
     }
 
-    /// Whether only a handful of the ready endpoints can be chosen, so that trying some at random is no use.
-    pub fn confines(&self, ask: &Ask) -> bool {
-        self.cells.is_some() && matches!(ask.within, Some((DeduplicationScope::Cell, _)))
+    /// Whether only a handful of the ready endpoints can be picked, so that random probing is pointless.
+    pub fn is_confined_to_cell(&self, request: &PickRequest) -> bool {
+        self.ready_by_cell.is_some() && matches!(request.restricted_to, Some((DeduplicationScope::Cell, _)))
     }
 
-    /// All that may be chosen for `ask`. Walks a cell where that is what the request is confined to, else the
-    /// whole list: for short lists, and for the rare repeat for which trying some at random found none.
-    pub fn candidates(&self, ask: &Ask) -> impl Iterator<Item = EndpointId> {
-        let cell = match (&self.cells, ask.within) {
-            (Some(cells), Some((DeduplicationScope::Cell, like))) => Some((cells, self.slot(like).cell)),
+    /// All endpoints that may be picked for a request. Walks one cell if the request is confined to it, else
+    /// the whole list: meant for short lists, and for the rare retry for which random probing found none.
+    pub fn candidates(&self, request: &PickRequest) -> impl Iterator<Item = EndpointId> {
+        let cell = match (&self.ready_by_cell, request.restricted_to) {
+            (Some(by_cell), Some((DeduplicationScope::Cell, member))) => {
+                Some((by_cell, self.slot(member).cell))
+            }
             _ => None,
         };
-        let in_cell = cell.map(|(cells, cell)| {
-            let (first, last) = ((cell, EndpointId(0)), (cell, EndpointId(u32::MAX)));
-            cells.range(first..=last).map(|(_, id)| *id)
+        let in_cell = cell.map(|(by_cell, cell)| {
+            let first = (cell, EndpointId(0));
+            let last = (cell, EndpointId(u32::MAX));
+            by_cell.range(first..=last).map(|(_, id)| *id)
         });
-        let whole = if cell.is_none() { self.ready.as_slice() } else { &[] };
-        let all = in_cell.into_iter().flatten().chain(whole.iter().copied());
-        let ask = *ask;
-        all.filter(move |id| self.allows(&ask, *id))
+        let whole_list = if cell.is_none() { self.ready.as_slice() } else { &[] };
+        let considered = in_cell.into_iter().flatten().chain(whole_list.iter().copied());
+        let request = *request;
+        considered.filter(move |id| self.allows(&request, *id))
     }
 
-    fn slot(&self, id: EndpointId) -> &Slot {
-        self.slots.get(id.0 as usize).unwrap_or(&UNHEARD)
+    fn slot(&self, id: EndpointId) -> &EndpointSlot {
+        self.slots.get(id.0 as usize).unwrap_or(&UNKNOWN)
     }
 
-    /// Counts an attempt that goes out.
-    pub(super) fn sent(&mut self, id: EndpointId) {
+    /// Counts an attempt that starts.
+    pub(super) fn attempt_started(&mut self, id: EndpointId) {
         if let Some(slot) = self.slots.get_mut(id.0 as usize) {
             slot.in_flight += 1;
         }
     }
 
-    /// Counts an attempt that came to its end; says whether there was one.
-    pub(super) fn ended(&mut self, id: EndpointId) -> bool {
+    /// Counts an attempt that ended; returns whether one was in flight.
+    pub(super) fn attempt_ended(&mut self, id: EndpointId) -> bool {
         let Some(slot) = self.slots.get_mut(id.0 as usize).filter(|slot| slot.in_flight > 0) else {
             return false;
         };
@@ -118,73 +126,80 @@
         true
     }
 
-    /// Takes news of the list. `moved` is told of each endpoint that began (true) or ceased to take requests,
-    /// with its entry where there is one.
-    pub(super) fn follow(
+    /// Applies an update of the list. `on_change` is called for each endpoint that started or stopped taking
+    /// requests, with its entry if the update has one.
+    pub(super) fn apply_update(
         &mut self,
-        change: EndpointUpdate,
-        mut moved: impl FnMut(&Pool, EndpointId, Option<&EndpointEntry>),
+        update: EndpointUpdate,
+        mut on_change: impl FnMut(&EndpointPool, EndpointId, Option<&EndpointEntry>),
     ) {
-        let (entries, whole) = match change {
+        let entries = match update {
             EndpointUpdate::Failed => return,
-            EndpointUpdate::Delta(entries) => (entries, false),
-            EndpointUpdate::Snapshot(entries) | EndpointUpdate::Cached(entries) => (entries, true),
-        };
-        if whole {
-            let mut named = vec![false; self.slots.len()];
-            for entry in entries.iter().filter(|e| e.state == EndpointState::Ready) {
-                if let Some(mark) = named.get_mut(entry.id.0 as usize) {
-                    *mark = true;
+            EndpointUpdate::Delta(entries) => entries,
+            EndpointUpdate::Snapshot(entries) | EndpointUpdate::Cached(entries) => {
+                for id in self.ready_but_missing_from(&entries) {
+                    self.remove_ready(id);
+                    on_change(self, id, None);
                 }
+                entries
             }
-            let missing: Vec<_> = self.ready.iter().filter(|id| !named[id.0 as usize]).copied().collect();
-            for id in missing {
-                self.leave(id);
-                moved(self, id, None);
+        };
+        for entry in &entries {
+            let was_ready = self.is_ready(entry.id);
+            self.apply_entry(entry);
+            if was_ready != self.is_ready(entry.id) {
+                on_change(self, entry.id, Some(entry));
             }
         }
-        for entry in &entries {
-            let (id, was) = (entry.id, self.is_ready(entry.id));
-            self.list(entry);
-            if was != self.is_ready(id) {
-                moved(self, id, Some(entry));
+    }
+
+    /// The ready endpoints that a complete list does not name as ready.
+    fn ready_but_missing_from(&self, entries: &[EndpointEntry]) -> Vec<EndpointId> {
+        let mut is_listed = vec![false; self.slots.len()];
+        for entry in entries.iter().filter(|entry| entry.state == EndpointState::Ready) {
+            if let Some(listed) = is_listed.get_mut(entry.id.0 as usize) {
+                *listed = true;
             }
         }
+        self.ready.iter().filter(|id| !is_listed[id.0 as usize]).copied().collect()
     }
 
-    fn list(&mut self, entry: &EndpointEntry) {
-        let at = entry.id.0 as usize;
-        if self.slots.len() <= at {
-            self.slots.resize(at + 1, UNHEARD);
+    fn apply_entry(&mut self, entry: &EndpointEntry) {
+        let index = entry.id.0 as usize;
+        if self.slots.len() <= index {
+            self.slots.resize(index + 1, UNKNOWN);
         }
-        let ready = self.is_ready(entry.id);
-        let moves = ready && self.slots[at].cell != entry.cell;
-        if moves || ready && entry.state != EndpointState::Ready {
-            self.leave(entry.id);
+        let changes_cell = self.slots[index].cell != entry.cell;
+        if self.is_ready(entry.id) && (changes_cell || entry.state != EndpointState::Ready) {
+            self.remove_ready(entry.id);
         }
-        self.slots[at].cell = entry.cell;
-        self.slots[at].zone = entry.zone;
+        self.slots[index].cell = entry.cell;
+        self.slots[index].zone = entry.zone;
         if entry.state == EndpointState::Ready && !self.is_ready(entry.id) {
-            self.slots[at].place = self.ready.len() as u32;
-            self.ready.push(entry.id);
-            if let Some(cells) = &mut self.cells {
-                cells.insert((entry.cell, entry.id));
-            }
+            self.add_ready(entry.id, entry.cell);
+        }
+    }
+
+    fn add_ready(&mut self, id: EndpointId, cell: CellId) {
+        self.slots[id.0 as usize].ready_index = self.ready.len() as u32;
+        self.ready.push(id);
+        if let Some(by_cell) = &mut self.ready_by_cell {
+            by_cell.insert((cell, id));
         }
     }
 
-    fn leave(&mut self, id: EndpointId) {
-        let Slot { place, cell, .. } = *self.slot(id);
-        if place == NOWHERE {
+    fn remove_ready(&mut self, id: EndpointId) {
+        let EndpointSlot { ready_index, cell, .. } = *self.slot(id);
+        if ready_index == NOT_READY {
             return;
         }
-        self.ready.swap_remove(place as usize);
-        if let Some(moved) = self.ready.get(place as usize) {
-            self.slots[moved.0 as usize].place = place;
+        self.ready.swap_remove(ready_index as usize);
+        if let Some(moved) = self.ready.get(ready_index as usize) {
+            self.slots[moved.0 as usize].ready_index = ready_index;
         }
-        self.slots[id.0 as usize].place = NOWHERE;
-        if let Some(cells) = &mut self.cells {
-            cells.remove(&(cell, id));
+        self.slots[id.0 as usize].ready_index = NOT_READY;
+        if let Some(by_cell) = &mut self.ready_by_cell {
+            by_cell.remove(&(cell, id));
         }
     }
 }
--- a/crates/lab/src/run/mod.rs
+++ b/crates/lab/src/run/mod.rs
@@ -37,12 +37,12 @@
 
 /// Plays a scenario that was checked.
 pub fn run(scenario: &Checked, policy: &str, seed: u64, options: Options) -> Result<RunResult, RunError> {
-    let maker = policy::named(policy)?;
-    let world = World::new(Scenario::clone(scenario), seed, policy, maker, options.timed);
+    let policy_factory = policy::named(policy)?;
+    let world = World::new(Scenario::clone(scenario), seed, policy, policy_factory, options.timed);
     let began = Instant::now();
-    let played = engine::play(&world, options.threads)?;
+    let outcome = engine::run(&world, options.threads)?;
     let wall_s = began.elapsed().as_secs_f64();
-    let mut parts = played.rest.into_iter();
+    let mut parts = outcome.outputs.into_iter();
     let Some(mut all) = parts.next() else { return Ok(RunResult::default()) };
     for part in parts {
         all.digests.extend(part.digests);
@@ -73,7 +73,7 @@
     };
     let cost = Cost {
         threads: options.threads as u32,
-        events: played.events,
+        events: outcome.events,
         wall_s,
         policy_s: all.policy_s,
         peak_mib: peak_mib(),
--- a/crates/lab/src/sidecars/mod.rs
+++ b/crates/lab/src/sidecars/mod.rs
@@ -188,10 +188,10 @@
     plan.check()?;
     let fleet = Fleet::new(&plan);
     let world = World { newest: fleet.print(plan.back()), fleet, plan };
-    let played = engine::play(&world, threads)?;
-    let mut all = Outcomes { events: played.events, ..Outcomes::default() };
+    let outcome = engine::run(&world, threads)?;
+    let mut all = Outcomes { events: outcome.events, ..Outcomes::default() };
     let (mut newest, mut digests) = (Vec::new(), Vec::new());
-    for rest in played.rest.into_iter().flatten() {
+    for rest in outcome.outputs.into_iter().flatten() {
         digests.push((rest.node, rest.digest));
         match rest.of {
             Of::Plane(plane) => {
@@ -351,21 +351,21 @@
 impl Model for World {
     type Node = Node;
     type Message = Message;
-    type Post = ();
-    type Local = ();
-    type Rest = Vec<Rest>;
+    type Broadcast = ();
+    type ThreadState = ();
+    type ThreadOutput = Vec<Rest>;
 
-    fn nodes(&self) -> u32 {
+    fn node_count(&self) -> u32 {
         self.plan.sidecars + 1
     }
     fn lookahead(&self) -> Nanos {
         LATENCY
     }
-    fn end(&self) -> Nanos {
+    fn end_time(&self) -> Nanos {
         self.plan.back() + AFTER
     }
-    fn local(&self) {}
-    fn node(&self, id: u32, (): &mut (), out: &mut Outbox<Self>) -> Node {
+    fn thread_state(&self) {}
+    fn create_node(&self, id: u32, (): &mut (), out: &mut Outbox<Self>) -> Node {
         let mut rng = Pcg64Mcg::seed_from_u64(mix(self.plan.seed, u64::from(id)));
         let role = match id {
             0 => Role::Plane(Plane::new(self, out)),
@@ -380,14 +380,14 @@
             Role::Sidecar(sidecar) => sidecar.handle(self, &mut node.rng, now, message, out),
         }
     }
-    fn heard(&self, (): (), (): &mut ()) {}
-    fn open(&self, (): &()) -> u64 {
+    fn receive_broadcast(&self, (): (), (): &mut ()) {}
+    fn open_requests(&self, (): &()) -> u64 {
         0
     }
-    fn most_open(&self) -> u64 {
+    fn max_open_requests(&self) -> u64 {
         u64::MAX
     }
-    fn most_events(&self) -> u64 {
+    fn max_pending_events(&self) -> u64 {
         MOST_EVENTS
     }
     fn finish(&self, nodes: Vec<(u32, Node)>, (): ()) -> Vec<Rest> {
--- a/crates/lab/src/sidecars/plane.rs
+++ b/crates/lab/src/sidecars/plane.rs
@@ -52,10 +52,10 @@
 
 impl Plane {
     pub fn new(world: &World, out: &mut Outbox<World>) -> Plane {
-        out.wake(GOES, Message::Goes);
-        out.wake(world.plan.back(), Message::Returns);
+        out.schedule(GOES, Message::Goes);
+        out.schedule(world.plan.back(), Message::Returns);
         for (generation, at) in world.fleet.changes.iter().enumerate() {
-            out.wake(*at, Message::Changes(generation + 1));
+            out.schedule(*at, Message::Changes(generation + 1));
         }
         Plane {
             is_up: true,
@@ -115,7 +115,7 @@
         }
         if !self.works && !self.queue.is_empty() {
             self.works = true;
-            out.wake(now, Message::Worked);
+            out.schedule(now, Message::Worked);
         }
     }
 
@@ -171,7 +171,7 @@
             out.send(from, now + takes + LATENCY, Message::Response(number, Box::new(said)));
         }
         self.works = true;
-        out.wake(now + takes.max(1), Message::Worked);
+        out.schedule(now + takes.max(1), Message::Worked);
     }
 
     fn stream(&mut self, from: u32, number: u32) -> Option<(&mut Session, &Resources)> {
--- a/crates/lab/src/sidecars/sidecar.rs
+++ b/crates/lab/src/sidecars/sidecar.rs
@@ -87,8 +87,8 @@
         let balancer =
             |at: u32| Balancer::new(settings.clone(), mix(plan.seed, u64::from(id) << 16 | u64::from(at)), 0);
         let numbers = world.fleet.servers.iter().zip(0..);
-        out.wake(rng.random_range(0..STARTS), Message::Wake);
-        out.wake(STARTS * 2, Message::Arrival);
+        out.schedule(rng.random_range(0..STARTS), Message::Wake);
+        out.schedule(STARTS * 2, Message::Arrival);
         Sidecar {
             id,
             talk: Session::new(config),
@@ -156,7 +156,7 @@
         let deadline = [self.talk.deadline(), self.catalog.deadline()].into_iter().flatten().min();
         if let Some(at) = deadline.filter(|at| *at < self.wakes) {
             self.wakes = at.max(now);
-            out.wake(self.wakes, Message::Wake);
+            out.schedule(self.wakes, Message::Wake);
         }
     }
 
@@ -174,7 +174,7 @@
             if at > now {
                 if !self.reads {
                     self.reads = true;
-                    out.wake(at, Message::Read);
+                    out.schedule(at, Message::Read);
                 }
                 return;
             }
@@ -195,7 +195,7 @@
                 Output::Connect => {
                     let number = self.link.0;
                     out.send(0, now + LATENCY, Message::Dial(self.id, number));
-                    out.wake(now + CONNECT, Message::TooLong(number));
+                    out.schedule(now + CONNECT, Message::TooLong(number));
                 }
                 Output::Send(request) => {
                     let heard = match *request {
@@ -259,7 +259,7 @@
 
     fn arrival(&mut self, world: &World, rng: &mut Pcg64Mcg, now: Nanos, out: &mut Outbox<World>) {
         let gap: f64 = rng.sample(Exp1);
-        out.wake(now + (gap * 1e9 / world.plan.rate) as Nanos + 1, Message::Arrival);
+        out.schedule(now + (gap * 1e9 / world.plan.rate) as Nanos + 1, Message::Arrival);
         let when = usize::from(now >= GOES) + usize::from(now >= world.plan.back());
         let cluster = rng.random_range(0..world.plan.clusters);
         let id = self.next;
@@ -337,15 +337,15 @@
                     };
                     let (at, outcome) = if at > limit { (limit, Outcome::Timeout) } else { (at, outcome) };
                     let attempt = Attempt { request: request.0, attempt, endpoint, outcome, sent: now };
-                    out.wake(at, Message::Attempt(cluster, attempt));
+                    out.schedule(at, Message::Attempt(cluster, attempt));
                 }
                 Action::StartHealthCheck(endpoint) => {
                     let server = world.fleet.server(cluster, endpoint);
                     let outcome = if lives(server, now) { Outcome::Ok } else { Outcome::ConnectFailed };
                     let took = 2 * LATENCY;
-                    out.wake(now + took, Message::Checked(cluster, endpoint, outcome, took));
+                    out.schedule(now + took, Message::Checked(cluster, endpoint, outcome, took));
                 }
-                Action::SetTimer { at, timer } => out.wake(at.max(now), Message::Timer(cluster, timer)),
+                Action::SetTimer { at, timer } => out.schedule(at.max(now), Message::Timer(cluster, timer)),
                 Action::Shed { request, .. } | Action::Fail(request) => self.end(request.0, false),
                 _ => {}
             }
--- a/crates/lab/src/sockets/overhead.rs
+++ b/crates/lab/src/sockets/overhead.rs
@@ -106,8 +106,8 @@
     let text = SCENARIO.replace("rate = 1.0", &format!("rate = {rate:?}"));
     let text = text.replace("length = \"10s\"", &format!("length = \"{seconds}s\""));
     let scenario = Scenario::parse("overhead", &text).map_err(OverheadError::Scenario)?.into_inner();
-    let maker = named("olivecart")?;
-    let world = |seed| Arc::new(World::new(scenario.clone(), seed, "olivecart", maker, false));
+    let policy_factory = named("olivecart")?;
+    let world = |seed| Arc::new(World::new(scenario.clone(), seed, "olivecart", policy_factory, false));
     let setting = Setting { program: program.to_owned(), limits: Limits::default(), fronts: true };
     let stage = Stage::set(world(seed), setting).await?;
     let servers = stage.fleet().servers(0, 0).into_iter();
--- a/crates/lab/tests/policies/broken.rs
+++ b/crates/lab/tests/policies/broken.rs
@@ -7,7 +7,7 @@
 
 /// Half a minute of steady traffic at some 40% of what eight servers do, with failures of each kind; now and
 /// then a server drains, is gone, and comes back cold. The rules broken by it.
-fn day(name: &str, seed: u64) -> BTreeSet<Rule> {
+fn rules_broken_by(name: &str, seed: u64) -> BTreeSet<Rule> {
     let mut checker = Checker::new(name, settings(), list(8), seed);
     checker.fate = MIXED;
     for step in 0..10_000u32 {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn each_breaks_its_rule_and_no_other() {
+fn each_broken_policy_breaks_its_rule_and_no_other() {
     let rule = |name: &str| match name {
         "broken_sends_twice" | "broken_resends_keyed" => Rule::Effect,
         "broken_sends_to_draining" => Rule::Drain,
@@ -36,14 +36,14 @@
     };
     for name in policy::BROKEN {
         for seed in 0..3 {
-            assert_eq!(day(name, seed), BTreeSet::from([rule(name)]), "{name}, seed {seed}");
+            assert_eq!(rules_broken_by(name, seed), BTreeSet::from([rule(name)]), "{name}, seed {seed}");
         }
     }
 }
 
 #[test]
-fn the_decisions_themselves_break_none() {
+fn decisions_break_no_rule() {
     for seed in 0..3 {
-        assert_eq!(day("olivecart", seed), BTreeSet::new(), "seed {seed}");
+        assert_eq!(rules_broken_by("olivecart", seed), BTreeSet::new(), "seed {seed}");
     }
 }
--- a/crates/lab/tests/policies/checker.rs
+++ b/crates/lab/tests/policies/checker.rs
@@ -2,7 +2,7 @@
 //! becomes of an attempt is drawn, or told by the test.
 
 use olivecart_decisions::*;
-use olivecart_lab::policy::{self, Place, Policy, Sight, Truth};
+use olivecart_lab::policy::{self, Policy, PolicyContext, TrueState, TrueStateView};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -52,11 +52,16 @@
 
 /// Servers as the oracle sees them: by id; all others serve, idle and warm.
 #[derive(Default)]
-pub struct Seen(pub BTreeMap<EndpointId, Truth>);
-
-impl Sight for Seen {
-    fn see(&self, endpoint: EndpointId) -> Truth {
-        *self.0.get(&endpoint).unwrap_or(&Truth { serves: true, wait: 0, capacity: 1.0, speed: 1.0 })
+pub struct Seen(pub BTreeMap<EndpointId, TrueState>);
+
+impl TrueStateView for Seen {
+    fn true_state(&self, endpoint: EndpointId) -> TrueState {
+        *self.0.get(&endpoint).unwrap_or(&TrueState {
+            is_serving: true,
+            queue_delay: 0,
+            capacity: 1.0,
+            core_speed: 1.0,
+        })
     }
 }
 
@@ -134,10 +139,10 @@
 impl Checker {
     /// A policy that was just told of its endpoints.
     pub fn new(name: &str, settings: Settings, entries: Vec<EndpointEntry>, seed: u64) -> Checker {
-        Checker::with_sight(name, settings, entries, seed, Seen::default())
+        Checker::with_true_state(name, settings, entries, seed, Seen::default())
     }
 
-    pub fn with_sight(
+    pub fn with_true_state(
         name: &str,
         settings: Settings,
         entries: Vec<EndpointEntry>,
@@ -146,9 +151,9 @@
     ) -> Checker {
         let now = 1000 * S;
         let make = policy::named(name).expect("known");
-        let place = Place { settings: settings.clone(), seed, now, sight: Rc::new(seen) };
+        let context = PolicyContext { settings: settings.clone(), seed, now, true_state: Rc::new(seen) };
         let mut checker = Checker {
-            policy: make(place),
+            policy: make(context),
             settings,
             now,
             entries: entries.clone(),
--- a/crates/lab/tests/policies/choices.rs
+++ b/crates/lab/tests/policies/choices.rs
@@ -1,12 +1,12 @@
-//! Each ordinary policy chooses as its textbook says.
+//! Each ordinary policy picks endpoints as its textbook says.
 
 use crate::checker::*;
 use olivecart_decisions::*;
-use olivecart_lab::policy::Truth;
+use olivecart_lab::policy::TrueState;
 use std::collections::BTreeMap;
 
 /// Sends `n` repeatable requests of which none ends, each with its own key.
-fn pile(name: &str, endpoints: u32, n: u32, seed: u64) -> Vec<u32> {
+fn requests_per_endpoint(name: &str, endpoints: u32, n: u32, seed: u64) -> Vec<u32> {
     let mut checker = Checker::new(name, settings(), list(endpoints), seed);
     (0..n).for_each(|_| {
         checker.arrive(0, 10 * S);
@@ -21,27 +21,27 @@
 #[test]
 fn random_is_even_within_four_deviations() {
     for seed in 0..4 {
-        let (least, most) = spread(&pile("random", 50, 50_000, seed));
+        let (least, most) = spread(&requests_per_endpoint("random", 50, 50_000, seed));
         // Binomial: mean 1000, deviation 31.3; beyond four of them once in 16,000 draws.
         assert!(least > 1000 - 126 && most < 1000 + 126, "seed {seed}: {least} to {most}");
     }
 }
 
 #[test]
-fn round_robin_goes_round_and_begins_anywhere() {
+fn round_robin_is_even_and_starts_at_a_random_endpoint() {
     for seed in 0..20 {
-        let (least, most) = spread(&pile("round_robin", 50, 1020, seed));
+        let (least, most) = spread(&requests_per_endpoint("round_robin", 50, 1020, seed));
         assert!((least, most) == (20, 21), "seed {seed}: {least} to {most}");
     }
-    let first = |seed| pile("round_robin", 50, 1, seed).iter().position(|n| *n > 0);
+    let first = |seed| requests_per_endpoint("round_robin", 50, 1, seed).iter().position(|n| *n > 0);
     let firsts: std::collections::BTreeSet<_> = (0..20).map(first).collect();
     assert!(firsts.len() > 10, "proxies begin at different endpoints");
 }
 
 #[test]
-fn the_fullest_of_two_choices_is_far_below_that_of_one() {
+fn power_of_two_stays_far_below_the_maximum_load_of_random() {
     // 1,000 balls into 1,000 bins: about ln n / ln ln n (4 to 7) against ln ln n / ln 2 (3).
-    let fullest = |name, seed| spread(&pile(name, 1000, 1000, seed)).1;
+    let fullest = |name, seed| spread(&requests_per_endpoint(name, 1000, 1000, seed)).1;
     for seed in 0..10 {
         let (one, two) = (fullest("random", seed), fullest("power_of_two", seed));
         assert!(two <= 3 && one >= 4, "seed {seed}: {one} with one choice, {two} with two");
@@ -52,13 +52,13 @@
 }
 
 fn fullest_of_many(name: &str) -> u32 {
-    spread(&pile(name, 100, 10_000, 3)).1
+    spread(&requests_per_endpoint(name, 100, 10_000, 3)).1
 }
 
 #[test]
-fn least_outstanding_takes_the_emptiest_and_ties_are_even() {
+fn least_outstanding_picks_the_lowest_count_and_breaks_ties_evenly() {
     for seed in 0..10 {
-        let (least, most) = spread(&pile("least_outstanding", 50, 1020, seed));
+        let (least, most) = spread(&requests_per_endpoint("least_outstanding", 50, 1020, seed));
         assert!((least, most) == (20, 21), "seed {seed}: {least} to {most}");
     }
     let mut checker = Checker::new("least_outstanding", settings(), list(10), 1);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn least_outstanding_counts_what_is_out_over_a_withdrawal() {
+fn least_outstanding_keeps_its_counts_over_a_withdrawal() {
     let mut checker = Checker::new("least_outstanding", settings(), list(2), 1);
     let ids: Vec<_> = (0..8).map(|_| checker.arrive(0, 10 * S)).collect();
     let at_first: Vec<_> = ids.iter().filter(|id| checker.went(**id)[0] == EndpointId(0)).collect();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn ring_hash_moves_only_the_keys_of_the_one_that_left() {
+fn ring_hash_moves_only_the_keys_of_the_removed_endpoint() {
     let mut checker = Checker::new("ring_hash", settings(), list(20), 1);
     let before = keyed(&mut checker);
     assert_eq!(before, keyed(&mut checker), "a key stays where it is");
@@ -123,18 +123,18 @@
     assert!(f64::from(least) > 0.5 * f64::from(mean) && f64::from(most) < 1.5 * f64::from(mean));
 }
 
-fn oracle(truth: &[(u32, Truth)], endpoints: u32) -> Checker {
+fn oracle(truth: &[(u32, TrueState)], endpoints: u32) -> Checker {
     let seen = Seen(truth.iter().map(|(id, t)| (EndpointId(*id), *t)).collect::<BTreeMap<_, _>>());
-    Checker::with_sight("oracle", settings(), list(endpoints), 1, seen)
+    Checker::with_true_state("oracle", settings(), list(endpoints), 1, seen)
 }
 
-const IDLE: Truth = Truth { serves: true, wait: 0, capacity: 1.0, speed: 1.0 };
+const IDLE: TrueState = TrueState { is_serving: true, queue_delay: 0, capacity: 1.0, core_speed: 1.0 };
 
 #[test]
-fn the_oracle_avoids_who_does_not_serve_who_is_cold_and_who_is_busy() {
-    let cold = Truth { capacity: 0.1, speed: 0.1, ..IDLE };
-    let busy = Truth { wait: 50 * MS, ..IDLE };
-    let dead = Truth { serves: false, ..IDLE };
+fn oracle_avoids_dead_cold_and_busy_endpoints() {
+    let cold = TrueState { capacity: 0.1, core_speed: 0.1, ..IDLE };
+    let busy = TrueState { queue_delay: 50 * MS, ..IDLE };
+    let dead = TrueState { is_serving: false, ..IDLE };
     let mut checker = oracle(&[(0, cold), (1, busy), (2, dead)], 4);
     for _ in 0..20 {
         let id = checker.arrive(0, 10 * S);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn the_oracle_does_not_send_all_of_a_moment_to_one() {
+fn oracle_spreads_simultaneous_requests() {
     let mut checker = oracle(&[], 10);
     (0..100).for_each(|_| {
         checker.arrive(0, 10 * S);
@@ -164,8 +164,8 @@
 }
 
 #[test]
-fn the_oracle_refuses_when_nobody_serves() {
-    let dead = Truth { serves: false, ..IDLE };
+fn oracle_sheds_when_no_endpoint_serves() {
+    let dead = TrueState { is_serving: false, ..IDLE };
     let mut checker = oracle(&[(0, dead), (1, dead)], 2);
     let id = checker.arrive(0, S);
     assert!(matches!(checker.actions.last(), Some(Action::Shed { request, .. }) if *request == id));
--- a/crates/lab/tests/policies/main.rs
+++ b/crates/lab/tests/policies/main.rs
@@ -2,7 +2,7 @@
 //! one breaks the rule it is for.
 
 mod broken;
-mod chassis;
 mod checker;
 mod choices;
+mod policy_harness;
 mod rules;
--- a/crates/lab/tests/policies/chassis.rs
+++ b/crates/lab/tests/policies/policy_harness.rs
@@ -1,8 +1,8 @@
-//! What all textbook policies have in common.
+//! The policy harness: what all textbook policies have in common.
 
 use crate::checker::*;
 use olivecart_decisions::*;
-use olivecart_lab::policy::{self, Place, Standing};
+use olivecart_lab::policy::{self, EndpointHealth, PolicyContext};
 use std::rc::Rc;
 
 const TEXTBOOK: &[&str] =
@@ -23,7 +23,7 @@
 const ONCE: u16 = 3;
 
 #[test]
-fn what_may_have_run_is_repeated_only_where_that_is_harmless() {
+fn attempts_that_may_have_run_are_retried_only_where_that_is_harmless() {
     for name in TEXTBOOK {
         for seed in 0..20 {
             let mut checker = Checker::new(name, settings(), list(8), seed);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_window_that_is_over_permits_no_repeat() {
+fn no_retry_after_the_deduplication_window() {
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, settings(), list(8), 1);
         let id = checker.arrive(BY_CELL, S);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_is_sent_that_could_not_be_answered() {
+fn nothing_is_sent_after_the_deadline_or_a_not_sent_outcome() {
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, settings(), list(8), 1);
         let (past, silent, never_issued) =
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_keyed_request_follows_its_endpoint_to_another_cell() {
+fn keyed_request_is_retried_in_the_cell_its_endpoint_moved_to() {
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, settings(), list(4), 1);
         for entry in &mut checker.entries {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn without_an_endpoint_a_request_is_refused_at_once() {
+fn request_is_shed_at_once_without_an_endpoint() {
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, settings(), Vec::new(), 1);
         let id = checker.arrive(ONCE, S);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn what_the_client_gave_up_is_called_off_and_forgotten() {
+fn aborted_request_is_cancelled_and_gets_no_response() {
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, settings(), list(2), 1);
         let id = checker.arrive(REPEATABLE, S);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_full_list_withdraws_what_it_does_not_name() {
+fn snapshot_withdraws_the_endpoints_it_does_not_name() {
     for name in TEXTBOOK {
         let mut checker = Checker::new(name, settings(), list(8), 1);
         checker.tell(Event::Endpoints(EndpointUpdate::Snapshot(list(8).split_off(6))));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn subscribes_at_the_start_and_again_later_each_time_it_fails() {
+fn subscribes_at_start_and_backs_off_after_each_failure() {
     let mut subscribe = settings();
     subscribe.discovery = Discovery::Subscribe;
     for name in TEXTBOOK {
@@ -158,24 +158,25 @@
 }
 
 #[test]
-fn a_wrong_name_is_told_the_nearest_ones() {
+fn unknown_policy_name_suggests_the_nearest() {
     let error = policy::named("power_of_tow").expect_err("unknown");
     assert_eq!(error.known, policy::NAMES);
     assert_eq!(error.to_string(), "there is no policy \"power_of_tow\"; did you mean `power_of_two`?");
 }
 
 #[test]
-fn only_the_decisions_have_a_standing() {
+fn only_the_decisions_report_endpoint_health() {
     let make = |name| {
-        let place = Place { settings: settings(), seed: 1, now: S, sight: Rc::new(Seen::default()) };
-        let mut policy = policy::named(name).expect("known")(place);
+        let context =
+            PolicyContext { settings: settings(), seed: 1, now: S, true_state: Rc::new(Seen::default()) };
+        let mut policy = policy::named(name).expect("known")(context);
         policy.handle(S, Event::Endpoints(EndpointUpdate::Cached(list(2))), &mut Vec::new());
         let outcome = Outcome::ConnectFailed;
         let failed =
             Event::HealthCheckCompleted { endpoint: EndpointId(1), outcome, duration: MS, load: None };
         policy.handle(S, failed, &mut Vec::new());
-        [0, 1, 2].map(|id| policy.standing(EndpointId(id)))
+        [0, 1, 2].map(|id| policy.endpoint_health(EndpointId(id)))
     };
-    assert_eq!(make("olivecart"), [Some(Standing::Good), Some(Standing::Down), None]);
+    assert_eq!(make("olivecart"), [Some(EndpointHealth::Healthy), Some(EndpointHealth::Unhealthy), None]);
     assert_eq!(make("random"), [None; 3]);
 }
--- a/crates/lab/tests/policies/rules.rs
+++ b/crates/lab/tests/policies/rules.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn every_ordinary_policy_keeps_the_rules_and_does_the_same_twice() {
+fn every_ordinary_policy_keeps_the_rules_and_is_deterministic() {
     for name in policy::NAMES {
         check(|(steps, subscribe, seed)| {
             let checker = play(name, &steps, subscribe, seed);
--- a/crates/lab/tests/sockets/common.rs
+++ b/crates/lab/tests/sockets/common.rs
@@ -31,6 +31,6 @@
 
 /// What seed 1 makes of it.
 pub fn world(scenario: &Scenario) -> Arc<World> {
-    let maker = named("olivecart").unwrap();
-    Arc::new(World::new(scenario.clone(), 1, "olivecart", maker, false))
+    let policy_factory = named("olivecart").unwrap();
+    Arc::new(World::new(scenario.clone(), 1, "olivecart", policy_factory, false))
 }
--- a/crates/proxy/tests/clusters_under_load.rs
+++ b/crates/proxy/tests/clusters_under_load.rs
@@ -4,7 +4,7 @@
 mod scenario;
 
 use fleet::{Backend, Client, Load, Proxy};
-use olivecart_lab::mangler::{Listed, Mangler, Mangling};
+use olivecart_lab::fault_injector::{EndpointFile, FileFault, FileFaultInjector, ListedEndpoint};
 use scenario::SETTINGS;
 use std::time::Duration;
 
@@ -20,9 +20,13 @@
 /// What drains or has been removed gets nothing new after this.
 const GRACE: Duration = Duration::from_millis(500);
 
-fn listed<'a>(endpoints: impl IntoIterator<Item = (&'a str, &'a Backend, &'static str)>) -> Listed {
-    let endpoint = |(id, backend, state): (&str, &Backend, _)| (id.to_owned(), backend.addr, state);
-    Listed { cluster: "cart".into(), endpoints: endpoints.into_iter().map(endpoint).collect() }
+fn listed<'a>(endpoints: impl IntoIterator<Item = (&'a str, &'a Backend, &'static str)>) -> EndpointFile {
+    let endpoint = |(name, backend, state): (&str, &Backend, _)| ListedEndpoint {
+        name: name.to_owned(),
+        address: backend.addr,
+        state,
+    };
+    EndpointFile { cluster: "cart".into(), endpoints: endpoints.into_iter().map(endpoint).collect() }
 }
 
 #[test]
@@ -39,7 +43,7 @@
             (first + count - 3..first + count).map(|n| (n % count, gone)).filter(|(_, s)| !s.is_empty());
         listed(ready.chain(drains).map(|(n, state)| (ids[n].as_str(), &backends[n], state)))
     };
-    proxy.list(&window(0, "").file(1));
+    proxy.list(&window(0, "").to_toml(1));
     proxy.program.line("cluster changed");
     let load = Load::start(proxy.listen, 12);
     let mut late = Vec::new();
@@ -48,7 +52,7 @@
         late.extend(joins.stop(false));
         let before = joins.calls();
         stops.stop(true);
-        proxy.list(&window(push, ["draining", "", "unhealthy"][push % 3]).file(1));
+        proxy.list(&window(push, ["draining", "", "unhealthy"][push % 3]).to_toml(1));
         joins.wait_past(before);
     }
     late.extend(backends.iter().filter_map(|backend| backend.stop(false)));
@@ -68,35 +72,35 @@
     let names = ["a", "b", "d", "e", "f"];
     let backends = names.map(Backend::new);
     let proxy = Proxy::start(Some(OPERATORS), SETTINGS);
-    let mut mangler = Mangler::new(proxy.disk.join("fleet.toml"), 8, trap.addr);
+    let mut injector = FileFaultInjector::new(proxy.disk.join("fleet.toml"), 8, trap.addr);
     // Two of five at a time, so that each valid version shows by whom it adds.
     let version = |n: usize| {
         let pair = [n % names.len(), (n + 1) % names.len()];
         listed(pair.map(|at| (names[at], &backends[at], "ready")))
     };
-    mangler.mangle(Mangling::Renamed, &version(0)).expect("done");
+    injector.inject(FileFault::Renamed, &version(0)).expect("done");
     proxy.program.line("cluster changed");
     let load = Load::start(proxy.listen, 8);
     let (mut done, mut valid) = (0, 0);
     while done < 1000 {
         for _ in 0..19 {
-            mangler.any(&version(valid)).expect("done");
+            injector.inject_random(&version(valid)).expect("done");
         }
         valid += 1;
         let joins = &backends[(valid + 1) % names.len()];
         let before = joins.calls();
-        let what = if valid % 2 == 0 { Mangling::Renamed } else { Mangling::InPlace };
-        mangler.mangle(what, &version(valid)).expect("done");
+        let fault = if valid % 2 == 0 { FileFault::Renamed } else { FileFault::InPlace };
+        injector.inject(fault, &version(valid)).expect("done");
         joins.wait_past(before);
         done += 20;
     }
     let last = Backend::new("last");
-    mangler.mangle(Mangling::InPlace, &listed([("last", &last, "ready")])).expect("done");
+    injector.inject(FileFault::InPlace, &listed([("last", &last, "ready")])).expect("done");
     last.wait_past(0);
     proxy.program.lines();
     for _ in 0..9 {
-        let not_valid: Vec<_> = Mangling::ALL.into_iter().filter(|what| !what.is_valid()).collect();
-        not_valid.iter().for_each(|what| mangler.mangle(*what, &version(0)).expect("done"));
+        let not_valid: Vec<_> = FileFault::ALL.into_iter().filter(|fault| !fault.is_valid()).collect();
+        not_valid.iter().for_each(|fault| injector.inject(*fault, &version(0)).expect("done"));
     }
     proxy.program.line("No such file"); // it has seen where the file ended
     let mut client = Client::new(proxy.listen);
