--- a/crates/lab/examples/agreement.rs
+++ b/crates/lab/examples/agreement.rs
@@ -3,10 +3,9 @@
 //! ...`
 
 use argh::FromArgs;
-use olivecart_lab::model::World;
-use olivecart_lab::policy::named;
-use olivecart_lab::run::result::RunResult;
+use olivecart_lab::model::{PolicyChoice, Topology};
 use olivecart_lab::run::{self, run};
+use olivecart_lab::run_result::RunResult;
 use olivecart_lab::scenario::{Checked, Scenario};
 use olivecart_lab::sockets::load;
 use olivecart_lab::sockets::program::{Build, find};
@@ -57,9 +56,9 @@
 }
 
 async fn on_sockets(scenario: &Checked, program: &Path, seed: u64) -> Result<RunResult, Box<dyn Error>> {
-    let world = World::new(scenario.clone().into_inner(), seed, POLICY, named(POLICY)?, false);
+    let topology = Topology::new(scenario.clone().into_inner(), seed, PolicyChoice::named(POLICY)?);
     let setting = Setting { program: program.to_owned(), limits: Limits::default(), fronts: true };
-    let stage = Stage::set(Arc::new(world), setting).await?;
+    let stage = Stage::set(Arc::new(topology), setting).await?;
     let load = stage.load(load::Options::default())?;
     let begin = Instant::now() + Duration::from_millis(500);
     stage.begin(begin);
--- a/crates/lab/src/cli/run.rs
+++ b/crates/lab/src/cli/run.rs
@@ -3,8 +3,8 @@
 use super::{BROKEN_RULE, FAULTY, FINE, OUT_OF_BOUNDS, faulty};
 use argh::FromArgs;
 use olivecart_lab::results::{Appender, Encoded};
-use olivecart_lab::run::result::RunResult;
 use olivecart_lab::run::{Options, run as play};
+use olivecart_lab::run_result::RunResult;
 use olivecart_lab::scenario::{Checked, Scenario, check_files, schema};
 use slog::{Logger, info, warn};
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/cli/sockets.rs
+++ b/crates/lab/src/cli/sockets.rs
@@ -4,8 +4,7 @@
 use super::{FAULTY, FINE, faulty};
 use argh::FromArgs;
 use olivecart_lab::demo;
-use olivecart_lab::model::World;
-use olivecart_lab::policy::named;
+use olivecart_lab::model::{PolicyChoice, Topology};
 use olivecart_lab::report::{self, Content, Shown};
 use olivecart_lab::sockets::load::{self, Load as Schedule, Target};
 use olivecart_lab::sockets::program::{Build, find};
@@ -93,9 +92,9 @@
     done.unwrap_or_else(faulty)
 }
 
-fn world(path: &Path, seed: u64) -> Result<Result<World, u8>, Box<dyn Error>> {
-    let policy_factory = named("olivecart")?;
-    Ok(read(path).map(|scenario| World::new(scenario.into_inner(), seed, "olivecart", policy_factory, false)))
+fn topology(path: &Path, seed: u64) -> Result<Result<Topology, u8>, Box<dyn Error>> {
+    let policy = PolicyChoice::named("olivecart")?;
+    Ok(read(path).map(|scenario| Topology::new(scenario.into_inner(), seed, policy)))
 }
 
 impl Fleet {
@@ -105,11 +104,11 @@
     }
 
     async fn play(self, log: &Logger) -> Outcome {
-        let world = match world(&self.scenario, self.seed)? {
-            Ok(world) => Arc::new(world),
+        let topology = match topology(&self.scenario, self.seed)? {
+            Ok(topology) => Arc::new(topology),
             Err(code) => return Ok(code),
         };
-        let (wanted, later) = (self.proxy.clone(), world.tiers.len() > 1);
+        let (wanted, later) = (self.proxy.clone(), topology.tiers.len() > 1);
         let needed = later || self.without_proxies.is_none();
         let program = tokio::task::spawn_blocking(move || match needed {
             true => find(wanted.as_deref(), Build::Always),
@@ -117,29 +116,33 @@
         });
         let fronts = self.without_proxies.is_none();
         let setting = Setting { program: program.await??, limits: Limits::default(), fronts };
-        let stage = Stage::set(world.clone(), setting).await?;
+        let stage = Stage::set(topology.clone(), setting).await?;
         match &self.without_proxies {
-            Some(folder) => configurations(&world, &stage, folder)?,
+            Some(folder) => configurations(&topology, &stage, folder)?,
             None => stage.fronts().iter().for_each(|front| println!("proxy {}", front.addr)),
         }
-        for tier in 0..world.tiers.len() {
-            println!("discovery of {} {}", world.scenario.tier[tier].name, stage.fleet().discovery(tier, 0));
+        for tier in 0..topology.tiers.len() {
+            println!(
+                "discovery of {} {}",
+                topology.scenario.tier[tier].name,
+                stage.fleet().discovery(tier, 0)
+            );
         }
-        info!(log, "all is up"; "scenario" => &world.scenario.name);
+        info!(log, "all is up"; "scenario" => &topology.scenario.name);
         stage.begin(Instant::now() + SETTLES);
-        tokio::time::sleep(SETTLES + Duration::from_nanos(world.ends())).await;
+        tokio::time::sleep(SETTLES + Duration::from_nanos(topology.ends())).await;
         stage.end().await;
         Ok(FINE)
     }
 }
 
 /// Writes the configuration of each first-tier proxy, for somebody else to start them.
-fn configurations(world: &World, stage: &Stage, folder: &Path) -> Result<(), Box<dyn Error>> {
+fn configurations(topology: &Topology, stage: &Stage, folder: &Path) -> Result<(), Box<dyn Error>> {
     std::fs::create_dir_all(folder)?;
-    for machine in world.fronts.iter().flatten() {
+    for machine in topology.fronts.iter().flatten() {
         let listen = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         let Some(config) = stage.config_of_front(*machine, listen) else { continue };
-        let path = folder.join(format!("{}.json", world.proxy_name(*machine)));
+        let path = folder.join(format!("{}.json", topology.proxy_name(*machine)));
         std::fs::write(&path, serde_json::to_vec_pretty(&config)?)?;
         println!("proxy {listen} by {}", path.display());
     }
@@ -153,12 +156,12 @@
     }
 
     async fn send(self) -> Outcome {
-        let world = match world(&self.scenario, self.seed)? {
-            Ok(world) => Arc::new(world),
+        let topology = match topology(&self.scenario, self.seed)? {
+            Ok(topology) => Arc::new(topology),
             Err(code) => return Ok(code),
         };
         let targets = self.to.iter().map(|addr| Target { addr: *addr, zone: None }).collect();
-        let load = Schedule::new(world, targets, load::Options::default())?;
+        let load = Schedule::new(topology, targets, load::Options::default())?;
         let report = show::watch(load, Instant::now() + SETTLES, Vec::new, &mut std::io::stdout()).await?;
         println!();
         show::table(&report, &mut std::io::stdout())?;
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,8 +1,8 @@
 //! Half a minute of three tiers on loopback, with their real proxies and clients, and one fault.
 
-use crate::model::World;
-use crate::policy::{UnknownPolicy, named};
-use crate::run::result::RunResult;
+use crate::model::{PolicyChoice, Topology};
+use crate::policy::UnknownPolicy;
+use crate::run_result::RunResult;
 use crate::scenario::{Problems, Scenario, Span};
 use crate::sockets::load::{self, LoadError};
 use crate::sockets::program::{Build, NoProgram, find};
@@ -84,13 +84,13 @@
         scenario.length = Span::from_nanos(u64::from(seconds) * 1_000_000_000);
         scenario.fault.retain(|fault| fault.start < scenario.length);
     }
-    let world = Arc::new(World::new(scenario, options.seed, "olivecart", named("olivecart")?, false));
+    let topology = Arc::new(Topology::new(scenario, options.seed, PolicyChoice::named("olivecart")?));
     let program = tokio::task::spawn_blocking(move || find(options.proxy.as_deref(), Build::Always));
     let program = program.await.map_err(io::Error::other)??;
-    writeln!(out, "{}", world.scenario.about)?;
+    writeln!(out, "{}", topology.scenario.about)?;
     let setting = Setting { program, limits: Limits::default(), fronts: true };
-    let stage = Stage::set(world.clone(), setting).await?;
-    introduce(&world, &stage, out)?;
+    let stage = Stage::set(topology.clone(), setting).await?;
+    introduce(&topology, &stage, out)?;
     let (load, begin) = (stage.load(load::Options::default())?, Instant::now() + SETTLES);
     stage.begin(begin);
     let mut report = show::watch(load, begin, || stage.down(), out).await?;
@@ -105,14 +105,14 @@
     Ok(report.result)
 }
 
-fn introduce(world: &World, stage: &Stage, out: &mut dyn Write) -> io::Result<()> {
-    let tiers = world.scenario.tier.iter().map(|t| format!("{} {}", t.servers, t.name));
+fn introduce(topology: &Topology, stage: &Stage, out: &mut dyn Write) -> io::Result<()> {
+    let tiers = topology.scenario.tier.iter().map(|t| format!("{} {}", t.servers, t.name));
     writeln!(out, "tiers: {}", tiers.collect::<Vec<_>>().join(", "))?;
     let fronts = stage.fronts().iter().map(|front| front.addr.to_string());
     writeln!(out, "first-tier proxies: {}", fronts.collect::<Vec<_>>().join(", "))?;
-    for window in &world.timeline.windows {
+    for window in &topology.timeline.windows {
         let (from, to) = (window.from_ms as f64 / 1e3, window.to_ms as f64 / 1e3);
         writeln!(out, "from {from} to {to} s: {} of {}", window.kind, window.touched)?;
     }
-    writeln!(out, "{:.0} requests a second for {} s\n", world.rate, world.scenario.length.seconds())
+    writeln!(out, "{:.0} requests a second for {} s\n", topology.rate, topology.scenario.length.seconds())
 }
--- a/crates/lab/src/experiment/metrics.rs
+++ b/crates/lab/src/experiment/metrics.rs
@@ -1,7 +1,7 @@
 //! The figures by which runs are compared.
 
 use crate::results::{Cell, Entry, Outcome};
-use crate::run::result::{RunResult, Server};
+use crate::run_result::{RunResult, Server};
 use std::collections::BTreeMap;
 
 /// Which way is better.
--- a/crates/lab/src/experiment/player.rs
+++ b/crates/lab/src/experiment/player.rs
@@ -1,8 +1,8 @@
 //! What plays the runs of an experiment.
 
 use crate::policy;
-use crate::run::result::RunResult;
 use crate::run::{self, Options};
+use crate::run_result::RunResult;
 use crate::scenario::Checked;
 
 /// What plays a scenario. Errors are sentences for the person who wrote the plan.
--- a/crates/lab/src/experiment/sweep.rs
+++ b/crates/lab/src/experiment/sweep.rs
@@ -11,7 +11,7 @@
 use crate::results::{
     Appender, Encoded, Entry, Failed, NotStorable, Outcome, Reader, ResultsError, RunId, Torn,
 };
-use crate::run::result::RunResult;
+use crate::run_result::RunResult;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::any::Any;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod report;
 pub mod results;
 pub mod run;
+pub mod run_result;
 pub mod scenario;
 pub mod sidecars;
 pub mod sockets;
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -1,182 +1,209 @@
-//! Discovery: one service that hears of changes late, answers calls one after another, and can be out.
+//! Discovery: one service that learns of changes late, serves calls one after another, and can have outages.
 
-use super::ctx::Ctx;
-use super::faults::Timeline;
-use super::message::{Line, Message, News};
-use super::net;
-use super::world::World;
+use super::context::Context;
+use super::message::{DiscoveryUpdate, ListEntry, Message};
+use super::network;
+use super::topology::{Tier, Topology};
 use crate::scenario::DiscoveryMode;
 use olivecart_decisions::{EndpointState, Nanos};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-impl World {
+/// How long discovery waits until it tries an unreachable watcher again.
+const RETRY_INTERVAL: Nanos = 500_000_000;
+
+impl Topology {
     /// The list of a tier as discovery had it at a time, in the servers' order.
-    pub fn list_as_of(&self, tier: u8, at: Nanos) -> Vec<Line> {
-        let mut lines = first_lines(self, tier);
+    pub fn list_as_of(&self, tier: u8, at: Nanos) -> Vec<ListEntry> {
+        let mut list = initial_list(self, tier);
         let lag = self.scenario.discovery.lag.nanos();
-        for (when, _, line) in self.timeline.facts.iter().filter(|(_, t, _)| *t == tier) {
-            if self.timeline.heard_at(*when, lag) <= at {
-                enter(&mut lines, *line);
+        for (happens_at, _, entry) in self.timeline.facts.iter().filter(|(_, of, _)| *of == tier) {
+            if self.timeline.heard_at(*happens_at, lag) <= at {
+                replace_entry(&mut list, *entry);
             }
         }
-        lines
+        list
     }
 }
 
-fn first_lines(world: &World, tier: u8) -> Vec<Line> {
-    let servers = (0..).zip(&world.tiers[tier as usize].servers);
-    let ready = |(slot, _)| Line { slot, state: EndpointState::Ready, started: 0 };
-    servers.filter(|(_, spec)| spec.first).map(ready).collect()
+fn initial_list(topology: &Topology, tier: u8) -> Vec<ListEntry> {
+    let servers = (0..).zip(&topology.tiers[tier as usize].servers);
+    let ready = |(slot, _)| ListEntry { slot, state: EndpointState::Ready, started: 0 };
+    servers.filter(|(_, spec)| spec.present_at_start).map(ready).collect()
 }
 
-/// A line that replaces an older one of its server; what is gone is no longer listed.
-fn enter(lines: &mut Vec<Line>, line: Line) {
-    match (lines.binary_search_by_key(&line.slot, |l| l.slot), line.state) {
-        (Ok(at), EndpointState::Removed) => _ = lines.remove(at),
-        (Ok(at), _) => lines[at] = line,
-        (Err(_), EndpointState::Removed) => {}
-        (Err(at), _) => lines.insert(at, line),
+/// Replaces the entry of a server; a removed server is no longer listed.
+fn replace_entry(list: &mut Vec<ListEntry>, entry: ListEntry) {
+    let is_removed = entry.state == EndpointState::Removed;
+    match list.binary_search_by_key(&entry.slot, |listed| listed.slot) {
+        Ok(index) if is_removed => _ = list.remove(index),
+        Ok(index) => list[index] = entry,
+        Err(_) if is_removed => {}
+        Err(index) => list.insert(index, entry),
     }
 }
 
-/// The service.
+/// The discovery service.
 pub struct Discovery {
     node: u32,
-    lists: Vec<Vec<Line>>,
-    /// Proxies that are told of changes, by tier.
+    /// By tier.
+    lists: Vec<Vec<ListEntry>>,
+    /// By tier: proxies that are told of changes.
     watchers: Vec<BTreeSet<u32>>,
-    /// Those who could not be told.
-    behind: BTreeSet<u32>,
-    /// When it is done with the calls that it has.
+    /// Watchers that missed a change and will get the complete list.
+    unreachable_watchers: BTreeSet<u32>,
+    /// When it has served the calls that it has.
     busy_until: Nanos,
 }
 
 impl Discovery {
-    /// The service at the begin of a run.
-    pub fn new(node: u32, ctx: &mut Ctx) -> Discovery {
-        let (world, timeline): (&World, &Timeline) = (ctx.world, &ctx.world.timeline);
-        let lag = world.scenario.discovery.lag.nanos();
-        for (at, tier, line) in &timeline.facts {
-            let mut heard = timeline.heard_at(*at, lag);
-            // During an outage it can't tell anybody; it does when it is back.
-            let out = timeline.outages.iter().filter(|o| o.holds(heard)).map(|o| o.to).max();
-            heard = out.unwrap_or(heard);
-            ctx.out.schedule(heard, Message::Heard([(*tier, *line)].into()));
-        }
-        for outage in &timeline.outages {
-            ctx.out.schedule(outage.from, Message::Outage);
+    /// The service at the start of a run.
+    pub fn new(node: u32, context: &mut Context) -> Discovery {
+        let topology = context.topology;
+        schedule_changes(context);
+        for outage in &topology.timeline.outages {
+            context.outbox.schedule(outage.from, Message::DiscoveryOutage);
         }
-        let push = world.scenario.discovery.mode == DiscoveryMode::Push;
-        let callers = |t: &super::world::Tier| {
-            let nodes = t.callers.iter().map(|m| world.machine_node(*m));
-            if push { nodes.collect() } else { BTreeSet::new() }
-        };
+        let tiers = topology.tiers.len() as u8;
         Discovery {
             node,
-            lists: (0..world.tiers.len() as u8).map(|tier| first_lines(world, tier)).collect(),
-            watchers: world.tiers.iter().map(callers).collect(),
-            behind: BTreeSet::new(),
+            lists: (0..tiers).map(|tier| initial_list(topology, tier)).collect(),
+            watchers: topology.tiers.iter().map(|tier| initial_watchers(topology, tier)).collect(),
+            unreachable_watchers: BTreeSet::new(),
             busy_until: 0,
         }
     }
 
-    /// Plays one event.
-    pub fn handle(&mut self, ctx: &mut Ctx, message: Message) {
+    /// Handles one event.
+    pub fn handle(&mut self, context: &mut Context, message: Message) {
         match message {
-            Message::Heard(changes) => self.heard(ctx, &changes),
-            Message::Ask(proxy, watch) => self.asked(ctx, proxy, watch),
-            Message::Turn(proxy, watch) => self.turn(ctx, proxy, watch),
-            Message::Outage => self.goes_out(ctx),
-            _ => ctx.local.tally.violation("discovery got a message that is none of its own"),
+            Message::DiscoveryNotified(changes) => self.changes_arrived(context, &changes),
+            Message::DiscoveryRequest(proxy, watch) => self.request_arrived(context, proxy, watch),
+            Message::DiscoveryCallServed(proxy, watch) => self.serve_call(context, proxy, watch),
+            Message::DiscoveryOutage => self.begin_outage(context),
+            _ => context.thread.counters.violation("discovery got a message that is none of its own"),
         }
     }
 
-    fn tier_of(&self, world: &World, proxy: u32) -> Option<u8> {
-        let machine = world.machines.get(proxy.checked_sub(world.clients)? as usize)?;
+    fn tier_of(&self, topology: &Topology, proxy: u32) -> Option<u8> {
+        let machine = topology.machines.get(proxy.checked_sub(topology.clients)? as usize)?;
         machine.proxy.map(|(tier, _)| tier)
     }
 
-    /// It hears of changes and tells who watches.
-    fn heard(&mut self, ctx: &mut Ctx, changes: &[(u8, Line)]) {
-        let again = changes.is_empty();
-        for (tier, line) in changes {
-            enter(&mut self.lists[*tier as usize], *line);
-            let delta: Arc<[Line]> = [*line].into();
+    /// It learns of changes and notifies the watchers; without changes, it retries those that it missed.
+    fn changes_arrived(&mut self, context: &mut Context, changes: &[(u8, ListEntry)]) {
+        if changes.is_empty() {
+            return self.retry_unreachable(context);
+        }
+        for (tier, entry) in changes {
+            replace_entry(&mut self.lists[*tier as usize], *entry);
+            let delta: Arc<[ListEntry]> = [*entry].into();
             let watchers: Vec<u32> = self.watchers[*tier as usize].iter().copied().collect();
             for proxy in watchers {
-                if !self.behind.contains(&proxy) && !self.tell(ctx, proxy, News::Delta(delta.clone())) {
-                    self.fall_behind(ctx, proxy);
+                // One that missed a change gets the complete list later.
+                if self.unreachable_watchers.contains(&proxy) {
+                    continue;
+                }
+                let is_reached = self.notify(context, proxy, DiscoveryUpdate::Delta(delta.clone()));
+                if !is_reached {
+                    self.add_unreachable(context, proxy);
                 }
             }
         }
-        if again {
-            for proxy in std::mem::take(&mut self.behind) {
-                let full = self
-                    .tier_of(ctx.world, proxy)
-                    .map(|tier| News::Full(self.lists[tier as usize].clone().into()));
-                if full.is_some_and(|full| !self.tell(ctx, proxy, full)) {
-                    self.fall_behind(ctx, proxy);
-                }
+    }
+
+    fn retry_unreachable(&mut self, context: &mut Context) {
+        for proxy in std::mem::take(&mut self.unreachable_watchers) {
+            let Some(tier) = self.tier_of(context.topology, proxy) else { continue };
+            let full = DiscoveryUpdate::Full(self.lists[tier as usize].clone().into());
+            let is_reached = self.notify(context, proxy, full);
+            if !is_reached {
+                self.add_unreachable(context, proxy);
             }
         }
     }
 
-    /// One who could not be told of a change gets the whole list as soon as it can be reached.
-    fn fall_behind(&mut self, ctx: &mut Ctx, proxy: u32) {
-        if self.behind.is_empty() {
-            ctx.out.schedule(ctx.now + 500_000_000, Message::Heard([].into()));
+    /// A watcher that missed a change gets the complete list as soon as it can be reached.
+    fn add_unreachable(&mut self, context: &mut Context, proxy: u32) {
+        if self.unreachable_watchers.is_empty() {
+            let retry_at = context.now + RETRY_INTERVAL;
+            context.outbox.schedule(retry_at, Message::DiscoveryNotified([].into()));
         }
-        self.behind.insert(proxy);
+        self.unreachable_watchers.insert(proxy);
     }
 
-    fn tell(&self, ctx: &mut Ctx, proxy: u32, news: News) -> bool {
-        let at = ctx.now + net::between(ctx.world, self.node, proxy, ctx.rng);
-        let reached = net::reaches(ctx.world, self.node, proxy, at);
-        if reached {
-            ctx.out.send(proxy, at, Message::News(news));
+    /// Sends an update to a proxy; returns whether it can be reached.
+    fn notify(&self, context: &mut Context, proxy: u32, update: DiscoveryUpdate) -> bool {
+        let at = context.now + network::between(context.topology, self.node, proxy, context.rng);
+        let is_reached = network::reaches(context.topology, self.node, proxy, at);
+        if is_reached {
+            context.outbox.send(proxy, at, Message::DiscoveryUpdate(update));
         }
-        reached
+        is_reached
     }
 
-    fn is_out(&self, ctx: &Ctx) -> bool {
-        ctx.world.timeline.outages.iter().any(|o| o.holds(ctx.now))
+    fn is_in_outage(&self, context: &Context) -> bool {
+        context.topology.timeline.outages.iter().any(|outage| outage.contains(context.now))
     }
 
-    /// Calls wait in turn, and fail when they would wait too long.
-    fn asked(&mut self, ctx: &mut Ctx, proxy: u32, watch: bool) {
-        let spec = &ctx.world.scenario.discovery;
-        let (takes, timeout) = ((1e9 / spec.calls_per_s) as Nanos, spec.timeout.nanos());
-        let done = self.busy_until.max(ctx.now) + takes;
-        if self.is_out(ctx) || done > ctx.now + timeout {
-            let at = ctx.now + timeout + net::between(ctx.world, self.node, proxy, ctx.rng);
-            return ctx.out.send(proxy, at, Message::News(News::Failed));
+    /// Calls are served in turn, and fail if they would wait too long.
+    fn request_arrived(&mut self, context: &mut Context, proxy: u32, watch: bool) {
+        let spec = &context.topology.scenario.discovery;
+        let service_time = (1e9 / spec.calls_per_s) as Nanos;
+        let timeout = spec.timeout.nanos();
+        let served_at = self.busy_until.max(context.now) + service_time;
+        if self.is_in_outage(context) || served_at > context.now + timeout {
+            let delay = network::between(context.topology, self.node, proxy, context.rng);
+            let fails_at = context.now + timeout + delay;
+            return context.outbox.send(proxy, fails_at, Message::DiscoveryUpdate(DiscoveryUpdate::Failed));
         }
-        self.busy_until = done;
-        ctx.out.schedule(done, Message::Turn(proxy, watch));
+        self.busy_until = served_at;
+        context.outbox.schedule(served_at, Message::DiscoveryCallServed(proxy, watch));
     }
 
-    fn turn(&mut self, ctx: &mut Ctx, proxy: u32, watch: bool) {
-        let Some(tier) = self.tier_of(ctx.world, proxy) else { return };
-        if self.is_out(ctx) {
-            self.tell(ctx, proxy, News::Failed);
+    fn serve_call(&mut self, context: &mut Context, proxy: u32, watch: bool) {
+        let Some(tier) = self.tier_of(context.topology, proxy) else { return };
+        if self.is_in_outage(context) {
+            self.notify(context, proxy, DiscoveryUpdate::Failed);
             return;
         }
         if watch {
             self.watchers[tier as usize].insert(proxy);
         }
-        self.tell(ctx, proxy, News::Full(self.lists[tier as usize].clone().into()));
+        self.notify(context, proxy, DiscoveryUpdate::Full(self.lists[tier as usize].clone().into()));
     }
 
-    /// Watches end, and whoever had one is told so.
-    fn goes_out(&mut self, ctx: &mut Ctx) {
-        if ctx.world.scenario.discovery.mode == DiscoveryMode::Push {
-            return; // what comes unasked just stays away
+    /// All watches end, and the watchers are notified.
+    fn begin_outage(&mut self, context: &mut Context) {
+        if context.topology.scenario.discovery.mode == DiscoveryMode::Push {
+            // Pushed updates just stay away.
+            return;
         }
         for tier in 0..self.watchers.len() {
             for proxy in std::mem::take(&mut self.watchers[tier]) {
-                self.tell(ctx, proxy, News::Failed);
+                self.notify(context, proxy, DiscoveryUpdate::Failed);
             }
         }
     }
 }
+
+/// Schedules when discovery learns of each change. During an outage it cannot tell anybody; it does afterwards.
+fn schedule_changes(context: &mut Context) {
+    let topology = context.topology;
+    let timeline = &topology.timeline;
+    let lag = topology.scenario.discovery.lag.nanos();
+    for (happens_at, tier, entry) in &timeline.facts {
+        let heard_at = timeline.heard_at(*happens_at, lag);
+        let outages = timeline.outages.iter().filter(|outage| outage.contains(heard_at));
+        let told_at = outages.map(|outage| outage.to).max().unwrap_or(heard_at);
+        context.outbox.schedule(told_at, Message::DiscoveryNotified([(*tier, *entry)].into()));
+    }
+}
+
+/// The proxies of a tier, if they are told of changes without asking.
+fn initial_watchers(topology: &Topology, tier: &Tier) -> BTreeSet<u32> {
+    match topology.scenario.discovery.mode {
+        DiscoveryMode::Push => tier.callers.iter().map(|machine| topology.machine_node(*machine)).collect(),
+        DiscoveryMode::Watch => BTreeSet::new(),
+    }
+}
--- a/crates/lab/src/model/machine.rs
+++ b/crates/lab/src/model/machine.rs
@@ -1,14 +1,16 @@
 //! A machine: a server, a proxy, or a server with the proxy for its calls to the next tier, which starts and
 //! stops with it.
+//!
+//! It passes events on to its server and its proxy, and carries out what the server asks for. Only here do the
+//! two meet.
 
-use super::ctx::Ctx;
-use super::message::{Call, Change, Message, Verdict};
-use super::monitor::Rule;
-use super::net;
+use super::context::Context;
+use super::message::{Attempt, AttemptResponse, MachineChange, Message, ProxyRequest, RequestOutcome};
+use super::network;
 use super::proxy::{Origin, Proxy};
-use super::server::{Effect, Server, noisy};
-use super::world::World;
-use olivecart_decisions as decisions;
+use super::server::{Server, ServerEffect, with_noise};
+use super::topology::{ServerSpec, Topology};
+use olivecart_decisions::{DeduplicationScope, Idempotency, Outcome};
 
 /// A machine.
 pub struct Machine {
@@ -22,114 +24,148 @@
 }
 
 impl Machine {
-    /// A machine as it is at the begin, with its faults to come.
-    pub fn new(number: u32, ctx: &mut Ctx) -> Machine {
-        let (world, spec) = (ctx.world, &ctx.world.machines[number as usize]);
-        let server = spec.server.map(|(tier, slot)| Server::new(tier, slot, ctx));
-        let proxy = spec.proxy.map(|(tier, among)| Proxy::new(world, number, tier, among));
-        let mut machine = Machine { number, node: world.machine_node(number), server, proxy };
-        for &(at, change) in &world.timeline.changes[number as usize] {
-            ctx.out.schedule(at, Message::Change(change));
-        }
-        let there = machine.server.as_ref().is_none_or(Server::runs);
-        if let Some(proxy) = machine.proxy.as_mut().filter(|_| there) {
-            proxy.start(ctx);
-        }
-        machine.post(ctx);
+    /// A machine at the begin of a run, with its faults scheduled.
+    pub fn new(number: u32, context: &mut Context) -> Machine {
+        let topology = context.topology;
+        let spec = &topology.machines[number as usize];
+        let server = spec.server.map(|(tier, slot)| Server::new(tier, slot, context));
+        let proxy = spec.proxy.map(|(tier, index)| Proxy::new(topology, number, tier, index));
+        let mut machine = Machine { number, node: topology.machine_node(number), server, proxy };
+        for &(at, change) in &topology.timeline.changes[number as usize] {
+            context.outbox.schedule(at, Message::MachineChanges(change));
+        }
+        let is_up = machine.is_server_up();
+        if let Some(proxy) = machine.proxy.as_mut().filter(|_| is_up) {
+            proxy.start(context);
+        }
+        machine.broadcast_state(context);
         machine
     }
 
-    /// Plays one event.
-    pub fn handle(&mut self, ctx: &mut Ctx, message: Message) {
+    /// Whether its server runs; true if it has none.
+    fn is_server_up(&self) -> bool {
+        self.server.as_ref().is_none_or(Server::runs)
+    }
+
+    /// Handles one event.
+    pub fn handle(&mut self, context: &mut Context, message: Message) {
         let mut effects = Vec::new();
         match message {
-            Message::Change(change) => self.change(ctx, change, &mut effects),
-            Message::Request(call) => self.request(ctx, call),
-            Message::Pause => _ = self.server.as_mut().map(|s| s.pause(ctx)),
-            Message::Worked { job, run } => {
-                _ = self.server.as_mut().map(|s| s.worked(ctx, job, run, &mut effects))
-            }
-            Message::Attempt(attempt) => {
-                let Some(server) = &mut self.server else { return };
-                let fell = server.counts.fell_over;
-                server.arrive(ctx, attempt, &mut effects);
-                if server.counts.fell_over && !fell {
-                    self.fell_over(ctx, attempt.id.proxy);
-                }
+            Message::MachineChanges(change) => self.change(context, change, &mut effects),
+            Message::Request(request) => self.request_arrived(context, request),
+            Message::Attempt(attempt) => self.attempt_arrived(context, attempt, &mut effects),
+            Message::HealthCheck(proxy, number) => self.health_check(context, proxy, number),
+            other => self.handle_at_server_or_proxy(context, other, &mut effects),
+        }
+        self.apply_effects(context, effects);
+        self.broadcast_state(context);
+    }
+
+    fn handle_at_server_or_proxy(
+        &mut self,
+        context: &mut Context,
+        message: Message,
+        effects: &mut Vec<ServerEffect>,
+    ) {
+        match (message, &mut self.server) {
+            (Message::ServerPauses, Some(server)) => server.pause(context),
+            (Message::WorkCompleted { job, run }, Some(server)) => {
+                server.part_completed(context, job, run, effects);
             }
-            Message::Drop(id) => _ = self.server.as_mut().map(|s| s.drop_attempt(ctx, id, &mut effects)),
-            Message::Closed(closed) => {
-                _ = self.server.as_mut().map(|s| s.close(ctx.world, ctx.now, closed.life, closed.count));
+            (Message::CancelAttempt(id), Some(server)) => server.cancel_attempt(context, id, effects),
+            (Message::ConnectionsClosed(closed), Some(server)) => {
+                server.connections_closed(context.topology, context.now, closed);
             }
-            Message::Probe(proxy, probe) => self.probe(ctx, proxy, probe),
-            other => self.for_the_proxy(ctx, other),
+            (
+                Message::ServerPauses
+                | Message::WorkCompleted { .. }
+                | Message::CancelAttempt(_)
+                | Message::ConnectionsClosed(_),
+                None,
+            ) => {}
+            (other, _) => self.handle_at_proxy(context, other),
         }
-        self.settle(ctx, effects);
-        self.post(ctx);
     }
 
-    fn for_the_proxy(&mut self, ctx: &mut Ctx, message: Message) {
+    fn handle_at_proxy(&mut self, context: &mut Context, message: Message) {
         let Some(proxy) = &mut self.proxy else { return };
         match message {
-            Message::Gone(logical, attempt) => proxy.gone(ctx, logical, attempt),
-            Message::Expired(request) => proxy.expired(ctx, request),
-            Message::Overdue(request) => proxy.overdue(ctx, request),
-            Message::Timer(timer, life) => proxy.timer(ctx, timer, life),
-            Message::Capped { request, number, outcome } => proxy.capped(ctx, request, number, outcome),
-            Message::ProbeLost(probe) => proxy.probed(ctx, probe, decisions::Outcome::Timeout, None),
-            Message::Probed(probe, outcome, load) => proxy.probed(ctx, probe, outcome, load),
-            Message::Sweep(life) => proxy.sweep(ctx, life),
-            Message::Look => proxy.look(ctx),
-            Message::Answer(answer) => proxy.answered(ctx, answer),
-            Message::News(news) => proxy.news(ctx, news),
-            _ => ctx.local.tally.violation("a machine got a message that is none of its own"),
-        }
-    }
-
-    fn request(&mut self, ctx: &mut Ctx, call: Call) {
-        let origin = Origin::Client(call.logical, call.attempt);
-        match self.proxy.as_mut().filter(|p| p.runs()) {
-            Some(proxy) => _ = proxy.take(ctx, call, origin),
-            None => {
-                let at = ctx.now + net::client(ctx.world, ctx.rng);
-                let reply = Message::Reply(call.logical, call.attempt, Verdict::Unreachable);
-                ctx.out.send(call.logical.node, at, reply);
+            Message::ClientDisconnected(request, attempt) => {
+                proxy.client_disconnected(context, request, attempt);
             }
+            Message::DeadlineExpired(request) => proxy.deadline_expired(context, request),
+            Message::ResponseOverdue(request) => proxy.response_overdue(context, request),
+            Message::PolicyTimer(timer, incarnation) => proxy.policy_timer(context, timer, incarnation),
+            Message::AttemptTimedOut { request, number, outcome } => {
+                proxy.attempt_timed_out(context, request, number, outcome);
+            }
+            Message::HealthCheckTimedOut(number) => {
+                proxy.health_check_completed(context, number, Outcome::Timeout, None);
+            }
+            Message::HealthCheckResponse(number, outcome, load) => {
+                proxy.health_check_completed(context, number, outcome, load);
+            }
+            Message::SweepIdleConnections(incarnation) => proxy.sweep_idle_connections(context, incarnation),
+            Message::SampleEndpointHealth => proxy.sample_endpoint_health(context),
+            Message::AttemptResponse(response) => proxy.response_received(context, response),
+            Message::DiscoveryUpdate(update) => proxy.discovery_update(context, update),
+            _ => context.thread.counters.violation("a machine got a message that is none of its own"),
+        }
+    }
+
+    fn request_arrived(&mut self, context: &mut Context, request: ProxyRequest) {
+        let ProxyRequest { client_request, attempt, .. } = request;
+        if let Some(proxy) = self.proxy.as_mut().filter(|proxy| proxy.runs()) {
+            let origin = Origin::Client { request: client_request, attempt };
+            proxy.accept_request(context, request, origin);
+        } else {
+            let at = context.now + network::client(context.topology, context.rng);
+            let response = Message::Response(client_request, attempt, RequestOutcome::Unreachable);
+            context.outbox.send(client_request.node, at, response);
+        }
+    }
+
+    fn attempt_arrived(&mut self, context: &mut Context, attempt: Attempt, effects: &mut Vec<ServerEffect>) {
+        let Some(server) = &mut self.server else { return };
+        let had_fallen_over = server.counters.fell_over;
+        server.attempt_arrived(context, attempt, effects);
+        if server.counters.fell_over && !had_fallen_over {
+            self.report_cold_overload(context, attempt.id.proxy);
         }
     }
 
-    fn change(&mut self, ctx: &mut Ctx, change: Change, effects: &mut Vec<Effect>) {
+    fn change(&mut self, context: &mut Context, change: MachineChange, effects: &mut Vec<ServerEffect>) {
         if let Some(server) = &mut self.server {
-            server.change(ctx, change, effects);
+            server.change(context, change, effects);
         }
-        let up = self.server.as_ref().is_none_or(Server::runs);
+        let is_up = self.is_server_up();
         match (change, &mut self.proxy) {
-            (Change::Die { silent }, Some(proxy)) => proxy.die(ctx, silent),
-            (Change::Start, Some(proxy)) if up && !proxy.runs() => proxy.start(ctx),
+            (MachineChange::Die { silent }, Some(proxy)) => proxy.die(context, silent),
+            (MachineChange::Start, Some(proxy)) if is_up && !proxy.runs() => proxy.start(context),
             _ => {}
         }
     }
 
-    fn probe(&mut self, ctx: &mut Ctx, proxy: u32, probe: u64) {
+    fn health_check(&mut self, context: &mut Context, proxy: u32, number: u64) {
         let Some(server) = &mut self.server else { return };
-        let (outcome, answered, load) = server.probe(ctx.world, ctx.now);
-        let at = answered + net::between(ctx.world, self.node, proxy, ctx.rng);
-        if net::reaches(ctx.world, self.node, proxy, at) {
-            ctx.out.send(proxy, at, Message::Probed(probe, outcome, load));
+        let (outcome, responds_at, load) = server.health_check(context.topology, context.now);
+        let at = responds_at + network::between(context.topology, self.node, proxy, context.rng);
+        if network::reaches(context.topology, self.node, proxy, at) {
+            context.outbox.send(proxy, at, Message::HealthCheckResponse(number, outcome, load));
         }
     }
 
-    /// Does what the server asks for, and what comes of that, until nothing is left to do.
-    fn settle(&mut self, ctx: &mut Ctx, mut effects: Vec<Effect>) {
+    /// Carries out what the server asks for, and what follows from that, until nothing is left to do.
+    fn apply_effects(&mut self, context: &mut Context, mut effects: Vec<ServerEffect>) {
         loop {
             for effect in std::mem::take(&mut effects) {
-                self.perform(ctx, effect);
+                self.apply_effect(context, effect);
             }
             let Some(proxy) = &mut self.proxy else { break };
-            let finished = proxy.take_finished();
+            let finished_calls = proxy.take_finished_calls();
             let Some(server) = &mut self.server else { break };
-            for (job, run, served) in finished {
-                server.called(ctx, (job, run), served, &mut effects);
+            for call in finished_calls {
+                server.call_completed(context, call, &mut effects);
             }
             if effects.is_empty() {
                 break;
@@ -137,85 +173,105 @@
         }
     }
 
-    fn perform(&mut self, ctx: &mut Ctx, effect: Effect) {
+    fn apply_effect(&mut self, context: &mut Context, effect: ServerEffect) {
         match effect {
-            Effect::Answer(proxy, mut answer) => {
-                let noise = self.report_noise(ctx.world);
-                answer.load = noisy(answer.load, noise, ctx.rng);
-                let at = ctx.now + net::between(ctx.world, self.node, proxy, ctx.rng);
-                if net::reaches(ctx.world, self.node, proxy, at) {
-                    ctx.out.send(proxy, at, Message::Answer(answer));
-                }
+            ServerEffect::Respond { proxy, response } => self.respond(context, proxy, response),
+            ServerEffect::CallNextTier { job, run, attempt } => {
+                self.call_next_tier(context, job, run, &attempt);
             }
-            Effect::Call { job, run, attempt } => {
-                let class = &ctx.world.classes[attempt.class as usize];
-                let whole = ctx.now + class.told.client_deadline;
-                let passes = ctx.world.scenario.limits.passes_deadline;
-                let call = Call {
-                    logical: attempt.logical,
-                    attempt: 0,
-                    class: attempt.class,
-                    tenant: attempt.tenant,
-                    retry: false,
-                    deadline: if passes { attempt.deadline } else { whole },
-                    work: attempt.work,
-                };
-                let number = self.proxy.as_mut().and_then(|p| p.take(ctx, call, Origin::Job(job, run)));
-                if let (Some(number), Some(server)) = (number, &mut self.server) {
-                    server.calls_as(job, run, number);
-                }
-            }
-            Effect::Hangup { request } => _ = self.proxy.as_mut().map(|p| p.abort(ctx, request)),
-            Effect::Executed(attempt) => {
-                let first_tier = self.server_tier(ctx.world) == Some(0);
-                let effect = ctx.world.classes[attempt.class as usize].told.idempotency;
-                if first_tier && effect != decisions::Idempotency::Idempotent {
-                    let at = ctx.now + net::client(ctx.world, ctx.rng);
-                    let group = self.group(ctx.world, effect);
-                    ctx.out.send(attempt.logical.node, at, Message::Executed(attempt.logical, group));
+            ServerEffect::CancelCall { request } => {
+                if let Some(proxy) = &mut self.proxy {
+                    proxy.abort(context, request);
                 }
             }
+            ServerEffect::Executed(attempt) => self.report_execution(context, &attempt),
         }
     }
 
-    fn server_tier(&self, world: &World) -> Option<u8> {
-        world.machines[self.number as usize].server.map(|(tier, _)| tier)
+    fn respond(&mut self, context: &mut Context, proxy: u32, mut response: AttemptResponse) {
+        let noise = self.report_noise(context.topology);
+        response.load = with_noise(response.load, noise, context.rng);
+        let at = context.now + network::between(context.topology, self.node, proxy, context.rng);
+        if network::reaches(context.topology, self.node, proxy, at) {
+            context.outbox.send(proxy, at, Message::AttemptResponse(response));
+        }
     }
 
-    /// The group of servers within which a repeat of this effect is dropped, as a number.
-    fn group(&self, world: &World, effect: decisions::Idempotency) -> u64 {
-        let Some((tier, slot)) = world.machines[self.number as usize].server else { return 0 };
-        let spec = &world.tiers[tier as usize].servers[slot as usize];
-        match effect {
-            decisions::Idempotency::Keyed { scope: decisions::DeduplicationScope::Zone, .. } => {
-                u64::from(spec.zone)
-            }
-            decisions::Idempotency::Keyed { scope: decisions::DeduplicationScope::Cell, .. } => spec.cell,
+    fn call_next_tier(&mut self, context: &mut Context, job: u32, run: u32, attempt: &Attempt) {
+        let class = &context.topology.classes[attempt.class as usize];
+        let own_deadline = context.now + class.settings.client_deadline;
+        let passes_deadline = context.topology.scenario.limits.passes_deadline;
+        let call = ProxyRequest {
+            client_request: attempt.client_request,
+            attempt: 0,
+            class: attempt.class,
+            tenant: attempt.tenant,
+            is_retry: false,
+            deadline: if passes_deadline { attempt.deadline } else { own_deadline },
+            work: attempt.work,
+        };
+        let Some(proxy) = &mut self.proxy else { return };
+        let number = proxy.accept_request(context, call, Origin::Job { job, run });
+        if let (Some(number), Some(server)) = (number, &mut self.server) {
+            server.call_started(job, run, number);
+        }
+    }
+
+    /// Tells the client that a request had its effect at this server.
+    fn report_execution(&self, context: &mut Context, attempt: &Attempt) {
+        let is_first_tier = self.server_tier(context.topology) == Some(0);
+        let idempotency = context.topology.classes[attempt.class as usize].settings.idempotency;
+        if is_first_tier && idempotency != Idempotency::Idempotent {
+            let at = context.now + network::client(context.topology, context.rng);
+            let group = self.deduplication_group(context.topology, idempotency);
+            let executed = Message::EffectExecuted(attempt.client_request, group);
+            context.outbox.send(attempt.client_request.node, at, executed);
+        }
+    }
+
+    fn server_tier(&self, topology: &Topology) -> Option<u8> {
+        topology.machines[self.number as usize].server.map(|(tier, _)| tier)
+    }
+
+    fn server_spec<'a>(&self, topology: &'a Topology) -> Option<&'a ServerSpec> {
+        let (tier, slot) = topology.machines[self.number as usize].server?;
+        Some(&topology.tiers[tier as usize].servers[slot as usize])
+    }
+
+    /// The number of the group of servers within which a repeat of this request has no second effect.
+    fn deduplication_group(&self, topology: &Topology, idempotency: Idempotency) -> u64 {
+        let Some(spec) = self.server_spec(topology) else { return 0 };
+        match idempotency {
+            Idempotency::Keyed { scope: DeduplicationScope::Zone, .. } => u64::from(spec.zone),
+            Idempotency::Keyed { scope: DeduplicationScope::Cell, .. } => spec.cell,
             _ => 0,
         }
     }
 
-    fn report_noise(&self, world: &World) -> f64 {
-        let server = world.machines[self.number as usize].server;
-        server.and_then(|(tier, slot)| world.kind(tier, slot).report).map_or(0.0, |r| r.noise)
+    fn report_noise(&self, topology: &Topology) -> f64 {
+        let server = topology.machines[self.number as usize].server;
+        let report = server.and_then(|(tier, slot)| topology.kind(tier, slot).report);
+        report.map_or(0.0, |report| report.noise)
     }
 
-    fn fell_over(&mut self, ctx: &mut Ctx, last: u32) {
-        let Some(server) = self.server.as_ref().filter(|s| s.pushed_over()) else { return };
-        let Some((tier, slot)) = ctx.world.machines[self.number as usize].server else { return };
-        let name = &ctx.world.tiers[tier as usize].servers[slot as usize].name;
-        let age = (ctx.now - server.started()) as f64 / 1e6;
-        let what = format!("{name} fell over {age:.0} ms after its start: {}", server.pressure_in_words());
-        let proxy = ctx.world.proxy_name(last - ctx.world.clients);
-        ctx.local.tally.cold_breach(ctx.now, proxy, what);
-        debug_assert_eq!(Rule::Cold.name(), "cold");
+    /// Its server fell over while cold, with the last attempt from this proxy.
+    fn report_cold_overload(&self, context: &mut Context, last_proxy: u32) {
+        let Some(server) = self.server.as_ref().filter(|server| server.was_overloaded_while_cold()) else {
+            return;
+        };
+        let Some(spec) = self.server_spec(context.topology) else { return };
+        let age_ms = (context.now - server.started()) as f64 / 1e6;
+        let pressure = server.describe_pressure();
+        let what = format!("{} fell over {age_ms:.0} ms after its start: {pressure}", spec.name);
+        let proxy = context.topology.proxy_name(last_proxy - context.topology.clients);
+        context.thread.counters.cold_breach(context.now, proxy, what);
     }
 
-    fn post(&self, ctx: &mut Ctx) {
-        if ctx.world.policy_sees_true_state
+    fn broadcast_state(&self, context: &mut Context) {
+        if context.topology.policy_sees_true_state
             && let Some(server) = &self.server
         {
-            ctx.out.broadcast(server.post(ctx.world, ctx.now));
+            context.outbox.broadcast(server.state_broadcast(context.topology, context.now));
         }
     }
 
--- a/crates/lab/src/model/monitor.rs
+++ b/crates/lab/src/model/monitor.rs
@@ -1,27 +1,27 @@
-//! The four rules, watched at every proxy and server, each breach with the events that led to it.
+//! The four rules, checked at every proxy and server, and each breach with the events that led to it.
 //!
-//! What a rule forbids is told from what the proxy was told and did, never from what its policy believes.
+//! Whether a rule is broken follows from what the proxy was told and did, never from what its policy believes.
 
-use crate::run::result::Breach;
+use crate::run_result::Breach;
 use olivecart_decisions::{EndpointState, Nanos, Outcome};
 use std::collections::VecDeque;
 use std::fmt;
 
-/// Events that are remembered by each proxy.
-const REMEMBERED: usize = 400;
-/// Events that a breach is reported with, at most.
-const TOLD: usize = 40;
+/// How many events each proxy remembers.
+const MAX_TRACE_EVENTS: usize = 400;
+/// How many events a breach is reported with.
+const MAX_REPORTED_EVENTS: usize = 40;
 
 /// The four rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer in time, and nothing after it.
+    /// One final response in time, and nothing after it.
     Answer,
-    /// No second effect, and no two attempts at once.
+    /// No second effect, and no concurrent attempts.
     Effect,
-    /// Nothing new to a draining or gone server after the grace.
+    /// Nothing new to a draining or removed server after the grace period.
     Drain,
-    /// No cold server pushed over.
+    /// No cold server overloaded.
     Cold,
 }
 
@@ -29,7 +29,7 @@
     /// All of them.
     pub const ALL: [Rule; 4] = [Rule::Answer, Rule::Effect, Rule::Drain, Rule::Cold];
 
-    /// As results call it.
+    /// Its name in results.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Answer => "answer",
@@ -42,14 +42,14 @@
 
 /// Something that a proxy saw or did.
 #[derive(Clone, Copy, Debug)]
-pub enum Note {
-    /// It took a request.
-    Took(u64),
+pub enum TraceEvent {
+    /// It accepted a request.
+    Accepted(u64),
     /// It started an attempt of a request at a server.
     Sent(u64, u32, u32),
-    /// An attempt ended.
+    /// An attempt of a request at a server ended.
     Ended(u64, u32, u32, Outcome),
-    /// An attempt was called off.
+    /// An attempt of a request was cancelled.
     Cancelled(u64, u32),
     /// A request was refused.
     Refused(u64),
@@ -58,40 +58,76 @@
     /// A request was served.
     Served(u64),
     /// A request's client went away.
-    Left(u64),
+    Aborted(u64),
     /// A request's deadline passed.
     Expired(u64),
-    /// The list told of a server, which started then.
-    Told(u32, EndpointState, Nanos),
+    /// The list told of a server, with its state and start time.
+    Listed(u32, EndpointState, Nanos),
 }
 
-impl Note {
-    fn concerns(&self, request: Option<u64>, server: Option<u32>) -> bool {
-        let (r, s) = match *self {
-            Note::Took(r) | Note::Refused(r) | Note::Failed(r) | Note::Served(r) => (Some(r), None),
-            Note::Left(r) | Note::Expired(r) | Note::Cancelled(r, _) => (Some(r), None),
-            Note::Sent(r, _, s) | Note::Ended(r, _, s, _) => (Some(r), Some(s)),
-            Note::Told(s, ..) => (None, Some(s)),
-        };
-        request.is_some() && r == request || server.is_some() && s == server
+/// The request and the server that a breach is about.
+#[derive(Clone, Copy, Debug)]
+pub struct Subject {
+    /// The request's number at the proxy.
+    pub request: Option<u64>,
+    /// The server.
+    pub server: Option<u32>,
+}
+
+impl Subject {
+    /// A request alone.
+    pub fn request(number: u64) -> Subject {
+        Subject { request: Some(number), server: None }
     }
 }
 
-impl fmt::Display for Note {
+impl TraceEvent {
+    fn concerns(&self, subject: Subject) -> bool {
+        let own = self.subject();
+        let is_same_request = own.request.is_some() && own.request == subject.request;
+        let is_same_server = own.server.is_some() && own.server == subject.server;
+        is_same_request || is_same_server
+    }
+
+    fn subject(&self) -> Subject {
+        match *self {
+            TraceEvent::Accepted(request)
+            | TraceEvent::Refused(request)
+            | TraceEvent::Failed(request)
+            | TraceEvent::Served(request)
+            | TraceEvent::Aborted(request)
+            | TraceEvent::Expired(request)
+            | TraceEvent::Cancelled(request, _) => Subject::request(request),
+            TraceEvent::Sent(request, _, server) | TraceEvent::Ended(request, _, server, _) => {
+                Subject { request: Some(request), server: Some(server) }
+            }
+            TraceEvent::Listed(server, ..) => Subject { request: None, server: Some(server) },
+        }
+    }
+}
+
+impl fmt::Display for TraceEvent {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Note::Took(r) => write!(f, "took request {r}"),
-            Note::Sent(r, n, s) => write!(f, "sent attempt {n} of request {r} to server {s}"),
-            Note::Ended(r, n, s, o) => write!(f, "attempt {n} of request {r} at server {s} ended: {o:?}"),
-            Note::Cancelled(r, n) => write!(f, "called off attempt {n} of request {r}"),
-            Note::Refused(r) => write!(f, "refused request {r}"),
-            Note::Failed(r) => write!(f, "answered request {r} as failed"),
-            Note::Served(r) => write!(f, "passed on the answer to request {r}"),
-            Note::Left(r) => write!(f, "the client of request {r} went away"),
-            Note::Expired(r) => write!(f, "the deadline of request {r} passed"),
-            Note::Told(s, state, 0) => write!(f, "was told that server {s} is {state:?}"),
-            Note::Told(s, state, at) => {
-                write!(f, "was told that server {s} is {state:?}, started at {:.3} ms", *at as f64 / 1e6)
+            TraceEvent::Accepted(request) => write!(f, "took request {request}"),
+            TraceEvent::Sent(request, attempt, server) => {
+                write!(f, "sent attempt {attempt} of request {request} to server {server}")
+            }
+            TraceEvent::Ended(request, attempt, server, outcome) => {
+                write!(f, "attempt {attempt} of request {request} at server {server} ended: {outcome:?}")
+            }
+            TraceEvent::Cancelled(request, attempt) => {
+                write!(f, "called off attempt {attempt} of request {request}")
+            }
+            TraceEvent::Refused(request) => write!(f, "refused request {request}"),
+            TraceEvent::Failed(request) => write!(f, "answered request {request} as failed"),
+            TraceEvent::Served(request) => write!(f, "passed on the answer to request {request}"),
+            TraceEvent::Aborted(request) => write!(f, "the client of request {request} went away"),
+            TraceEvent::Expired(request) => write!(f, "the deadline of request {request} passed"),
+            TraceEvent::Listed(server, state, 0) => write!(f, "was told that server {server} is {state:?}"),
+            TraceEvent::Listed(server, state, started) => {
+                let started_ms = *started as f64 / 1e6;
+                write!(f, "was told that server {server} is {state:?}, started at {started_ms:.3} ms")
             }
         }
     }
@@ -100,54 +136,55 @@
 /// What one proxy remembers, and the breaches found at it.
 #[derive(Default)]
 pub struct Monitor {
-    notes: VecDeque<(Nanos, Note)>,
+    trace: VecDeque<(Nanos, TraceEvent)>,
     breaches: Vec<(Rule, Breach)>,
 }
 
 impl Monitor {
-    /// Remembers something.
-    pub fn note(&mut self, at: Nanos, note: Note) {
-        if self.notes.len() == REMEMBERED {
-            self.notes.pop_front();
+    /// Remembers an event.
+    pub fn record(&mut self, at: Nanos, event: TraceEvent) {
+        if self.trace.len() == MAX_TRACE_EVENTS {
+            self.trace.pop_front();
         }
-        self.notes.push_back((at, note));
+        self.trace.push_back((at, event));
     }
 
-    /// A rule was broken, with a request, at a server. The first breach of each rule is told whole.
-    pub fn breach(
-        &mut self,
-        rule: Rule,
-        at: Nanos,
-        proxy: &str,
-        (request, server): (Option<u64>, Option<u32>),
-        what: String,
-    ) {
-        if let Some((_, breach)) = self.breaches.iter_mut().find(|(r, _)| *r == rule) {
+    /// A rule was broken. The first breach of each rule is reported in full, the others are counted.
+    pub fn report_breach(&mut self, rule: Rule, at: Nanos, proxy: &str, subject: Subject, what: String) {
+        if let Some((_, breach)) = self.breaches.iter_mut().find(|(broken, _)| *broken == rule) {
             breach.count += 1;
             return;
         }
-        let told = self.notes.iter().filter(|(_, note)| note.concerns(request, server));
-        let line = |(at, note): &(Nanos, Note)| format!("{:.3} ms: {note}", *at as f64 / 1e6);
-        let mut events: Vec<String> = told.map(line).collect();
-        events.drain(..events.len().saturating_sub(TOLD));
-        let (rule_name, at_ms, proxy) = (rule.name().to_owned(), at as f64 / 1e6, proxy.to_owned());
-        self.breaches.push((rule, Breach { rule: rule_name, count: 1, at_ms, proxy, what, events }));
+        let concerned = self.trace.iter().filter(|(_, event)| event.concerns(subject));
+        let line = |(at, event): &(Nanos, TraceEvent)| format!("{:.3} ms: {event}", *at as f64 / 1e6);
+        let mut events: Vec<String> = concerned.map(line).collect();
+        events.drain(..events.len().saturating_sub(MAX_REPORTED_EVENTS));
+        let breach = Breach {
+            rule: rule.name().to_owned(),
+            count: 1,
+            at_ms: at as f64 / 1e6,
+            proxy: proxy.to_owned(),
+            what,
+            events,
+        };
+        self.breaches.push((rule, breach));
     }
 
-    /// What was found.
+    /// The breaches found.
     pub fn into_breaches(self) -> Vec<(Rule, Breach)> {
         self.breaches
     }
 }
 
 /// The first breach of each rule among all that were found, with the count of all.
-pub fn first_of_each(mut all: Vec<(Rule, Breach)>) -> Vec<Breach> {
-    all.sort_by(|(a, x), (b, y)| {
-        a.cmp(b).then(x.at_ms.total_cmp(&y.at_ms)).then_with(|| x.proxy.cmp(&y.proxy))
+pub fn first_of_each(mut breaches: Vec<(Rule, Breach)>) -> Vec<Breach> {
+    breaches.sort_by(|(rule, breach), (other_rule, other)| {
+        let by_time = breach.at_ms.total_cmp(&other.at_ms);
+        rule.cmp(other_rule).then(by_time).then_with(|| breach.proxy.cmp(&other.proxy))
     });
     let mut first: Vec<(Rule, Breach)> = Vec::new();
-    for (rule, breach) in all {
-        match first.last_mut().filter(|(r, _)| *r == rule) {
+    for (rule, breach) in breaches {
+        match first.last_mut().filter(|(last, _)| *last == rule) {
             Some((_, earlier)) => earlier.count += breach.count,
             None => first.push((rule, breach)),
         }
--- a/crates/lab/src/model/net.rs
+++ b/crates/lab/src/model/network.rs
@@ -1,6 +1,6 @@
 //! The network between nodes: how long a message takes, and whether it arrives.
 
-use super::world::World;
+use super::topology::Topology;
 use crate::scenario::Network;
 use olivecart_decisions::Nanos;
 use rand::Rng;
@@ -8,25 +8,25 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Whether a message between two nodes arrives: neither has vanished, and no cut lies between them.
-pub fn reaches(world: &World, from: u32, to: u32, at: Nanos) -> bool {
-    let timeline = &world.timeline;
+pub fn reaches(topology: &Topology, from: u32, to: u32, at: Nanos) -> bool {
+    let timeline = &topology.timeline;
     let dark = |node: u32| {
-        let machine = node.checked_sub(world.clients).filter(|m| (*m as usize) < world.machines.len());
+        let machine = node.checked_sub(topology.clients).filter(|m| (*m as usize) < topology.machines.len());
         machine.is_some_and(|machine| timeline.is_dark(machine, at))
     };
-    !dark(from) && !dark(to) && timeline.joined(world.zone_of(from), world.zone_of(to), at)
+    !dark(from) && !dark(to) && timeline.joined(topology.zone_of(from), topology.zone_of(to), at)
 }
 
 /// How long a message between two machines takes, one way.
-pub fn between(world: &World, from: u32, to: u32, rng: &mut Pcg64Mcg) -> Nanos {
-    let network = &world.scenario.network;
-    let same = world.zone_of(from) == world.zone_of(to);
+pub fn between(topology: &Topology, from: u32, to: u32, rng: &mut Pcg64Mcg) -> Nanos {
+    let network = &topology.scenario.network;
+    let same = topology.zone_of(from) == topology.zone_of(to);
     jittered(network, if same { network.same_zone.nanos() } else { network.cross_zone.nanos() }, rng)
 }
 
 /// How long a message between a client and a proxy takes, one way.
-pub fn client(world: &World, rng: &mut Pcg64Mcg) -> Nanos {
-    jittered(&world.scenario.network, world.scenario.network.client.nanos(), rng)
+pub fn client(topology: &Topology, rng: &mut Pcg64Mcg) -> Nanos {
+    jittered(&topology.scenario.network, topology.scenario.network.client.nanos(), rng)
 }
 
 fn jittered(network: &Network, base: Nanos, rng: &mut Pcg64Mcg) -> Nanos {
--- a/crates/lab/src/model/world.rs
+++ b/crates/lab/src/model/topology.rs
@@ -1,9 +1,10 @@
-//! A scenario made ready to be played: who there is, where, and what the draws of its seed came to. Nothing
-//! in it changes during a run, and all threads read it.
+//! The topology of a run: a scenario with everything that its seed draws before the run, such as machines,
+//! their zones, and the timeline of faults. Nothing in it changes during a run, and all threads read it.
 
 use super::faults::Timeline;
+use super::message::ListEntry;
 use super::sample::Sampler;
-use crate::policy::PolicyFactory;
+use crate::policy::{self, PolicyFactory, UnknownPolicy};
 use crate::scenario::{self, DiscoveryMode, Scenario, Weights};
 use olivecart_decisions as decisions;
 use olivecart_decisions::{CellId, KindId, Nanos, ZoneId};
@@ -12,18 +13,18 @@
 use std::rc::Rc;
 
 /// No tenant.
-pub const NOBODY: u16 = u16::MAX;
+pub const NO_TENANT: u16 = u16::MAX;
 
-/// Worth is counted in millionths, in whole numbers: sums then don't depend on their order.
+/// Worth is counted in millionths, in whole numbers: sums then do not depend on their order.
 pub const WORTH: f64 = 1e6;
 
 /// A class of requests.
 pub struct Class {
-    /// For the decisions.
-    pub told: decisions::Class,
-    /// Worth of an answer in time, and of a late one, in millionths.
+    /// As the decisions are told of it.
+    pub settings: decisions::Class,
+    /// Worth of a response within the latency objective, in millionths.
     pub worth: u64,
-    /// The latter.
+    /// Worth of a late response, in millionths.
     pub late_worth: u64,
     /// Draws a request's work over all tiers.
     pub work: Sampler,
@@ -45,13 +46,13 @@
     pub weight: f64,
     /// Its machine's number.
     pub machine: u32,
-    /// It is there from the begin; if not, it takes another one's place in a deploy.
-    pub first: bool,
+    /// It runs from the start; if not, it replaces another server in a deploy.
+    pub present_at_start: bool,
 }
 
 /// One tier.
 pub struct Tier {
-    /// All servers that there will ever be; the first so many are there at the begin.
+    /// All servers that there will ever be; those present at the start come first.
     pub servers: Vec<ServerSpec>,
     /// Numbers of the proxies that call it, as machines.
     pub callers: Vec<u32>,
@@ -67,17 +68,38 @@
     pub proxy: Option<(u8, u32)>,
 }
 
-/// All that a run is played in.
-pub struct World {
+/// The policy of all proxies of a run.
+#[derive(Clone, Copy)]
+pub struct PolicyChoice<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Constructs it.
+    pub factory: PolicyFactory,
+    /// Whether the time spent in it is measured.
+    pub timed: bool,
+}
+
+impl<'a> PolicyChoice<'a> {
+    /// The policy of a name, with no time measured.
+    ///
+    /// # Errors
+    /// No policy has that name.
+    pub fn named(name: &'a str) -> Result<PolicyChoice<'a>, UnknownPolicy> {
+        Ok(PolicyChoice { name, factory: policy::named(name)?, timed: false })
+    }
+}
+
+/// Everything about a run that is fixed before it starts.
+pub struct Topology {
     /// The scenario.
     pub scenario: Scenario,
     /// The seed.
     pub seed: u64,
     /// Classes in the scenario's order.
     pub classes: Vec<Class>,
-    /// First tries a second, over all.
+    /// Requests per second, over all clients.
     pub rate: f64,
-    /// What the fleet can do, requests a second.
+    /// What the fleet can serve, in requests per second.
     pub capacity: f64,
     /// Tiers in the scenario's order.
     pub tiers: Vec<Tier>,
@@ -97,17 +119,11 @@
     pub timed: bool,
 }
 
-impl World {
+impl Topology {
     /// Draws what a seed makes of a scenario that was checked.
-    pub fn new(
-        scenario: Scenario,
-        seed: u64,
-        policy: &str,
-        policy_factory: PolicyFactory,
-        timed: bool,
-    ) -> World {
+    pub fn new(scenario: Scenario, seed: u64, policy: PolicyChoice) -> Topology {
         let mut rng = Pcg64Mcg::seed_from_u64(mix(seed, 0xA11_0CA7E));
-        let mut world = World {
+        let mut topology = Topology {
             seed,
             classes: scenario.class.iter().map(class).collect(),
             rate: scenario.rate(),
@@ -117,74 +133,77 @@
             clients: 0,
             fronts: vec![Vec::new(); scenario.zones.len()],
             timeline: Timeline::default(),
-            policy_factory,
-            policy_sees_true_state: policy == "oracle",
-            timed,
+            policy_factory: policy.factory,
+            policy_sees_true_state: policy.name == "oracle",
+            timed: policy.timed,
             scenario,
         };
-        world.place_fronts();
-        for tier in 0..world.scenario.tier.len() {
-            world.place_tier(tier, &mut rng);
+        topology.place_fronts();
+        for tier in 0..topology.scenario.tier.len() {
+            topology.place_tier(tier, &mut rng);
         }
-        world.timeline = Timeline::draw(&mut world, &mut rng);
-        world
+        topology.timeline = Timeline::draw(&mut topology, &mut rng);
+        topology
     }
 
     fn place_fronts(&mut self) {
         let zones = self.scenario.zones.len() as u32;
         let count = self.scenario.tier[0].proxies;
         self.clients = count;
-        let callers: Vec<u32> = (0..count).collect();
         for number in 0..count {
             let zone = (number % zones) as u16;
             self.fronts[zone as usize].push(number);
             self.machines.push(MachineSpec { zone, server: None, proxy: Some((0, number)) });
         }
-        self.tiers = (0..self.scenario.tier.len())
-            .map(|tier| Tier {
-                servers: Vec::new(),
-                callers: if tier == 0 { callers.clone() } else { Vec::new() },
-            })
-            .collect();
+        let tiers = self.scenario.tier.len();
+        self.tiers = (0..tiers).map(|_| Tier { servers: Vec::new(), callers: Vec::new() }).collect();
+        self.tiers[0].callers = (0..count).collect();
     }
 
     fn place_tier(&mut self, tier: usize, rng: &mut Pcg64Mcg) {
         for seat in self.scenario.layout(tier) {
             let [least, most] = self.scenario.tier[tier].kind[seat.kind].speed;
             let speed = least + (most - least) * rng.random::<f64>();
-            let like = Like { zone: seat.zone as u16, kind: seat.kind as u16, speed, cell: seat.cell as u64 };
-            self.add_server(tier, like, true);
+            let template = ServerTemplate {
+                zone: seat.zone as u16,
+                kind: seat.kind as u16,
+                speed,
+                cell: seat.cell as u64,
+                present_at_start: true,
+            };
+            self.add_server(tier, template);
         }
     }
 
     /// Adds a server and its machine, with a proxy of its own for the next tier if there is one.
-    pub(super) fn add_server(&mut self, tier: usize, like: Like, first: bool) -> u32 {
-        let (machine, slot) = (self.machines.len() as u32, self.tiers[tier].servers.len() as u32);
-        let weight = self.weight(tier, &like);
-        let Like { zone, kind, speed, cell } = like;
+    pub(super) fn add_server(&mut self, tier: usize, template: ServerTemplate) -> u32 {
+        let machine = self.machines.len() as u32;
+        let slot = self.tiers[tier].servers.len() as u32;
+        let weight = self.weight(tier, &template);
+        let ServerTemplate { zone, kind, speed, cell, present_at_start } = template;
         let name = format!("{}-{slot}", self.scenario.tier[tier].name);
-        let spec = ServerSpec { name, zone, cell, kind, speed, weight, machine, first };
+        let spec = ServerSpec { name, zone, cell, kind, speed, weight, machine, present_at_start };
         self.tiers[tier].servers.push(spec);
-        let next = tier + 1;
-        let proxy = (next < self.tiers.len()).then(|| {
-            self.tiers[next].callers.push(machine);
-            (next as u8, self.tiers[next].callers.len() as u32 - 1)
+        let next_tier = tier + 1;
+        let proxy = self.tiers.get_mut(next_tier).map(|next| {
+            next.callers.push(machine);
+            (next_tier as u8, next.callers.len() as u32 - 1)
         });
         self.machines.push(MachineSpec { zone, server: Some((tier as u8, slot)), proxy });
         slot
     }
 
-    fn weight(&self, tier: usize, like: &Like) -> f64 {
+    fn weight(&self, tier: usize, template: &ServerTemplate) -> f64 {
         let spec = &self.scenario.tier[tier];
-        let kind = &spec.kind[like.kind as usize];
+        let kind = &spec.kind[template.kind as usize];
         match spec.weights {
             Weights::None => 1.0,
             Weights::Nominal => f64::from(kind.cores) * (kind.speed[0] + kind.speed[1]) / 2.0,
-            Weights::True => f64::from(kind.cores) * like.speed,
+            Weights::True => f64::from(kind.cores) * template.speed,
         }
     }
 
-    /// What a proxy is told at its start.
+    /// The settings of a proxy.
     pub fn settings(&self, tier: u8, number: u32, zone: u16) -> decisions::Settings {
         let (limits, rules) = (&self.scenario.limits, &self.scenario.rules);
         let quota = |t: &scenario::Tenant| t.share * self.capacity;
@@ -195,7 +214,7 @@
             tier: u32::from(tier),
             zone: ZoneId(zone),
             clock_granularity: 1_000_000,
-            classes: self.classes.iter().map(|c| c.told.clone()).collect(),
+            classes: self.classes.iter().map(|c| c.settings.clone()).collect(),
             tenants: self.scenario.tenant.iter().map(tenant).collect(),
             over_quota_weight_ratio: self.scenario.over_share_worth,
             weight_by_work: false,
@@ -224,18 +243,18 @@
         }
     }
 
-    /// A line of the list as the decisions read it.
-    pub fn entry(&self, tier: u8, line: super::message::Line, name: Rc<str>) -> decisions::EndpointEntry {
-        let spec = &self.tiers[tier as usize].servers[line.slot as usize];
+    /// An entry of the list as the decisions read it.
+    pub fn entry(&self, tier: u8, entry: ListEntry, name: Rc<str>) -> decisions::EndpointEntry {
+        let spec = &self.tiers[tier as usize].servers[entry.slot as usize];
         decisions::EndpointEntry {
-            id: decisions::EndpointId(line.slot),
+            id: decisions::EndpointId(entry.slot),
             name,
-            state: line.state,
+            state: entry.state,
             zone: ZoneId(spec.zone),
             kind: KindId(spec.kind),
             cell: CellId(spec.cell),
             size: spec.weight,
-            started: (line.started > 0).then_some(line.started),
+            started: (entry.started > 0).then_some(entry.started),
         }
     }
 
@@ -278,7 +297,7 @@
         }
     }
 
-    /// When the last client has had its answer for sure.
+    /// When every client has certainly had its final response.
     pub fn ends(&self) -> Nanos {
         let longest = self.scenario.class.iter().map(|c| c.deadline.nanos()).max().unwrap_or(0);
         self.scenario.length.nanos() + longest + 1_000_000_000
@@ -287,11 +306,13 @@
 
 /// What a server is like.
 #[derive(Clone, Copy)]
-pub(super) struct Like {
+pub(super) struct ServerTemplate {
     pub zone: u16,
     pub kind: u16,
     pub speed: f64,
     pub cell: u64,
+    /// It runs from the start.
+    pub present_at_start: bool,
 }
 
 fn class(class: &scenario::Class) -> Class {
@@ -308,7 +329,7 @@
         scenario::Effect::Once => decisions::Idempotency::NonIdempotent,
     };
     Class {
-        told: decisions::Class {
+        settings: decisions::Class {
             latency_objective: class.aim.nanos(),
             client_deadline: class.deadline.nanos(),
             idempotency: effect,
--- a/crates/lab/src/report/buckets.rs
+++ b/crates/lab/src/report/buckets.rs
@@ -1,6 +1,6 @@
 //! A run's seconds, put together where there are more than a plot can show.
 
-use crate::run::result::Second;
+use crate::run_result::Second;
 
 /// Most points of a line.
 const MOST: usize = 600;
--- a/crates/lab/src/report/classes.rs
+++ b/crates/lab/src/report/classes.rs
@@ -3,7 +3,7 @@
 use super::axis::Axis;
 use super::frame::{self, LEFT, Line, NotDrawn, svg};
 use super::palette::SERIES;
-use crate::run::result::Group;
+use crate::run_result::Group;
 use plotters::prelude::*;
 
 const NAMES: [&str; 5] = ["50th", "90th", "99th", "99.9th", "greatest"];
--- a/crates/lab/src/report/held.rs
+++ b/crates/lab/src/report/held.rs
@@ -4,7 +4,7 @@
 use super::frame::{self, NotDrawn, WIDE, letters, svg};
 use super::over_time;
 use super::palette::{Colour, DOWN, SERIES, TEXT};
-use crate::run::result::{Held, Window};
+use crate::run_result::{Held, Window};
 use plotters::prelude::*;
 use plotters::style::text_anchor::HPos;
 use std::collections::BTreeMap;
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::experiment::select::{SelectError, Selection};
 use crate::results::{Cell, Entry, Failed, Outcome, Torn};
-use crate::run::result::RunResult;
+use crate::run_result::RunResult;
 use std::io;
 use std::path::{Path, PathBuf};
 
--- a/crates/lab/src/report/over_time.rs
+++ b/crates/lab/src/report/over_time.rs
@@ -3,7 +3,7 @@
 use super::axis::Axis;
 use super::frame::{self, LEFT, Line, NotDrawn, RIGHT, WIDE, letters, svg};
 use super::palette::{FAULT, TEXT};
-use crate::run::result::Window;
+use crate::run_result::Window;
 use plotters::coord::ranged1d::Ranged;
 use plotters::prelude::*;
 use plotters::style::text_anchor::HPos;
--- a/crates/lab/src/report/overlay.rs
+++ b/crates/lab/src/report/overlay.rs
@@ -9,7 +9,7 @@
 use super::{NotDrawn, Shown, servers};
 use crate::experiment::metrics;
 use crate::experiment::words::figure as number;
-use crate::run::result::Window;
+use crate::run_result::Window;
 use maud::{Markup, html};
 
 /// The plots of two runs in one, and their figures side by side.
--- a/crates/lab/src/report/run.rs
+++ b/crates/lab/src/report/run.rs
@@ -7,7 +7,7 @@
 use super::palette::{Colour, FAULT, SERIES};
 use super::{NotDrawn, Shown, classes, held, over_time, servers};
 use crate::experiment::words::figure as number;
-use crate::run::result::{Breach, Group, RunResult, Second, Server, Window};
+use crate::run_result::{Breach, Group, RunResult, Second, Server, Window};
 use maud::{Markup, html};
 
 /// Everything about a run; `at` counts runs from 0. A run that is alone has its name at the top of the page.
--- a/crates/lab/src/report/servers.rs
+++ b/crates/lab/src/report/servers.rs
@@ -3,7 +3,7 @@
 use super::axis::Axis;
 use super::frame::{self, LEFT, Line, NotDrawn, svg};
 use super::palette::{Colour, SERIES};
-use crate::run::result::Server;
+use crate::run_result::Server;
 use plotters::prelude::*;
 
 /// Half the width of a page, and a height to match.
--- a/crates/lab/src/results.rs
+++ b/crates/lab/src/results.rs
@@ -10,7 +10,7 @@
 //! `schema` outside is [`LINE_SCHEMA`], inside `result` it is [`SCHEMA`]; both are checked before anything
 //! else is read. Of two lines about the same run the later one counts, if the earlier one is a failure.
 
-use crate::run::result::{RunResult, SCHEMA};
+use crate::run_result::{RunResult, SCHEMA};
 use fs4::FileExt;
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
--- a/crates/lab/src/run/mod.rs
+++ b/crates/lab/src/run.rs
@@ -1,12 +1,13 @@
-//! Runs of a scenario in virtual time, and what they come to.
+//! Runs a scenario in virtual time, and makes its result from what the threads counted.
+//!
+//! The command line and the experiments call it. What it returns follows from scenario, policy, seed and build
+//! alone, but for the cost.
 
-pub mod result;
-
-use crate::engine::{self, EngineError};
-use crate::model::{self, World};
-use crate::policy::{self, UnknownPolicy};
+use crate::engine::{self, EngineError, RunOutcome};
+use crate::model::{self, Counters, PolicyChoice, Rule, ThreadOutput, Topology};
+use crate::policy::UnknownPolicy;
+use crate::run_result::{Breach, Cost, RunResult, SCHEMA, Totals};
 use crate::scenario::{Checked, Scenario};
-use result::{Breach, Cost, RunResult, SCHEMA, Totals};
 use std::time::Instant;
 
 /// Why a run came to nothing.
@@ -35,80 +36,85 @@
     }
 }
 
-/// Plays a scenario that was checked.
+/// Runs a scenario that was checked.
+///
+/// # Errors
+/// There is no such policy, or the run stopped before its end.
 pub fn run(scenario: &Checked, policy: &str, seed: u64, options: Options) -> Result<RunResult, RunError> {
-    let policy_factory = policy::named(policy)?;
-    let world = World::new(Scenario::clone(scenario), seed, policy, policy_factory, options.timed);
-    let began = Instant::now();
-    let outcome = engine::run(&world, options.threads)?;
-    let wall_s = began.elapsed().as_secs_f64();
-    let mut parts = outcome.outputs.into_iter();
-    let Some(mut all) = parts.next() else { return Ok(RunResult::default()) };
-    for part in parts {
-        all.digests.extend(part.digests);
-        all.servers.extend(part.servers);
-        all.work += part.work;
-        all.connection_us += part.connection_us;
-        all.up += part.up;
-        all.handshakes += part.handshakes;
-        all.tally.add(&part.tally);
-        all.breaches.extend(part.breaches);
-        all.held.extend(part.held);
-        all.policy_s += part.policy_s;
-    }
-    all.servers.sort_by_key(|(place, _)| *place);
-    all.held.sort_by(|(a, x), (b, y)| {
-        a.cmp(b).then(x.from_ms.cmp(&y.from_ms)).then_with(|| x.server.cmp(&y.server))
-    });
-    let mut breaches = model::first_of_each(all.breaches);
-    breaches.extend(cold_breach(&all.tally));
-    let totals = Totals {
-        handshakes: all.handshakes,
-        connections_per_server: if all.up == 0 {
-            0.0
-        } else {
-            all.connection_us as f64 * 1e3 / all.up as f64
-        },
-        ..all.tally.totals(all.work)
-    };
+    let choice = PolicyChoice { timed: options.timed, ..PolicyChoice::named(policy)? };
+    let topology = Topology::new(Scenario::clone(scenario), seed, choice);
+    let start = Instant::now();
+    let RunOutcome { outputs, events, .. } = engine::run(&topology, options.threads)?;
+    let wall_s = start.elapsed().as_secs_f64();
+    let Some(output) = merged(outputs) else { return Ok(RunResult::default()) };
     let cost = Cost {
         threads: options.threads as u32,
-        events: outcome.events,
+        events,
         wall_s,
-        policy_s: all.policy_s,
+        policy_s: output.policy_s,
         peak_mib: peak_mib(),
     };
-    let mut result = RunResult {
+    let mut result = RunResult { policy: policy.into(), cost, ..result(scenario, &topology, output) };
+    result.out_of_bounds = out_of_bounds(scenario, &result);
+    Ok(result)
+}
+
+/// The outputs of all threads together, in an order that does not depend on the threads.
+fn merged(outputs: Vec<ThreadOutput>) -> Option<ThreadOutput> {
+    let mut outputs = outputs.into_iter();
+    let mut merged = outputs.next()?;
+    for output in outputs {
+        merged.merge(output);
+    }
+    merged.sort();
+    Some(merged)
+}
+
+/// The result of a run, but for its policy, its cost and its bounds.
+fn result(scenario: &Checked, topology: &Topology, output: ThreadOutput) -> RunResult {
+    let mut breaches = model::first_of_each(output.breaches);
+    breaches.extend(cold_breach(&output.counters));
+    let connections_per_server =
+        if output.up == 0 { 0.0 } else { output.connection_us as f64 * 1e3 / output.up as f64 };
+    let totals = Totals {
+        handshakes: output.handshakes,
+        connections_per_server,
+        ..output.counters.totals(output.work)
+    };
+    RunResult {
         schema: SCHEMA,
         scenario: scenario.name.clone(),
         scenario_digest: scenario.digest().into(),
         revision: revision().into(),
-        policy: policy.into(),
-        seed,
-        digest: model::digest(all.digests),
-        unsound: all.tally.violations(),
+        seed: topology.seed,
+        digest: model::digest(output.digests),
+        unsound: output.counters.violations(),
         totals,
-        worst_window: all.tally.worst_window(),
-        classes: all.tally.classes(&world),
-        tenants: all.tally.tenants(&world),
-        seconds: all.tally.seconds(),
-        servers: all.servers.into_iter().map(|(_, server)| server).collect(),
-        held: all.held.into_iter().map(|(_, held)| held).collect(),
-        faults: world.timeline.windows.clone(),
+        worst_window: output.counters.worst_window(),
+        classes: output.counters.classes(topology),
+        tenants: output.counters.tenants(topology),
+        seconds: output.counters.seconds(),
+        servers: output.servers.into_iter().map(|(_, server)| server).collect(),
+        held: output.held.into_iter().map(|(_, held)| held).collect(),
+        faults: topology.timeline.windows.clone(),
         breaches,
-        out_of_bounds: Vec::new(),
-        cost,
-    };
-    result.out_of_bounds = out_of_bounds(scenario, &result);
-    Ok(result)
+        ..RunResult::default()
+    }
 }
 
-fn cold_breach(tally: &model::Tally) -> Option<Breach> {
-    let all = tally.cold_breaches();
+fn cold_breach(counters: &Counters) -> Option<Breach> {
+    let all = counters.cold_breaches();
     let (at, proxy, what) = all.first()?.clone();
     let later = all.iter().skip(1).map(|(at, _, what)| format!("{:.3} ms: {what}", *at as f64 / 1e6));
     let events = later.take(20).collect();
-    Some(Breach { rule: "cold".into(), count: all.len() as u64, at_ms: at as f64 / 1e6, proxy, what, events })
+    Some(Breach {
+        rule: Rule::Cold.name().into(),
+        count: all.len() as u64,
+        at_ms: at as f64 / 1e6,
+        proxy,
+        what,
+        events,
+    })
 }
 
 /// What of the scenario's bounds a result does not keep, in words.
--- a/crates/lab/src/scenario/schema.rs
+++ b/crates/lab/src/scenario/schema/mod.rs
@@ -16,9 +16,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    #[test]
-    fn the_schema_says_nothing_that_is_not_understood() {
-        assert_eq!(olivecart_config::document::shape::understands(super::tree()), Ok(()));
-    }
-}
+mod tests;
--- a/crates/lab/src/sockets/fleet/mod.rs
+++ b/crates/lab/src/sockets/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! A scenario's servers and its discovery on loopback.
 //!
-//! Where it differs from the world: connections between clients and first-tier proxies have no delay of their
+//! Where it differs from the topology: connections between clients and first-tier proxies have no delay of their
 //! own; a zone's loss and a partition hold between proxies and servers and between proxies and discovery,
-//! whose sockets stay silent as in the world, but connections to a proxy that has vanished are still
+//! whose sockets stay silent as in the topology, but connections to a proxy that has vanished are still
 //! acknowledged by this machine; and work done in vain is known to each tier only for itself.
 
 mod discovery;
@@ -21,7 +21,7 @@
 use super::protocol::{Document, Line, State};
 use super::registry::Entry;
 use super::stream::{Door, Loopback};
-use crate::model::{ServerSpec, World};
+use crate::model::{ServerSpec, Topology};
 use crate::scenario::Kind;
 use discovery::Discovery;
 use futures_util::future::{BoxFuture, try_join_all};
@@ -58,21 +58,21 @@
 }
 
 impl Place {
-    fn spec(self, world: &World) -> &ServerSpec {
-        &world.tiers[self.tier].servers[self.index]
+    fn spec(self, topology: &Topology) -> &ServerSpec {
+        &topology.tiers[self.tier].servers[self.index]
     }
 
-    fn kind(self, world: &World) -> &Kind {
-        world.kind(self.tier as u8, self.index as u32)
+    fn kind(self, topology: &Topology) -> &Kind {
+        topology.kind(self.tier as u8, self.index as u32)
     }
 
     /// The number of its machine.
-    fn machine(self, world: &World) -> u32 {
-        self.spec(world).machine
+    fn machine(self, topology: &Topology) -> u32 {
+        self.spec(topology).machine
     }
 }
 
-/// The proxies that live and die with a fleet, by the number of their machine in its [`World`].
+/// The proxies that live and die with a fleet, by the number of their machine in its [`Topology`].
 pub trait Proxies: Send + Sync {
     /// Starts one, and waits until it is ready. An error says why it is not.
     fn start(&self, machine: u32) -> BoxFuture<'static, Result<SocketAddr, String>>;
@@ -83,7 +83,7 @@
 
 /// What all servers share.
 struct Shared {
-    world: Arc<World>,
+    topology: Arc<Topology>,
     clock: Clock,
     alarm: Arc<Alarm>,
     /// By tier.
@@ -119,21 +119,21 @@
 
     /// A request has run to its end.
     fn took_place(&self, node: &Node, class: usize, key: Option<&str>) {
-        let cell = node.place.spec(&self.world).cell;
+        let cell = node.place.spec(&self.topology).cell;
         held(&self.effects[node.place.tier]).ran(self.clock.now(), class, key, node.zone as u64, cell);
     }
 
     /// Whether the connection of a request that was just read breaks.
     fn resets(&self, node: &Node) -> bool {
-        let (base, tier) = (self.world.scenario.network.reset_rate, node.place.tier as u8);
+        let (base, tier) = (self.topology.scenario.network.reset_rate, node.place.tier as u8);
         let since = self.counts.since_begin(self.clock.now());
-        let rate = since.map_or(base, |at| self.world.timeline.reset_rate(base, tier, at));
+        let rate = since.map_or(base, |at| self.topology.timeline.reset_rate(base, tier, at));
         rate > 0.0 && node.draw(|chance| chance.random::<f64>()) < rate
     }
 
     /// Waits for as long as so many one-way trips between two zones take.
     async fn travels(&self, from: usize, to: usize, trips: u32) {
-        let network = &self.world.scenario.network;
+        let network = &self.topology.scenario.network;
         let base = if from == to { network.same_zone } else { network.cross_zone }.nanos() as f64;
         let one = |chance: &mut Chance| base * (1.0 - network.jitter * (1.0 - chance.random::<f64>()).ln());
         let whole: f64 = {
@@ -160,14 +160,14 @@
 }
 
 /// How discovery lists a server.
-fn entry(world: &World, clock: &Clock, node: &Node, state: State) -> Entry {
-    let spec = node.place.spec(world);
+fn entry(topology: &Topology, clock: &Clock, node: &Node, state: State) -> Entry {
+    let spec = node.place.spec(topology);
     let started = node.started();
     let line = Line {
         id: spec.name.clone(),
         addr: String::new(),
-        zone: world.scenario.zones[node.zone].clone(),
-        kind: node.place.kind(world).name.clone(),
+        zone: topology.scenario.zones[node.zone].clone(),
+        kind: node.place.kind(topology).name.clone(),
         cell: spec.cell,
         state,
         weight: spec.weight,
@@ -192,18 +192,18 @@
     ///
     /// # Errors
     /// There are no sockets for it.
-    pub fn start(world: Arc<World>, net: &Loopback) -> Result<Fleet, FleetError> {
+    pub fn start(topology: Arc<Topology>, net: &Loopback) -> Result<Fleet, FleetError> {
         let time: Time = (Clock::start(), Arc::new(Alarm::start()?));
-        let zones = world.scenario.zones.len();
+        let zones = topology.scenario.zones.len();
         let (mut nodes, mut lists, mut open) = (Vec::new(), Vec::new(), Vec::new());
-        for (tier, spec) in world.tiers.iter().enumerate() {
+        for (tier, spec) in topology.tiers.iter().enumerate() {
             let (mut of_tier, mut list) = (Vec::new(), Vec::new());
             for (index, spec) in spec.servers.iter().enumerate() {
                 let listeners = (0..zones).map(|_| net.listen()).collect::<io::Result<Vec<_>>>()?;
                 let doors = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
-                let node = Node::new(&world, Place { tier, index }, doors, time.clone());
-                if spec.first {
-                    list.push(entry(&world, &time.0, &node, State::Ready));
+                let node = Node::new(&topology, Place { tier, index }, doors, time.clone());
+                if spec.present_at_start {
+                    list.push(entry(&topology, &time.0, &node, State::Ready));
                     open.push((node.clone(), listeners));
                 }
                 of_tier.push(node);
@@ -214,15 +214,19 @@
         let shared = Arc::new(Shared {
             clock: time.0,
             alarm: time.1.clone(),
-            effects: world.tiers.iter().map(|_| Mutex::new(Effects::new(&world.scenario.class))).collect(),
-            counts: Counts::new(&world.scenario),
+            effects: topology
+                .tiers
+                .iter()
+                .map(|_| Mutex::new(Effects::new(&topology.scenario.class)))
+                .collect(),
+            counts: Counts::new(&topology.scenario),
             sidecars: Mutex::default(),
             nodes,
-            discovery: Discovery::new(time, lists, &world.scenario),
+            discovery: Discovery::new(time, lists, &topology.scenario),
             tasks: Mutex::default(),
-            chance: Mutex::new(stream(world.seed, "network", 0)),
+            chance: Mutex::new(stream(topology.seed, "network", 0)),
             troubles: Mutex::default(),
-            world,
+            topology,
         });
         open.into_iter().for_each(|(node, listeners)| shared.open(&node, listeners));
         let discovery = open_discovery(&shared, net)?;
--- a/crates/lab/src/sockets/fleet/node.rs
+++ b/crates/lab/src/sockets/fleet/node.rs
@@ -1,7 +1,7 @@
 //! One server on sockets: its machine under a lock, and a timer for what happens there by itself.
 
 use super::{Place, Time};
-use crate::model::{Change, World};
+use crate::model::{MachineChange, Topology};
 use crate::sockets::chance::{Chance, stream};
 use crate::sockets::clock::{Alarm, Clock};
 use crate::sockets::held;
@@ -49,13 +49,13 @@
 
 impl Node {
     /// A server that is warm and runs, or is not there yet.
-    pub fn new(world: &World, place: Place, doors: Vec<SocketAddr>, (clock, alarm): Time) -> Arc<Node> {
-        let spec = place.spec(world);
-        let (kind, rules) = (place.kind(world).clone(), world.scenario.rules.clone());
+    pub fn new(topology: &Topology, place: Place, doors: Vec<SocketAddr>, (clock, alarm): Time) -> Arc<Node> {
+        let spec = place.spec(topology);
+        let (kind, rules) = (place.kind(topology).clone(), topology.scenario.rules.clone());
         let shape = Shape { kind, speed: spec.speed, rules };
-        let chance = |purpose| stream(world.seed, purpose, spec.machine.into());
+        let chance = |purpose| stream(topology.seed, purpose, spec.machine.into());
         let inner = Inner {
-            machine: Machine::new(shape, chance("machine"), spec.first),
+            machine: Machine::new(shape, chance("machine"), spec.present_at_start),
             waiting: FxHashMap::default(),
             alarm: None,
             chance: chance("node"),
@@ -191,7 +191,7 @@
     }
 
     /// Something about it changes, but for its death and its start.
-    pub fn change(self: &Arc<Node>, change: Change) {
+    pub fn change(self: &Arc<Node>, change: MachineChange) {
         self.with(|machine, now| machine.change(now, change));
     }
 
--- a/crates/lab/src/sockets/fleet/play.rs
+++ b/crates/lab/src/sockets/fleet/play.rs
@@ -2,7 +2,7 @@
 
 use super::node::Node;
 use super::{Place, Proxies, Shared, discovery, entry};
-use crate::model::{Change, World};
+use crate::model::{MachineChange, Topology};
 use crate::sockets::client::Pool;
 use crate::sockets::held;
 use crate::sockets::protocol::State;
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// To a machine.
-    Machine(u32, Change),
+    Machine(u32, MachineChange),
     /// A zone is cut off, or no longer.
     Cut,
     /// Discovery goes down, or comes back.
@@ -31,9 +31,9 @@
 }
 
 /// All that happens, by time. What ends at an instant comes before what begins then.
-fn steps(world: &World) -> Vec<(u64, Step)> {
-    let timeline = &world.timeline;
-    let of = |(machine, changes): (u32, &Vec<(u64, Change)>)| {
+fn steps(topology: &Topology) -> Vec<(u64, Step)> {
+    let timeline = &topology.timeline;
+    let of = |(machine, changes): (u32, &Vec<(u64, MachineChange)>)| {
         changes.iter().map(move |(at, change)| (*at, Step::Machine(machine, *change))).collect::<Vec<_>>()
     };
     let mut steps: Vec<(u64, Step)> = (0..).zip(&timeline.changes).flat_map(of).collect();
@@ -66,7 +66,7 @@
 
     /// Plays all of it, counted from a time.
     pub async fn play(mut self, begin: u64) {
-        for (at, step) in steps(&self.shared.world) {
+        for (at, step) in steps(&self.shared.topology) {
             self.shared.alarm.until(self.shared.clock.instant(begin + at)).await;
             self.at = at;
             match step {
@@ -78,22 +78,22 @@
         }
     }
 
-    fn machine(&self, number: u32, change: Change) {
-        let Some((tier, slot)) = self.shared.world.machines[number as usize].server else {
+    fn machine(&self, number: u32, change: MachineChange) {
+        let Some((tier, slot)) = self.shared.topology.machines[number as usize].server else {
             return self.front(number, change);
         };
         let node = self.shared.node(Place { tier: tier as usize, index: slot as usize });
         match change {
-            Change::Die { silent } => self.dies(node, silent),
-            Change::Start if !node.fell_over() => {
+            MachineChange::Die { silent } => self.dies(node, silent),
+            MachineChange::Start if !node.fell_over() => {
                 node.vanishes(false);
                 node.ends(); // what a silent death has left open
                 self.silence();
                 let (shared, proxies, node) = (self.shared.clone(), self.proxies.clone(), node.clone());
                 self.shared.spawn(async move { comes_up(&shared, proxies.as_deref(), &node).await });
             }
-            Change::Start => {}
-            Change::Drain => {
+            MachineChange::Start => {}
+            MachineChange::Drain => {
                 node.change(change);
                 self.tell(node, State::Draining);
             }
@@ -111,17 +111,17 @@
         }
         held(&self.shared.sidecars).remove(&node.place);
         if let Some(proxies) = self.proxies.as_ref().filter(|_| self.shared.calls_on(node.place)) {
-            proxies.dies(node.place.machine(&self.shared.world), silently);
+            proxies.dies(node.place.machine(&self.shared.topology), silently);
         }
         self.tell(node, State::Gone);
     }
 
     /// A first-tier proxy.
-    fn front(&self, number: u32, change: Change) {
+    fn front(&self, number: u32, change: MachineChange) {
         let Some(proxies) = &self.proxies else { return };
         match change {
-            Change::Die { silent } => proxies.dies(number, silent),
-            Change::Start => {
+            MachineChange::Die { silent } => proxies.dies(number, silent),
+            MachineChange::Start => {
                 let (starts, shared) = (proxies.start(number), self.shared.clone());
                 self.shared.spawn(async move {
                     if let Err(what) = starts.await {
@@ -134,13 +134,13 @@
     }
 
     fn tell(&self, node: &Node, state: State) {
-        let entry = entry(&self.shared.world, &self.shared.clock, node, state);
+        let entry = entry(&self.shared.topology, &self.shared.clock, node, state);
         self.shared.discovery.report(node.place.tier, entry);
     }
 
     /// Sets who says nothing to whom.
     fn silence(&self) {
-        let joined = |a: usize, b: usize| self.shared.world.timeline.joined(a as u16, b as u16, self.at);
+        let joined = |a: usize, b: usize| self.shared.topology.timeline.joined(a as u16, b as u16, self.at);
         for node in self.shared.all_nodes() {
             for (zone, silence) in node.silences.iter().enumerate() {
                 silence.set(node.has_vanished() || !joined(node.zone, zone));
@@ -174,7 +174,7 @@
     }
     node.starts();
     shared.open(node, listeners);
-    shared.discovery.report(node.place.tier, entry(&shared.world, &shared.clock, node, State::Ready));
+    shared.discovery.report(node.place.tier, entry(&shared.topology, &shared.clock, node, State::Ready));
 }
 
 /// Starts the proxy beside a server, if it calls anybody. An error says why there is none.
@@ -184,7 +184,7 @@
     node: &Arc<Node>,
 ) -> Result<(), String> {
     let Some(proxies) = proxies.filter(|_| shared.calls_on(node.place)) else { return Ok(()) };
-    let addr = proxies.start(node.place.machine(&shared.world)).await?;
+    let addr = proxies.start(node.place.machine(&shared.topology)).await?;
     held(&shared.sidecars).insert(node.place, Arc::new(Pool::new(addr, CALLS)));
     Ok(())
 }
--- a/crates/lab/src/sockets/fleet/record.rs
+++ b/crates/lab/src/sockets/fleet/record.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use crate::run::out_of_bounds;
-use crate::run::result::{RunResult, Server};
+use crate::run_result::{RunResult, Server};
 use crate::scenario::Scenario;
 use crate::sockets::held;
 use std::sync::Mutex;
@@ -92,7 +92,7 @@
     pub fn record(&self) -> Record {
         let mut record = Record::default();
         let (mut work, mut wasted, mut uptime, mut connections) = (0.0, 0.0, 0.0, 0.0);
-        let world = &self.shared.world;
+        let topology = &self.shared.topology;
         for node in self.shared.all_nodes() {
             let (tally, capacity) = node.tally();
             if tally.uptime == 0 {
@@ -107,9 +107,9 @@
             let could = capacity * tally.uptime as f64;
             record.servers.push(Server {
                 name: node.name.clone(),
-                tier: world.scenario.tier[node.place.tier].name.clone(),
-                zone: world.scenario.zones[node.zone].clone(),
-                kind: node.place.kind(world).name.clone(),
+                tier: topology.scenario.tier[node.place.tier].name.clone(),
+                zone: topology.scenario.zones[node.zone].clone(),
+                kind: node.place.kind(topology).name.clone(),
                 capacity,
                 attempts: tally.attempts,
                 turned_away: tally.turned_away,
--- a/crates/lab/src/sockets/fleet/serve.rs
+++ b/crates/lab/src/sockets/fleet/serve.rs
@@ -93,7 +93,7 @@
     async fn connection(self, line: Line) {
         let counted = self.node.connect().then(|| Counted(self.node.clone(), self.life.clone()));
         let (has_room, connections) =
-            (counted.is_some(), self.node.place.kind(&self.shared.world).connections);
+            (counted.is_some(), self.node.place.kind(&self.shared.topology).connections);
         let trips = connections.handshake_rtts * 2;
         self.shared.travels(self.node.zone, self.zone, trips).await;
         let (idle, use_of) = (connections.idle.duration(), Arc::new(Use::new()));
@@ -116,7 +116,7 @@
     }
 
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Reply {
-        let probes = self.shared.world.scenario.limits.probes;
+        let probes = self.shared.topology.scenario.limits.probes;
         let is_probe = request.method() == Method::GET && matches!(request.uri().path(), LIVE | STATS);
         if is_probe {
             return if probes {
@@ -205,7 +205,7 @@
         let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
         let id = text(protocol::REQUEST_ID).ok_or("x-request-id: not plain text\n")?.to_owned();
         let class = text(protocol::CLASS).ok_or("x-class: missing\n")?;
-        let class = shared.world.scenario.class_index(class).ok_or("x-class: no such class\n")?;
+        let class = shared.topology.scenario.class_index(class).ok_or("x-class: no such class\n")?;
         let until = match text(protocol::DEADLINE) {
             None => None,
             Some(text) => {
@@ -214,11 +214,11 @@
             }
         };
         let given = text(protocol::EXTRAS).and_then(|text| protocol::extra(text, protocol::WORK));
-        let work = || node.draw(|chance| shared.world.classes[class].work.draw(chance)) as f64 / 1e3;
+        let work = || node.draw(|chance| shared.topology.classes[class].work.draw(chance)) as f64 / 1e3;
         let work_us = given.unwrap_or_else(work);
         let tier = node.place.tier;
-        let calls = shared.world.scenario.tier.get(tier + 1).map_or(0, |next| node.around(next.calls));
-        let own = work_us * 1e3 * shared.world.scenario.tier[tier].work_share;
+        let calls = shared.topology.scenario.tier.get(tier + 1).map_or(0, |next| node.around(next.calls));
+        let own = work_us * 1e3 * shared.topology.scenario.tier[tier].work_share;
         let (tenant, key) = (text(protocol::TENANT), text(protocol::KEY));
         Ok(Asked {
             id,
@@ -285,9 +285,9 @@
     /// Calls the next tier, through the proxy beside this server. Whether it was served.
     async fn call(&self) -> bool {
         let shared = &self.caller.shared;
-        let class = &shared.world.scenario.class[self.asked.class];
+        let class = &shared.topology.scenario.class[self.asked.class];
         let Some(pool) = shared.sidecar(self.caller.node.place) else { return false };
-        let left = match self.asked.until.filter(|_| shared.world.scenario.limits.passes_deadline) {
+        let left = match self.asked.until.filter(|_| shared.topology.scenario.limits.passes_deadline) {
             None => class.deadline.duration(),
             Some(until) => Duration::from_nanos(until.saturating_sub(shared.clock.now())),
         };
@@ -306,7 +306,7 @@
     }
 
     fn request(&self, key: Option<String>, left: Duration) -> Outgoing {
-        let class = &self.caller.shared.world.scenario.class[self.asked.class];
+        let class = &self.caller.shared.topology.scenario.class[self.asked.class];
         let mut request = Request::builder()
             .method(if key.is_none() { Method::GET } else { Method::POST })
             .uri(API)
--- a/crates/lab/src/sockets/load/mod.rs
+++ b/crates/lab/src/sockets/load/mod.rs
@@ -13,9 +13,9 @@
 
 use super::client::Pool;
 use super::held;
-use crate::model::{Tally, World};
-use crate::run::result::{Breach, Cost, Latency, RunResult, SCHEMA};
+use crate::model::{Counters, Topology};
 use crate::run::{out_of_bounds, peak_mib, revision};
+use crate::run_result::{Breach, Cost, Latency, RunResult, SCHEMA};
 use crate::scenario::Checked;
 use front::Front;
 use hdrhistogram::Histogram;
@@ -104,13 +104,13 @@
 }
 
 struct Shared {
-    world: Arc<World>,
+    topology: Arc<Topology>,
     schedule: Schedule,
     options: Options,
     pools: Vec<Pool>,
     front: Mutex<Front>,
     begin: Mutex<Instant>,
-    tally: Mutex<Tally>,
+    counters: Mutex<Counters>,
     /// Where somebody looks.
     lately: Mutex<Option<Lately>>,
     /// In microseconds.
@@ -126,26 +126,26 @@
     ///
     /// # Errors
     /// There is no target, or the schedule would be too long.
-    pub fn new(world: Arc<World>, to: Vec<Target>, options: Options) -> Result<Load, LoadError> {
+    pub fn new(topology: Arc<Topology>, to: Vec<Target>, options: Options) -> Result<Load, LoadError> {
         if to.is_empty() {
             return Err(LoadError::NoTarget);
         }
-        let schedule = Schedule::draw(&world)?;
-        let notices = world.scenario.clients.notices_dead_proxy.nanos();
+        let schedule = Schedule::draw(&topology)?;
+        let notices = topology.scenario.clients.notices_dead_proxy.nanos();
         let shared = Shared {
             schedule,
             pools: to.iter().map(|t| Pool::new(t.addr, options.most_connections)).collect(),
             front: Mutex::new(Front::new(to, notices)),
             options,
             begin: Mutex::new(Instant::now()),
-            tally: Mutex::new(Tally::new(&world)),
+            counters: Mutex::new(Counters::new(&topology)),
             lately: Mutex::default(),
             lag: Mutex::new(Histogram::new(3).unwrap_or_else(|_| unreachable!("3 digits are allowed"))),
             open: AtomicU64::new(0),
             dropped: AtomicU64::new(0),
             foreign: AtomicU64::new(0),
             stop: AtomicBool::new(false),
-            world,
+            topology,
         };
         Ok(Load { shared: Arc::new(shared) })
     }
@@ -232,8 +232,8 @@
     }
 
     fn report(&self, took: Duration) -> Report {
-        let tally = held(&self.tally);
-        let scenario = &self.world.scenario;
+        let counters = held(&self.counters);
+        let scenario = &self.topology.scenario;
         let (lag, foreign) = (latency(&held(&self.lag)), self.foreign.load(Ordering::SeqCst));
         let mut result = RunResult {
             schema: SCHEMA,
@@ -241,15 +241,15 @@
             scenario_digest: Checked::new(scenario.clone()).map_or(String::new(), |c| c.digest().to_owned()),
             revision: revision().into(),
             policy: "sockets".into(),
-            seed: self.world.seed,
+            seed: self.topology.seed,
             digest: format!("{:016x}", self.schedule.digest),
             unsound: self.unsound(&lag),
-            totals: tally.totals(0),
-            worst_window: tally.worst_window(),
-            classes: tally.classes(&self.world),
-            tenants: tally.tenants(&self.world),
-            seconds: tally.seconds(),
-            faults: self.world.timeline.windows.clone(),
+            totals: counters.totals(0),
+            worst_window: counters.worst_window(),
+            classes: counters.classes(&self.topology),
+            tenants: counters.tenants(&self.topology),
+            seconds: counters.seconds(),
+            faults: self.topology.timeline.windows.clone(),
             breaches: foreign_answers(foreign).into_iter().collect(),
             cost: Cost { wall_s: took.as_secs_f64(), peak_mib: peak_mib(), ..Cost::default() },
             ..RunResult::default()
--- a/crates/lab/src/sockets/load/request.rs
+++ b/crates/lab/src/sockets/load/request.rs
@@ -2,7 +2,7 @@
 
 use super::Shared;
 use super::schedule::{Planned, again_in};
-use crate::model::{End, NOBODY, Verdict};
+use crate::model::{CompletedRequest, NO_TENANT, RequestOutcome};
 use crate::scenario::Effect;
 use crate::sockets::chance::{Chance, stream};
 use crate::sockets::client::{Answer, CallError, Outgoing, Pool};
@@ -24,7 +24,7 @@
 /// Looks again and again whether a target is there. One that answers at all is, unless it says that it is not
 /// ready.
 pub async fn look_after(shared: Arc<Shared>, target: usize) {
-    let notices = shared.world.scenario.clients.notices_dead_proxy.duration();
+    let notices = shared.topology.scenario.clients.notices_dead_proxy.duration();
     let period = (notices / 4).clamp(LOOKS[0], LOOKS[1]);
     let pool = Pool::new(shared.pools[target].to(), 1);
     loop {
@@ -46,9 +46,9 @@
     }
     if shared.open.fetch_add(1, Ordering::SeqCst) >= shared.options.most_open {
         shared.dropped.fetch_add(1, Ordering::SeqCst);
-        shared.ended(planned, Verdict::Failed, shared.now());
+        shared.ended(planned, RequestOutcome::Failed, shared.now());
     } else {
-        let mut chance = stream(shared.world.seed, "client", number as u64);
+        let mut chance = stream(shared.topology.seed, "client", number as u64);
         let (verdict, at) = tries(&shared, number, planned, &mut chance).await;
         shared.ended(planned, verdict, at);
     }
@@ -56,17 +56,22 @@
 }
 
 /// All tries of a request: how the last one ended, and when.
-async fn tries(shared: &Shared, number: usize, planned: &Planned, chance: &mut Chance) -> (Verdict, u64) {
+async fn tries(
+    shared: &Shared,
+    number: usize,
+    planned: &Planned,
+    chance: &mut Chance,
+) -> (RequestOutcome, u64) {
     for attempt in 0.. {
         let verdict = one_try(shared, number, planned, attempt, chance).await;
         let now = shared.now();
-        let Some(wait) = again_in(&shared.world, planned, attempt, verdict, now) else {
+        let Some(wait) = again_in(&shared.topology, planned, attempt, verdict, now) else {
             return (verdict, now);
         };
-        held(&shared.tally).client_retry(now);
+        held(&shared.counters).client_retry(now);
         sleep(Duration::from_nanos(wait)).await;
     }
-    (Verdict::Failed, shared.now())
+    (RequestOutcome::Failed, shared.now())
 }
 
 async fn one_try(
@@ -75,8 +80,9 @@
     planned: &Planned,
     attempt: u32,
     chance: &mut Chance,
-) -> Verdict {
-    let (clients, class) = (&shared.world.scenario.clients, &shared.world.scenario.class[planned.class]);
+) -> RequestOutcome {
+    let (clients, class) =
+        (&shared.topology.scenario.clients, &shared.topology.scenario.class[planned.class]);
     let now = shared.now();
     let whole = class.deadline.nanos();
     let begins = if attempt == 0 { planned.due } else { now };
@@ -85,14 +91,14 @@
     let leaves_early = chance.random::<f64>() < clients.impatient;
     let waits = if leaves_early { left.mul_f64(chance.random()) } else { left };
     let target = held(&shared.front).pick(planned.zone, chance.random(), now);
-    let Some(target) = target else { return Verdict::Unreachable };
-    let id = id(shared.world.seed, number, attempt);
+    let Some(target) = target else { return RequestOutcome::Unreachable };
+    let id = id(shared.topology.seed, number, attempt);
     let request = outgoing(shared, number, planned, &id, attempt, left);
     let until = Instant::now() + waits;
     match timeout_at(until, shared.pools[target].call(request)).await {
         Ok(Ok(answer)) => verdict(shared, &answer, &id),
-        Ok(Err(CallError::Connect(_))) => Verdict::Unreachable,
-        Ok(Err(CallError::Broken(_) | CallError::Body)) | Err(_) => Verdict::Failed,
+        Ok(Err(CallError::Connect(_))) => RequestOutcome::Unreachable,
+        Ok(Err(CallError::Broken(_) | CallError::Body)) | Err(_) => RequestOutcome::Failed,
     }
 }
 
@@ -109,7 +115,7 @@
     attempt: u32,
     left: Duration,
 ) -> Outgoing {
-    let scenario = &shared.world.scenario;
+    let scenario = &shared.topology.scenario;
     let class = &scenario.class[planned.class];
     let has_key = class.effect != Effect::Repeatable;
     let mut request = Request::builder()
@@ -128,25 +134,25 @@
     }
     let mut body = Bytes::new();
     if has_key {
-        let key = format!("key-{:x}-{number}", shared.world.seed);
+        let key = format!("key-{:x}-{number}", shared.topology.seed);
         request = request.header(protocol::KEY, &key);
         body = key.into();
     }
     request.body(Full::new(body)).unwrap_or_default() // of texts that were checked
 }
 
-fn verdict(shared: &Shared, answer: &Answer, id: &str) -> Verdict {
+fn verdict(shared: &Shared, answer: &Answer, id: &str) -> RequestOutcome {
     match answer.status {
         // Stand-ins answer with the request's id.
         StatusCode::OK if answer.body.starts_with(b"load-") && answer.body != id.as_bytes() => {
             shared.foreign.fetch_add(1, Ordering::SeqCst);
-            Verdict::Failed
+            RequestOutcome::Failed
         }
-        StatusCode::OK => Verdict::Served(0),
+        StatusCode::OK => RequestOutcome::Served(0),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            Verdict::Refused(come_back(&answer.headers))
+            RequestOutcome::Refused(come_back(&answer.headers))
         }
-        _ => Verdict::Failed,
+        _ => RequestOutcome::Failed,
     }
 }
 
@@ -157,27 +163,27 @@
 }
 
 impl Shared {
-    fn ended(&self, planned: &Planned, verdict: Verdict, at: u64) {
-        let class = &self.world.classes[planned.class];
+    fn ended(&self, planned: &Planned, verdict: RequestOutcome, at: u64) {
+        let class = &self.topology.classes[planned.class];
         let took = at.saturating_sub(planned.due);
-        let in_time = took <= class.told.latency_objective;
+        let in_time = took <= class.settings.latency_objective;
         let verdict = match verdict {
-            Verdict::Served(_) if took > class.told.client_deadline => Verdict::Failed, // nobody waited any more
+            RequestOutcome::Served(_) if took > class.settings.client_deadline => RequestOutcome::Failed, // nobody waited any more
             other => other,
         };
-        let part = if planned.over_share { self.world.scenario.over_share_worth } else { 1.0 };
+        let part = if planned.over_share { self.topology.scenario.over_share_worth } else { 1.0 };
         let worth = |worth: u64| (worth as f64 * part).round() as u64;
         let served = match verdict {
-            Verdict::Served(_) if in_time => worth(class.worth),
-            Verdict::Served(_) => worth(class.late_worth),
+            RequestOutcome::Served(_) if in_time => worth(class.worth),
+            RequestOutcome::Served(_) => worth(class.late_worth),
             _ => 0,
         };
-        held(&self.tally).ended(&End {
+        held(&self.counters).request_completed(&CompletedRequest {
             class: planned.class as u16,
-            tenant: planned.tenant.map_or(NOBODY, |tenant| tenant as u16),
+            tenant: planned.tenant.map_or(NO_TENANT, |tenant| tenant as u16),
             arrived: planned.due,
             took,
-            verdict,
+            outcome: verdict,
             in_time,
             asked: worth(class.worth),
             served,
@@ -186,12 +192,12 @@
         let mut lately = held(&self.lately);
         let Some(lately) = &mut *lately else { return };
         match verdict {
-            Verdict::Served(_) => {
+            RequestOutcome::Served(_) => {
                 *(if in_time { &mut lately.in_time } else { &mut lately.late }) += 1;
                 lately.latencies.push(took / 1000);
             }
-            Verdict::Refused(_) => lately.refused += 1,
-            Verdict::Failed | Verdict::Unreachable => lately.failed += 1,
+            RequestOutcome::Refused(_) => lately.refused += 1,
+            RequestOutcome::Failed | RequestOutcome::Unreachable => lately.failed += 1,
         }
     }
 }
--- a/crates/lab/src/sockets/load/schedule.rs
+++ b/crates/lab/src/sockets/load/schedule.rs
@@ -1,6 +1,6 @@
 //! Who asks for what when: drawn from the seed before the first request is sent.
 
-use crate::model::{Verdict, World};
+use crate::model::{RequestOutcome, Topology};
 use crate::scenario::{Effect, Group, Shape};
 use crate::sockets::chance::{Chance, exponential, stream, weighted};
 use rand::Rng;
@@ -48,18 +48,19 @@
     ///
     /// # Errors
     /// It would be too long.
-    pub fn draw(world: &World) -> Result<Schedule, TooMany> {
-        let drawer = Drawer::new(world);
-        let (peak, length) = (drawer.peak(), &world.scenario.length);
-        let expected = world.rate * peak * length.seconds();
+    pub fn draw(topology: &Topology) -> Result<Schedule, TooMany> {
+        let drawer = Drawer::new(topology);
+        let (peak, length) = (drawer.peak(), &topology.scenario.length);
+        let expected = topology.rate * peak * length.seconds();
         if expected > MOST {
             return Err(TooMany(expected));
         }
-        let (mut times, mut marks) = (stream(world.seed, "arrivals", 0), stream(world.seed, "requests", 0));
+        let (mut times, mut marks) =
+            (stream(topology.seed, "arrivals", 0), stream(topology.seed, "requests", 0));
         let (mut at, mut requests, mut hash) = (0.0, Vec::new(), Xxh3::new());
-        let mut shares = Shares::new(world);
+        let mut shares = Shares::new(topology);
         loop {
-            at += exponential(1e9 / (world.rate * peak), &mut times) as f64;
+            at += exponential(1e9 / (topology.rate * peak), &mut times) as f64;
             let now = at as u64;
             if now >= length.nanos() {
                 return Ok(Schedule { requests, digest: hash.digest() });
@@ -74,17 +75,17 @@
 }
 
 struct Drawer<'a> {
-    world: &'a World,
+    topology: &'a Topology,
     classes: Vec<f64>,
     /// Usual traffic.
     tenants: Vec<f64>,
 }
 
 impl<'a> Drawer<'a> {
-    fn new(world: &'a World) -> Drawer<'a> {
-        let scenario = &world.scenario;
+    fn new(topology: &'a Topology) -> Drawer<'a> {
+        let scenario = &topology.scenario;
         Drawer {
-            world,
+            topology,
             classes: scenario.class.iter().map(|c| c.share).collect(),
             tenants: scenario.tenant.iter().map(|t| t.traffic.unwrap_or(t.share)).collect(),
         }
@@ -92,7 +93,7 @@
 
     /// The rate at a time over its mean.
     fn rate_at(&self, at: u64) -> f64 {
-        let shape = match &self.world.scenario.clients.shape {
+        let shape = match &self.topology.scenario.clients.shape {
             Shape::Steady => 1.0,
             Shape::Wave { swing, period } => {
                 let phase = at as f64 / period.nanos().max(1) as f64 * std::f64::consts::TAU;
@@ -108,7 +109,7 @@
 
     /// The rate outside of bursts, so that the mean over both is 1.
     fn quiet(&self) -> f64 {
-        match &self.world.scenario.clients.shape {
+        match &self.topology.scenario.clients.shape {
             Shape::Bursts { factor, every, length } => {
                 let share = length.nanos() as f64 / every.nanos().max(1) as f64;
                 1.0 / (1.0 + (factor - 1.0) * share)
@@ -119,12 +120,12 @@
 
     /// No less than the rate ever is.
     fn peak(&self) -> f64 {
-        let shape = match &self.world.scenario.clients.shape {
+        let shape = match &self.topology.scenario.clients.shape {
             Shape::Steady => 1.0,
             Shape::Wave { swing, .. } => 1.0 + swing,
             Shape::Bursts { factor, .. } => self.quiet() * factor.max(1.0),
         };
-        let floods = &self.world.timeline.floods;
+        let floods = &self.topology.timeline.floods;
         let most =
             |tenant: u16| floods.iter().filter(|f| f.1 == tenant).map(|f| f.2.max(1.0)).product::<f64>();
         let at_most: Vec<f64> = (0..).zip(&self.tenants).map(|(t, usual)| usual * most(t)).collect();
@@ -138,12 +139,12 @@
     }
 
     fn traffic(&self, at: u64) -> Vec<f64> {
-        let flood = |tenant| self.world.timeline.flood(tenant, at);
+        let flood = |tenant| self.topology.timeline.flood(tenant, at);
         (0..).zip(&self.tenants).map(|(tenant, usual)| usual * flood(tenant)).collect()
     }
 
     fn request(&self, due: u64, chance: &mut Chance, shares: &mut Shares) -> Planned {
-        let scenario = &self.world.scenario;
+        let scenario = &self.topology.scenario;
         let class = weighted(&self.classes, chance).unwrap_or(0);
         let tenant = weighted(&self.traffic(due), chance);
         Planned {
@@ -151,8 +152,8 @@
             class,
             tenant,
             over_share: tenant.is_some_and(|tenant| shares.is_over(tenant, due)),
-            work: self.world.classes[class].work.draw(chance),
-            zone: scenario.proxy_zone(chance.random_range(0..self.world.clients.max(1)) as usize),
+            work: self.topology.classes[class].work.draw(chance),
+            zone: scenario.proxy_zone(chance.random_range(0..self.topology.clients.max(1)) as usize),
             honours: chance.random::<f64>() < scenario.clients.honours_retry_after,
         }
     }
@@ -166,8 +167,8 @@
 }
 
 impl Shares {
-    fn new(world: &World) -> Shares {
-        let quotas: Vec<f64> = world.scenario.tenant.iter().map(|t| t.share * world.capacity).collect();
+    fn new(topology: &Topology) -> Shares {
+        let quotas: Vec<f64> = topology.scenario.tenant.iter().map(|t| t.share * topology.capacity).collect();
         Shares { left: quotas.iter().map(|q| (q.max(1.0), 0)).collect(), quotas }
     }
 
@@ -184,20 +185,26 @@
 
 /// After how long a client tries again, if it does: the try with this number, from 0, ended at `now`
 /// (nanoseconds since the begin).
-pub fn again_in(world: &World, of: &Planned, number: u32, ended: Verdict, now: u64) -> Option<u64> {
-    let (clients, class) = (&world.scenario.clients, &world.scenario.class[of.class]);
-    let storm = world.timeline.storm(now);
+pub fn again_in(
+    topology: &Topology,
+    of: &Planned,
+    number: u32,
+    ended: RequestOutcome,
+    now: u64,
+) -> Option<u64> {
+    let (clients, class) = (&topology.scenario.clients, &topology.scenario.class[of.class]);
+    let storm = topology.timeline.storm(now);
     let in_window = || now < of.due + class.window.map_or(0, |w| w.nanos());
     let harmless = match (ended, class.effect, class.group) {
-        (Verdict::Served(_), ..) => false,
-        (Verdict::Refused(_) | Verdict::Unreachable, ..) | (_, Effect::Repeatable, _) => true,
-        (Verdict::Failed, Effect::ByKey, Group::All) => in_window(),
+        (RequestOutcome::Served(_), ..) => false,
+        (RequestOutcome::Refused(_) | RequestOutcome::Unreachable, ..) | (_, Effect::Repeatable, _) => true,
+        (RequestOutcome::Failed, Effect::ByKey, Group::All) => in_window(),
         _ => false,
     };
     let wait = match (storm, ended) {
         (Some(_), _) => 0,
-        (None, Verdict::Refused(come_back)) if of.honours && come_back > 0 => {
-            come_back.min(world.scenario.limits.max_retry_after.nanos())
+        (None, RequestOutcome::Refused(come_back)) if of.honours && come_back > 0 => {
+            come_back.min(topology.scenario.limits.max_retry_after.nanos())
         }
         _ => clients.backoff.nanos(),
     };
@@ -208,10 +215,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::policy::named;
+    use crate::model::PolicyChoice;
     use crate::scenario::Scenario;
 
-    fn world(clients: &str, rest: &str, seed: u64) -> World {
+    fn topology(clients: &str, rest: &str, seed: u64) -> Topology {
         let times = r#"aim = "1s", deadline = "2s", work = { dist = "fixed", mean = "1ms" }"#;
         let text = format!(
             r#"version = 1
@@ -228,7 +235,7 @@
             {rest}"#
         );
         let scenario = Scenario::parse("test", &text).unwrap().into_inner();
-        World::new(scenario, seed, "olivecart", named("olivecart").unwrap(), false)
+        Topology::new(scenario, seed, PolicyChoice::named("olivecart").unwrap())
     }
 
     fn between(schedule: &Schedule, from: u64, to: u64) -> f64 {
@@ -238,7 +245,7 @@
 
     #[test]
     fn a_schedule_has_the_rate_and_the_mix_of_its_scenario_and_follows_from_the_seed() {
-        let schedule = Schedule::draw(&world("", "", 1)).unwrap();
+        let schedule = Schedule::draw(&topology("", "", 1)).unwrap();
         let all = between(&schedule, 0, 100);
         assert!((9_600.0..10_400.0).contains(&all), "{all}");
         assert!(schedule.requests.is_sorted_by_key(|r| r.due));
@@ -249,17 +256,17 @@
         // Half of 100 a second, where a hundredth of 1000 is its share.
         assert!((share(|r| r.over_share && r.tenant == Some(1)) - 0.4).abs() < 0.03);
         assert_eq!(share(|r| r.over_share && r.tenant == Some(0)), 0.0);
-        assert_eq!(Schedule::draw(&world("", "", 1)).unwrap().digest, schedule.digest);
-        assert_ne!(Schedule::draw(&world("", "", 2)).unwrap().digest, schedule.digest);
+        assert_eq!(Schedule::draw(&topology("", "", 1)).unwrap().digest, schedule.digest);
+        assert_ne!(Schedule::draw(&topology("", "", 2)).unwrap().digest, schedule.digest);
     }
 
     #[test]
     fn waves_bursts_and_floods_vary_it() {
         let wave = r#"shape = { kind = "wave", swing = 0.8, period = "100s" }"#;
-        let wave = Schedule::draw(&world(wave, "", 1)).unwrap();
+        let wave = Schedule::draw(&topology(wave, "", 1)).unwrap();
         assert!((between(&wave, 0, 50) / between(&wave, 50, 100) - 1.51 / 0.49).abs() < 0.3);
         let bursts = r#"shape = { kind = "bursts", factor = 5.0, every = "50s", length = "10s" }"#;
-        let bursts = Schedule::draw(&world(bursts, "", 1)).unwrap();
+        let bursts = Schedule::draw(&topology(bursts, "", 1)).unwrap();
         assert!((between(&bursts, 0, 10) / between(&bursts, 10, 20) - 5.0).abs() < 0.7);
         assert!((between(&bursts, 0, 100) / 10_000.0 - 1.0).abs() < 0.05);
         let flood = r#"[[fault]]
@@ -268,13 +275,13 @@
             length = "20s"
             strength = 5.0
             tenant = "b""#;
-        let flood = Schedule::draw(&world("", flood, 1)).unwrap();
+        let flood = Schedule::draw(&topology("", flood, 1)).unwrap();
         assert!((between(&flood, 20, 40) / between(&flood, 0, 20) - 3.0).abs() < 0.3);
     }
 
     #[test]
     fn a_schedule_that_is_too_long_is_an_error() {
-        let mut long = world("", "", 1);
+        let mut long = topology("", "", 1);
         long.rate = 1e6;
         assert!(Schedule::draw(&long).is_err());
     }
@@ -282,9 +289,9 @@
     #[test]
     fn clients_try_again_where_that_is_harmless_and_there_is_time() {
         const S: u64 = 1_000_000_000;
-        let plain = world(r#"retries = 2, backoff = "100ms""#, "", 1);
+        let plain = topology(r#"retries = 2, backoff = "100ms""#, "", 1);
         let storm = r#"fault = [{ kind = "retry_storm", start = "0s", length = "1s", strength = 5.0 }]"#;
-        let storm = world(r#"retries = 2, backoff = "100ms""#, storm, 1);
+        let storm = topology(r#"retries = 2, backoff = "100ms""#, storm, 1);
         let of = |class, honours| Planned {
             due: 0,
             class,
@@ -294,7 +301,7 @@
             zone: 0,
             honours,
         };
-        use Verdict::*;
+        use RequestOutcome::*;
         for (class, honours, number, ended, now, wait) in [
             (0, false, 0, Failed, S, Some(S / 10)),
             (0, false, 1, Failed, S, Some(S / 10)),
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -1,7 +1,7 @@
 //! The same scenario on real sockets: a fleet of stand-ins and its discovery, a load with clients that never
 //! wait for each other, proxies as children, and a stage that brings all of it up on loopback.
 //!
-//! Who plays and what goes wrong when is drawn as for the model ([`World`](crate::model::World)), so that one
+//! Who plays and what goes wrong when is drawn as for the model ([`Topology`](crate::model::Topology)), so that one
 //! seed means the same in both. What decides is plain: a server's queue and cores ([`server`]), the key
 //! tables ([`effects`]), and discovery's list ([`registry`]). The rest moves bytes.
 
--- a/crates/lab/src/sockets/server/machine.rs
+++ b/crates/lab/src/sockets/server/machine.rs
@@ -2,7 +2,7 @@
 
 use super::pace::Pace;
 use super::reports::{Figures, Now, Reports};
-use crate::model::Change;
+use crate::model::MachineChange;
 use crate::scenario::{Cancel, Kind, Rules};
 use crate::sockets::chance::Chance;
 use rand::Rng;
@@ -203,15 +203,15 @@
 
     /// Something about it changes; for its death and its start there are [`Machine::stop`] and
     /// [`Machine::start`].
-    pub fn change(&mut self, now: u64, change: Change) {
+    pub fn change(&mut self, now: u64, change: MachineChange) {
         self.advance(now);
         match change {
-            Change::Die { .. } | Change::Start => {}
-            Change::Drain => self.draining = true,
-            Change::Errors(share) => self.errors = share,
-            Change::Slow(factor) => self.pace.slow(factor),
-            Change::Late(late) => self.late = late,
-            Change::Hang(hangs) => self.hangs = hangs && self.alive,
+            MachineChange::Die { .. } | MachineChange::Start => {}
+            MachineChange::Drain => self.draining = true,
+            MachineChange::Errors(share) => self.errors = share,
+            MachineChange::Slow(factor) => self.pace.slow(factor),
+            MachineChange::Late(late) => self.late = late,
+            MachineChange::Hang(hangs) => self.hangs = hangs && self.alive,
         }
         if !self.hangs {
             let ended = self.held_up.drain(..).filter(|t| self.jobs.contains_key(t));
--- a/crates/lab/src/sockets/server/tests.rs
+++ b/crates/lab/src/sockets/server/tests.rs
@@ -1,7 +1,7 @@
 //! A server by itself, in virtual time.
 
 use super::{Ask, Machine, Said, Shape};
-use crate::model::Change;
+use crate::model::MachineChange;
 use crate::scenario::{Kind, Rules, Span};
 use crate::sockets::chance::{exponential, stream};
 
@@ -124,20 +124,20 @@
 fn draining_failing_hanging_and_dying_are_told_apart() {
     let mut bench = Bench::new("cores=1\nslots=2\nqueue=1");
     let under_way = bench.arrive(0, 10);
-    bench.machine.change(MS, Change::Hang(true));
+    bench.machine.change(MS, MachineChange::Hang(true));
     let (waits, queues, away) = (bench.arrive(1, 1), bench.arrive(1, 1), bench.arrive(1, 1));
     assert_eq!(bench.until(50), [(away, Said::Full)]);
-    bench.machine.change(50 * MS, Change::Hang(false));
+    bench.machine.change(50 * MS, MachineChange::Hang(false));
     assert_eq!(bench.until(60), [(under_way, Said::Ran), (waits, Said::Ran)]);
     assert_eq!(bench.until(61), [(queues, Said::Ran)]);
 
-    bench.machine.change(61 * MS, Change::Errors(1.0));
+    bench.machine.change(61 * MS, MachineChange::Errors(1.0));
     let failed = bench.arrive(61, 1);
-    bench.machine.change(61 * MS, Change::Errors(0.0));
+    bench.machine.change(61 * MS, MachineChange::Errors(0.0));
     assert_eq!(bench.until(61), [(failed, Said::Error)]);
 
     let works = bench.arrive(61, 10);
-    bench.machine.change(62 * MS, Change::Drain);
+    bench.machine.change(62 * MS, MachineChange::Drain);
     let away = bench.arrive(62, 10);
     assert_eq!(bench.until(71), [(away, Said::Draining), (works, Said::Ran)]);
 
--- a/crates/lab/src/sockets/settings.rs
+++ b/crates/lab/src/sockets/settings.rs
@@ -2,7 +2,7 @@
 
 use super::protocol::Document;
 use super::server::REPORT_NAMES;
-use crate::model::World;
+use crate::model::Topology;
 use crate::scenario::{Class, DiscoveryMode, Effect, Group, Weights};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -23,11 +23,11 @@
 }
 
 /// The settings object of the proxy of a machine; none if it has no proxy.
-pub fn settings(world: &World, machine: u32) -> Option<Value> {
-    let spec = world.machines.get(machine as usize)?;
+pub fn settings(topology: &Topology, machine: u32) -> Option<Value> {
+    let spec = topology.machines.get(machine as usize)?;
     let (tier, number) = spec.proxy?;
-    let told = world.settings(tier, number, spec.zone);
-    let scenario = &world.scenario;
+    let told = topology.settings(tier, number, spec.zone);
+    let scenario = &topology.scenario;
     let to = &scenario.tier[tier as usize];
     let accounts = scenario.tenant.iter().zip(&told.tenants);
     let idle = to.kind.iter().map(|k| k.connections.idle.nanos()).min();
@@ -132,7 +132,7 @@
 }
 
 /// The configuration file of the proxy of a machine; none if it has no proxy.
-pub fn config(world: &World, machine: u32, start: &Start) -> Option<Value> {
+pub fn config(topology: &Topology, machine: u32, start: &Start) -> Option<Value> {
     Some(json!({
         "name": start.name,
         "listen": start.listen,
@@ -140,14 +140,14 @@
         "seed": format!("{:016x}", start.seed),
         "limits": { "cores": 1.0, "memory_mb": start.limits.memory_mb, "sockets": start.limits.sockets },
         "known": start.known,
-        "settings": settings(world, machine)?,
+        "settings": settings(topology, machine)?,
     }))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::policy::named;
+    use crate::model::PolicyChoice;
     use crate::scenario::Scenario;
     use olivecart_settings::Site;
 
@@ -215,16 +215,16 @@
             servers = 2
             kind = [{ name = "k", cores = 1, report = { period = "1s" }, connections = { idle = "8s" } }]"#;
         let scenario = Scenario::parse("test", text).unwrap().into_inner();
-        let world = World::new(scenario, 1, "olivecart", named("olivecart").unwrap(), false);
+        let topology = Topology::new(scenario, 1, PolicyChoice::named("olivecart").unwrap());
         let mut proxies = 0;
-        for (machine, spec) in (0..).zip(&world.machines) {
+        for (machine, spec) in (0..).zip(&topology.machines) {
             let Some((tier, number)) = spec.proxy else {
-                assert!(settings(&world, machine).is_none());
+                assert!(settings(&topology, machine).is_none());
                 continue;
             };
             proxies += 1;
-            let site = Site::read(&settings(&world, machine).unwrap().to_string()).unwrap();
-            let told = world.settings(tier, number, spec.zone);
+            let site = Site::read(&settings(&topology, machine).unwrap().to_string()).unwrap();
+            let told = topology.settings(tier, number, spec.zone);
             assert_eq!(format!("{:#?}", site.settings), format!("{told:#?}"));
             assert_eq!((site.most_held, site.answer_grace.as_millis()), (99, 15));
             assert_eq!(site.idle_close.as_secs(), if tier == 1 { 8 } else { 30 });
--- a/crates/lab/src/sockets/show.rs
+++ b/crates/lab/src/sockets/show.rs
@@ -2,7 +2,7 @@
 
 use super::load::{Lately, Load, LoadError, Report};
 use super::proc::Track;
-use crate::run::result::Group;
+use crate::run_result::Group;
 use std::io::{self, Write};
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{SignalKind, signal};
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -9,7 +9,7 @@
 use super::protocol::Document;
 use super::settings::{Limits, Start, config};
 use super::stream::Loopback;
-use crate::model::{World, mix};
+use crate::model::{Topology, mix};
 use futures_util::future::{BoxFuture, try_join_all};
 use std::collections::BTreeMap;
 use std::io;
@@ -46,7 +46,7 @@
 struct Children(Arc<Inner>);
 
 struct Inner {
-    world: Arc<World>,
+    topology: Arc<Topology>,
     program: PathBuf,
     limits: Limits,
     /// For the children's files; none once it is all over.
@@ -64,16 +64,16 @@
 impl Children {
     fn spawn(&self, machine: u32) -> Result<SocketAddr, ChildError> {
         let inner = &self.0;
-        let spec = &inner.world.machines[machine as usize];
+        let spec = &inner.topology.machines[machine as usize];
         let no_proxy = || ChildError::Start(inner.program.clone(), io::ErrorKind::NotFound.into());
         let (tier, _) = spec.proxy.ok_or_else(no_proxy)?;
         let listen = inner.addresses[machine as usize].ok_or_else(no_proxy)?;
         let (discovery, known) = &inner.discovery[tier as usize][spec.zone as usize];
-        let name = inner.world.proxy_name(machine).replace("'s proxy", "-proxy");
+        let name = inner.topology.proxy_name(machine).replace("'s proxy", "-proxy");
         let seed =
-            mix(inner.world.seed, inner.started.fetch_add(1, Ordering::SeqCst) << 32 | u64::from(machine));
+            mix(inner.topology.seed, inner.started.fetch_add(1, Ordering::SeqCst) << 32 | u64::from(machine));
         let start = Start { name: &name, listen, discovery: *discovery, seed, known, limits: inner.limits };
-        let config = config(&inner.world, machine, &start).ok_or_else(no_proxy)?;
+        let config = config(&inner.topology, machine, &start).ok_or_else(no_proxy)?;
         let folder = held(&inner.folder);
         let folder = folder.as_ref().ok_or_else(no_proxy)?;
         let mut running = held(&inner.running);
@@ -138,7 +138,7 @@
 
 /// A scenario that is up. Dropped, it is gone, children included.
 pub struct Stage {
-    world: Arc<World>,
+    topology: Arc<Topology>,
     fleet: Fleet,
     children: Children,
     fronts: Vec<Target>,
@@ -150,27 +150,27 @@
     ///
     /// # Errors
     /// Something does not come up.
-    pub async fn set(world: Arc<World>, setting: Setting) -> Result<Stage, StageError> {
+    pub async fn set(topology: Arc<Topology>, setting: Setting) -> Result<Stage, StageError> {
         let net = Loopback::new();
-        let mut fleet = Fleet::start(world.clone(), &net)?;
-        let zones = world.scenario.zones.len();
+        let mut fleet = Fleet::start(topology.clone(), &net)?;
+        let zones = topology.scenario.zones.len();
         let of_tier =
             |tier| (0..zones).map(|zone| (fleet.discovery(tier, zone), fleet.list(tier, zone))).collect();
-        let discovery = (0..world.tiers.len()).map(of_tier).collect();
+        let discovery = (0..topology.tiers.len()).map(of_tier).collect();
         let address = |spec: &crate::model::MachineSpec| spec.proxy.map(|_| net.address()).transpose();
         let children = Children(Arc::new(Inner {
             program: setting.program,
             limits: setting.limits,
             folder: Mutex::new(Some(TempDir::with_prefix("olivecart-lab-")?)),
-            addresses: world.machines.iter().map(address).collect::<io::Result<_>>()?,
+            addresses: topology.machines.iter().map(address).collect::<io::Result<_>>()?,
             discovery,
             running: Mutex::default(),
             tracks: Mutex::default(),
             started: AtomicU64::new(0),
-            world: world.clone(),
+            topology: topology.clone(),
         }));
         fleet.attach(Arc::new(children.clone())).await?;
-        let fronts = if setting.fronts { start_fronts(&world, &children).await? } else { Vec::new() };
+        let fronts = if setting.fronts { start_fronts(&topology, &children).await? } else { Vec::new() };
         let sampled = children.clone();
         let sampler = tokio::spawn(async move {
             let mut every = tokio::time::interval(Tracks::PERIOD);
@@ -179,7 +179,7 @@
                 sampled.sample();
             }
         });
-        Ok(Stage { world, fleet, children, fronts, sampler })
+        Ok(Stage { topology, fleet, children, fronts, sampler })
     }
 
     /// The first tier's proxies.
@@ -194,12 +194,12 @@
 
     /// The configuration file of a first-tier proxy that somebody else starts, to listen at an address.
     pub fn config_of_front(&self, machine: u32, listen: SocketAddr) -> Option<serde_json::Value> {
-        let zone = self.world.machines.get(machine as usize)?.zone as usize;
+        let zone = self.topology.machines.get(machine as usize)?.zone as usize;
         let (discovery, known) = &self.children.0.discovery[0][zone];
-        let name = self.world.proxy_name(machine);
-        let (seed, limits) = (mix(self.world.seed, machine.into()), self.children.0.limits);
+        let name = self.topology.proxy_name(machine);
+        let (seed, limits) = (mix(self.topology.seed, machine.into()), self.children.0.limits);
         let start = Start { name: &name, listen, discovery: *discovery, seed, known, limits };
-        config(&self.world, machine, &start)
+        config(&self.topology, machine, &start)
     }
 
     /// The run begins at this time; see [`Fleet::begin`].
@@ -212,7 +212,7 @@
     /// # Errors
     /// As [`Load::new`].
     pub fn load(&self, options: Options) -> Result<Load, LoadError> {
-        Load::new(self.world.clone(), self.fronts.clone(), options)
+        Load::new(self.topology.clone(), self.fronts.clone(), options)
     }
 
     /// What servers saw so far.
@@ -225,7 +225,7 @@
         let mut down = self.fleet.down();
         let running = held(&self.children.0.running);
         let gone = (0..self.fronts.len() as u32).filter(|machine| !running.contains_key(machine));
-        down.extend(gone.map(|machine| self.world.proxy_name(machine)));
+        down.extend(gone.map(|machine| self.topology.proxy_name(machine)));
         down
     }
 
@@ -246,7 +246,7 @@
 
     /// Enters what servers saw, and what went wrong that should not have, into a load's report.
     pub fn complete(&self, report: &mut Report) {
-        self.record().enter(&mut report.result, &self.world.scenario);
+        self.record().enter(&mut report.result, &self.topology.scenario);
         report.result.unsound.extend(self.troubles());
     }
 
@@ -271,10 +271,10 @@
     }
 }
 
-async fn start_fronts(world: &World, children: &Children) -> Result<Vec<Target>, StageError> {
-    let fronts = world.fronts.iter().flatten().copied();
+async fn start_fronts(topology: &Topology, children: &Children) -> Result<Vec<Target>, StageError> {
+    let fronts = topology.fronts.iter().flatten().copied();
     let start = |machine: u32| {
-        let zone = world.machines[machine as usize].zone as usize;
+        let zone = topology.machines[machine as usize].zone as usize;
         let started = children.start(machine);
         async move { started.await.map(|addr| (machine, Target { addr, zone: Some(zone) })) }
     };
--- a/crates/lab/tests/experiment.rs
+++ b/crates/lab/tests/experiment.rs
@@ -48,7 +48,7 @@
         sweep(&self.path("plan.toml"), &self.path(out), &Options::default(), player)
     }
 
-    fn results(&self, name: &str, results: &[olivecart_lab::run::result::RunResult]) -> String {
+    fn results(&self, name: &str, results: &[olivecart_lab::run_result::RunResult]) -> String {
         let (mut appender, _) = Appender::open(&self.path(name)).expect("opened");
         for result in results {
             appender.append(&Encoded::result(result).expect("encoded")).expect("written");
--- a/crates/lab/tests/experiment/fake.rs
+++ b/crates/lab/tests/experiment/fake.rs
@@ -1,7 +1,7 @@
 //! A player whose figures follow from the scenario, the policy and the seed by a plain rule.
 
 use olivecart_lab::experiment::Player;
-use olivecart_lab::run::result::{Group, Latency, RunResult, SCHEMA, Server, Totals};
+use olivecart_lab::run_result::{Group, Latency, RunResult, SCHEMA, Server, Totals};
 use olivecart_lab::scenario::Checked;
 use std::sync::Mutex;
 
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -1,8 +1,8 @@
 //! The model held against what is known: queues with formulas, conservation, digests, and each of the
 //! monitors against a policy that breaks its rule.
 
-use olivecart_lab::run::result::RunResult;
 use olivecart_lab::run::{Options, run};
+use olivecart_lab::run_result::RunResult;
 use olivecart_lab::scenario::{Checked, Scenario};
 use std::path::Path;
 
--- a/crates/lab/tests/regression.rs
+++ b/crates/lab/tests/regression.rs
@@ -19,7 +19,7 @@
     scenario.bounds.goodput?;
     let result = run(&scenario, "olivecart", 1, Options::default())
         .unwrap_or_else(|error| panic!("{}: {error}", file.display()));
-    let broken = |b: &olivecart_lab::run::result::Breach| format!("rule {} broken: {}", b.rule, b.what);
+    let broken = |b: &olivecart_lab::run_result::Breach| format!("rule {} broken: {}", b.rule, b.what);
     let mut wrong: Vec<String> = result.breaches.iter().map(broken).collect();
     wrong.extend(result.out_of_bounds);
     wrong.extend(result.unsound);
--- a/crates/lab/tests/report.rs
+++ b/crates/lab/tests/report.rs
@@ -6,7 +6,7 @@
 use full::full;
 use olivecart_lab::report::{Content, MOST_RUNS, ReportError, Shown, page, report};
 use olivecart_lab::results::{Appender, Cell, Encoded, Failed};
-use olivecart_lab::run::result::{Group, RunResult, SCHEMA, Second, Server, Window};
+use olivecart_lab::run_result::{Group, RunResult, SCHEMA, Second, Server, Window};
 use roxmltree::{Document, ParsingOptions};
 use tempfile::TempDir;
 
--- a/crates/lab/tests/report/full.rs
+++ b/crates/lab/tests/report/full.rs
@@ -1,6 +1,6 @@
 //! A made-up result in which nothing is empty.
 
-use olivecart_lab::run::result::{
+use olivecart_lab::run_result::{
     Breach, Cost, Group, Held, Latency, RunResult, SCHEMA, Second, Server, Totals, Window,
 };
 
--- a/crates/lab/tests/sockets/common.rs
+++ b/crates/lab/tests/sockets/common.rs
@@ -1,7 +1,6 @@
 //! Scenarios for tests.
 
-use olivecart_lab::model::World;
-use olivecart_lab::policy::named;
+use olivecart_lab::model::{PolicyChoice, Topology};
 use olivecart_lab::scenario::Scenario;
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +29,7 @@
 }
 
 /// What seed 1 makes of it.
-pub fn world(scenario: &Scenario) -> Arc<World> {
-    let policy_factory = named("olivecart").unwrap();
-    Arc::new(World::new(scenario.clone(), 1, "olivecart", policy_factory, false))
+pub fn topology(scenario: &Scenario) -> Arc<Topology> {
+    let policy = PolicyChoice::named("olivecart").unwrap();
+    Arc::new(Topology::new(scenario.clone(), 1, policy))
 }
--- a/crates/lab/tests/sockets/peers.rs
+++ b/crates/lab/tests/sockets/peers.rs
@@ -1,6 +1,6 @@
 //! Stand-ins, and raw requests to them.
 
-use super::common::{NEVER, world};
+use super::common::{NEVER, topology};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -12,7 +12,7 @@
 
 /// A scenario's servers.
 pub fn fleet(scenario: &Scenario) -> Fleet {
-    Fleet::start(world(scenario), &Loopback::new()).unwrap()
+    Fleet::start(topology(scenario), &Loopback::new()).unwrap()
 }
 
 /// A request of a class, with further headers.
--- a/crates/lab/tests/sockets/stage.rs
+++ b/crates/lab/tests/sockets/stage.rs
@@ -1,8 +1,8 @@
 //! Real proxies between the stand-ins and the load.
 
-use super::common::{NEVER, scenario, world};
+use super::common::{NEVER, scenario, topology};
 use super::peers::{on, request};
-use olivecart_lab::model::World;
+use olivecart_lab::model::Topology;
 use olivecart_lab::sockets::child::{Child, ChildError, becomes_ready};
 use olivecart_lab::sockets::client::Pool;
 use olivecart_lab::sockets::load::Options;
@@ -22,7 +22,7 @@
 }
 
 /// Two tiers with a proxy beside each server of the first, two in front, and a little load.
-fn small(length: &str, rest: &str) -> Arc<World> {
+fn small(length: &str, rest: &str) -> Arc<Topology> {
     let mut scenario = scenario(&format!(
         r#"tier = [
             {{ name = "t", servers = 3, proxies = 2, kind = [{{ name = "k", cores = 4 }}] }},
@@ -35,7 +35,7 @@
     for class in &mut scenario.class {
         (class.aim, class.deadline) = ("10s".parse().unwrap(), "20s".parse().unwrap());
     }
-    world(&scenario)
+    topology(&scenario)
 }
 
 fn pids(stage: &Stage) -> Vec<u32> {
--- a/crates/lab/tests/sockets_load/main.rs
+++ b/crates/lab/tests/sockets_load/main.rs
@@ -4,8 +4,8 @@
 #[path = "../sockets/common.rs"]
 mod common;
 
-use common::{NEVER, scenario, world};
-use olivecart_lab::model::World;
+use common::{NEVER, scenario, topology};
+use olivecart_lab::model::Topology;
 use olivecart_lab::sockets::clock::Alarm;
 use olivecart_lab::sockets::load::{Load, Options, Report, Schedule, Target};
 use olivecart_lab::sockets::stream::Loopback;
@@ -45,8 +45,8 @@
     }
 
     /// Percentiles of what it did: from when each request was due until its answer was written.
-    fn truth(&self, world: &World, begin: Instant) -> [f64; 3] {
-        let schedule = Schedule::draw(world).unwrap().requests;
+    fn truth(&self, topology: &Topology, begin: Instant) -> [f64; 3] {
+        let schedule = Schedule::draw(topology).unwrap().requests;
         let took = |(number, at): &(usize, Instant)| {
             at.saturating_duration_since(begin + Duration::from_nanos(schedule[*number].due)).as_secs_f64()
                 * 1e3
@@ -91,17 +91,17 @@
 }
 
 /// One class of requests at a rate, for some seconds.
-fn steady(rate: f64, seconds: u32) -> Arc<World> {
+fn steady(rate: f64, seconds: u32) -> Arc<Topology> {
     let mut scenario =
         scenario(r#"tier = [{ name = "t", servers = 1, kind = [{ name = "k", cores = 64 }] }]"#);
     scenario.class.truncate(1);
     scenario.clients.rate = Some(rate);
     scenario.length = format!("{seconds}s").parse().unwrap();
-    world(&scenario)
+    topology(&scenario)
 }
 
-async fn load(world: &Arc<World>, to: Target, options: Options) -> (Instant, Report) {
-    let load = Load::new(world.clone(), vec![to], options).unwrap();
+async fn load(topology: &Arc<Topology>, to: Target, options: Options) -> (Instant, Report) {
+    let load = Load::new(topology.clone(), vec![to], options).unwrap();
     let begin = Instant::now() + Duration::from_millis(50);
     (begin, tokio::time::timeout(NEVER, load.run(begin)).await.unwrap().unwrap())
 }
@@ -111,7 +111,7 @@
 /// single answers that were read late do not decide.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn it_measures_what_a_stand_in_did_to_within_a_millisecond() {
-    let world = steady(800.0, 4);
+    let topology = steady(800.0, 4);
     let delay = |number: usize| match number % 1000 {
         0..970 => 10,
         970..993 => 60,
@@ -121,7 +121,7 @@
     let (measured, truth, allowed) = loop {
         let stand_in = StandIn::new(move |number, now| now + Duration::from_millis(delay(number)));
         let options = Options { lag: Duration::from_millis(2), ..Options::default() };
-        let (begin, report) = load(&world, stand_in.target(), options).await;
+        let (begin, report) = load(&topology, stand_in.target(), options).await;
         let latency = &report.result.classes[0].latency;
         assert_eq!(latency.count, report.result.totals.offered);
         let is_sound = report.result.unsound.is_empty();
@@ -129,7 +129,7 @@
         if is_sound || tries == 0 {
             let measured = [latency.p50_ms, latency.p99_ms, latency.p999_ms];
             let allowed = if is_sound { 1.0 } else { 1.0 + report.lag.p999_ms };
-            break (measured, stand_in.truth(&world, begin), allowed);
+            break (measured, stand_in.truth(&topology, begin), allowed);
         }
     };
     let near = |(a, b): (&f64, &f64)| (a - b).abs() < allowed;
@@ -139,7 +139,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_stall_of_a_second_shows_though_few_requests_were_sent_in_it() {
-    let world = steady(200.0, 4);
+    let topology = steady(200.0, 4);
     let stall = Arc::new(Mutex::new((Instant::now(), 0)));
     let its = stall.clone();
     let stand_in = StandIn::new(move |_, now| {
@@ -151,7 +151,7 @@
     });
     stall.lock().unwrap().0 = Instant::now() + Duration::from_millis(50);
     let options = Options { most_connections: 4, ..Options::default() };
-    let (_, report) = load(&world, stand_in.target(), options).await;
+    let (_, report) = load(&topology, stand_in.target(), options).await;
     let (result, sent) = (&report.result, stall.lock().unwrap().1);
     assert!(sent <= 4 && report.waited > 100, "{sent} were sent, {} waited", report.waited);
     let latency = &result.classes[0].latency;
@@ -193,7 +193,7 @@
     let net = Loopback::new();
     let nobody = Target { addr: net.address().unwrap(), zone: Some(0) };
     let stand_in = StandIn::new(|_, now| now);
-    let load = Load::new(world(&scenario), vec![nobody, stand_in.target()], Options::default()).unwrap();
+    let load = Load::new(topology(&scenario), vec![nobody, stand_in.target()], Options::default()).unwrap();
     let report = load.run(Instant::now()).await.unwrap();
     let totals = &report.result.totals;
     // Half of the first tries find nobody for half a second, and most of the others; then none does.
