--- a/crates/config/benches/fleet.rs
+++ b/crates/config/benches/fleet.rs
@@ -41,7 +41,9 @@
 
 fn load(files: &[(String, String)]) -> Loaded {
     let mut loaded = Loaded::default();
-    files.iter().for_each(|(name, text)| loaded.add_text(name, text));
+    for (name, text) in files {
+        loaded.add_text(name, text);
+    }
     loaded
 }
 
@@ -56,7 +58,7 @@
     group.bench_function("read", |b| b.iter(|| black_box(load(&files))));
     group.bench_function("check", |b| b.iter(|| black_box(check(&loaded, &Vec::new()))));
     group.bench_function("write", |b| {
-        b.iter(|| resolved.iter().map(|one| write::text(one, &loaded.sources).len()).sum::<usize>())
+        b.iter(|| resolved.iter().map(|one| write::text(one, &loaded.sources).len()).sum::<usize>());
     });
     group.finish();
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/crates/lab/src/policy/named.rs
+++ b/crates/lab/src/policy/named.rs
@@ -4,7 +4,7 @@
 use super::pick::{EndpointPicker, LeastOutstanding, Oracle, PowerOfTwo, Random, RingHash, RoundRobin};
 use super::policy_harness::PolicyHarness;
 use super::{Policy, PolicyContext};
-use olivecart_config::document::instead;
+use olivecart_config::document::suggestion;
 use olivecart_decisions::Balancer;
 use thiserror::Error;
 
@@ -29,7 +29,7 @@
 
 /// No policy has that name.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("there is no policy {name:?}; {}", instead(name, known.iter().copied()))]
+#[error("there is no policy {name:?}; {}", suggestion(name, known.iter().copied()))]
 pub struct UnknownPolicy {
     /// The requested name.
     pub name: String,
--- a/crates/lab/src/scenario/schema/tests.rs
+++ b/crates/lab/src/scenario/schema/tests.rs
@@ -2,5 +2,5 @@
 
 #[test]
 fn schema_uses_only_understood_keywords() {
-    assert_eq!(olivecart_config::document::shape::understands(super::tree()), Ok(()));
+    assert_eq!(olivecart_config::document::shape::check_keywords(super::tree()), Ok(()));
 }
--- a/crates/membership/src/xds/session/timers.rs
+++ b/crates/membership/src/xds/session/timers.rs
@@ -16,8 +16,8 @@
     Verify,
     /// The first clusters should have come.
     FirstFetch,
-    /// A refusal that was put off is to be sent.
-    Refuse(Kind),
+    /// A postponed rejection is to be sent.
+    Reject(Kind),
     /// The endpoints of a cluster should have come.
     Warm(ClusterName),
     /// The time to live of a resource is over.
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -1,6 +1,7 @@
 //! Owns the decisions of one cluster: puts every event to them in order, does what they answer, and keeps
 //! their timers. What it shares with other clusters' is [`Shared`].
 
+use crate::admin_overrides::{AdminOverrides, ListedEndpoint, UnknownEndpoint};
 use crate::backends::Backends;
 use crate::bodies::Budget;
 use crate::call::Verdict;
@@ -9,18 +10,18 @@
 use crate::discovery::{Discovery, Subscriber};
 use crate::invariant::{must, take_broken};
 use crate::membership::{Endpoint, News};
-use crate::overlay::{Overlay, Place, Unknown};
 use crate::platform::registry;
 use crate::stages::book::Book;
 use crate::stages::context::{Context, Decisions, Limits};
 use crate::stages::{route, send};
+use crate::start_times::{StartTime, StartTimes};
 use crate::stats::{Pool, Stats};
 use crate::trace;
 use olivecart_decisions::{
     Action, Balancer, Discovery as Mode, EndpointEntry, EndpointState, EndpointStatus, EndpointUpdate, Event,
     LearnedState, Nanos, Settings, Timer,
 };
-use olivecart_settings::{Listed, Site};
+use olivecart_settings::Site;
 use slog::{Logger, debug, error, info};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -52,6 +53,8 @@
     pub stats: Option<Arc<Stats>>,
     /// What an earlier process had out by hand, and had put back.
     pub by_hand: (BTreeSet<String>, BTreeMap<String, Nanos>),
+    /// When it knew its list to be complete last, and when endpoints started for it.
+    pub starts: (Option<Nanos>, BTreeMap<String, StartTime>),
 }
 
 /// The decisions of one cluster and all that they act on.
@@ -61,7 +64,9 @@
     shared: Rc<Shared>,
     balancer: RefCell<Balancer>,
     /// What operators said over the list.
-    overlay: RefCell<Overlay>,
+    overrides: RefCell<AdminOverrides>,
+    /// When its endpoints started.
+    starts: RefCell<StartTimes>,
     /// Where the platform's own cluster comes from.
     discovery: Option<Discovery>,
     /// Of the list that is held.
@@ -90,7 +95,8 @@
         let connect_timeout = Duration::from_nanos(settings.limits.connect_timeout);
         let backends =
             Backends::new(connect_timeout, site.idle_close, shared.descriptors.clone(), log.clone());
-        let limits = Limits { open_requests: site.most_held, second_copies: settings.limits.hedging_enabled };
+        let limits =
+            Limits { open_requests: site.max_open_requests, second_copies: settings.limits.hedging_enabled };
         let driver = Rc::new_cyclic(|this: &Weak<Driver>| Driver {
             context: Rc::new(Context::new(
                 this.clone(),
@@ -101,7 +107,8 @@
                 shared.stats.clone(),
             )),
             shared: shared.clone(),
-            overlay: RefCell::new(Overlay::restored(&shared.by_hand.0, &shared.by_hand.1)),
+            overrides: RefCell::new(AdminOverrides::restored(&shared.by_hand.0, &shared.by_hand.1)),
+            starts: RefCell::new(StartTimes::restored(shared.starts.0, &shared.starts.1)),
             version: Cell::new(0),
             balancer: RefCell::new(Balancer::new(settings, seed, shared.clock.now())),
             discovery: discovery.map(|at| Discovery::new(at, this.clone(), seed, log.clone())),
@@ -141,32 +148,43 @@
 
     /// The list as it is held, in discovery's form.
     pub fn held_list(&self) -> String {
-        let (overlay, site) = (self.overlay.borrow(), self.shared.site.borrow());
-        let endpoint = |(entry, addr): &'_ Place| Endpoint {
+        let (overrides, site) = (self.overrides.borrow(), self.shared.site.borrow());
+        let starts = self.starts.borrow();
+        let endpoint = |(entry, addr): &'_ ListedEndpoint| Endpoint {
             name: entry.name.to_string().into(),
             state: entry.state,
             zone: site.zones.name(entry.zone.0.into()).map_or("".into(), |name| name.to_string().into()),
             kind: site.kinds.name(entry.kind.0.into()).map_or("".into(), |name| name.to_string().into()),
             cell: entry.cell.0,
             size: entry.size,
-            started: entry.started,
+            started: starts.listed(&entry.name, entry.started),
             addr: *addr,
         };
-        let endpoints = overlay.listed().map(endpoint).collect();
+        let endpoints = overrides.listed().map(endpoint).collect();
         registry::write(&News { version: self.version.get(), full: true, endpoints })
     }
 
     /// Who is out by hand, and who was put back when.
     pub fn by_hand(&self) -> (Vec<String>, Vec<(String, Nanos)>) {
-        let overlay = self.overlay.borrow();
-        let (out, back) = overlay.by_hand();
+        let overrides = self.overrides.borrow();
+        let (out, back) = overrides.overrides();
         let back = back.iter().map(|(name, at)| (name.to_string(), *at)).collect();
         (out.map(|name| name.to_string()).collect(), back)
     }
 
+    /// Endpoints that count as started at another time than the list says.
+    pub fn start_times(&self) -> Vec<(String, StartTime)> {
+        self.starts.borrow().amended().collect()
+    }
+
+    /// When the list was last known to be complete.
+    pub fn list_complete_at(&self) -> Option<Nanos> {
+        self.starts.borrow().complete_at()
+    }
+
     /// Another address of discovery's holds from now on.
     pub fn adopt(&self, discovery: SocketAddr) {
-        self.discovery.iter().for_each(|own| own.move_to(discovery));
+        self.discovery.iter().for_each(|own| own.set_address(discovery));
     }
 
     /// Takes in a list or a change, and tells the decisions.
@@ -175,29 +193,44 @@
         debug!(self.log, "list"; "version" => version, "full" => news.full, "entries" => named);
         if news.full {
             self.context.backends.forget_all();
-            self.overlay.borrow_mut().whole_list_follows();
+            self.overrides.borrow_mut().begin_snapshot();
         }
         self.version.set(version);
-        self.discovery.iter().for_each(|discovery| discovery.holds(version));
+        self.discovery.iter().for_each(|discovery| discovery.set_version(version));
         let mut entries = Vec::with_capacity(named);
         for endpoint in &news.endpoints {
-            let entry = numbered(&mut self.shared.site.borrow_mut(), endpoint);
-            let entry = self.overlay.borrow_mut().pass(entry, endpoint.addr);
+            let entry = self.dated(numbered(&mut self.shared.site.borrow_mut(), endpoint));
+            let entry = self.overrides.borrow_mut().apply(entry, endpoint.addr);
             trace::listed(&self.log, &entry);
             self.place(&entry, endpoint.addr);
             entries.push(entry);
         }
+        self.bound_start_times();
         self.tell_list(change(entries));
     }
 
     /// Takes in changed endpoints in the numbers of whoever brings them, and tells the decisions.
     pub fn change(&self, changed: impl Iterator<Item = (EndpointEntry, Option<SocketAddr>)>) {
         let noted = |(entry, addr): (EndpointEntry, _)| {
-            let entry = self.overlay.borrow_mut().pass(entry, addr);
+            let entry = self.overrides.borrow_mut().apply(self.dated(entry), addr);
             self.place(&entry, addr);
             entry
         };
-        self.tell_list(EndpointUpdate::Delta(changed.map(noted).collect()));
+        let changed = changed.map(noted).collect();
+        self.bound_start_times();
+        self.tell_list(EndpointUpdate::Delta(changed));
+    }
+
+    /// An endpoint with the start time that counts for it.
+    fn dated(&self, entry: EndpointEntry) -> EndpointEntry {
+        let now = self.shared.clock.now();
+        let started = self.starts.borrow_mut().effective(&entry.name, entry.started, now);
+        EndpointEntry { started, ..entry }
+    }
+
+    fn bound_start_times(&self) {
+        let overrides = self.overrides.borrow();
+        self.starts.borrow_mut().bound(|name| overrides.is_listed(name));
     }
 
     fn place(&self, entry: &EndpointEntry, addr: Option<SocketAddr>) {
@@ -206,7 +239,7 @@
 
     /// Tells the decisions of a change of the list, once it is noted here.
     fn tell_list(&self, change: EndpointUpdate) {
-        self.context.set_all_out(self.overlay.borrow().leaves_none());
+        self.context.set_all_out(self.overrides.borrow().detaches_all_ready());
         self.tell(Event::Endpoints(change));
     }
 
@@ -214,23 +247,23 @@
     ///
     /// # Errors
     /// It is not of this cluster.
-    pub fn detach(&self, name: &str) -> Result<(), Unknown> {
-        let changed = self.overlay.borrow_mut().detach(name)?;
+    pub fn detach(&self, name: &str) -> Result<(), UnknownEndpoint> {
+        let changed = self.overrides.borrow_mut().detach(name)?;
         self.change_one(changed);
         Ok(())
     }
 
     /// The same for one that another process lists, and this one not yet.
     pub fn detach_ahead(&self, name: &str) {
-        self.overlay.borrow_mut().detach_ahead(name);
+        self.overrides.borrow_mut().detach_unlisted(name);
     }
 
     /// Puts an endpoint back by hand, and checks it at once.
     ///
     /// # Errors
     /// It is not of this cluster.
-    pub fn attach(&self, name: &str) -> Result<(), Unknown> {
-        let changed = self.overlay.borrow_mut().attach(name, self.shared.clock.now())?;
+    pub fn attach(&self, name: &str) -> Result<(), UnknownEndpoint> {
+        let changed = self.overrides.borrow_mut().attach(name, self.shared.clock.now())?;
         let takes = changed
             .as_ref()
             .filter(|(entry, _)| entry.state == EndpointState::Ready)
@@ -263,7 +296,7 @@
                     | EndpointStatus::Ejected { .. }
             )
         };
-        self.overlay.borrow().pool(avoids)
+        self.overrides.borrow().pool(avoids)
     }
 
     /// The cluster is no more: nothing new goes to its endpoints. What was taken in finishes, or fails by its
@@ -378,14 +411,18 @@
 }
 
 impl Subscriber for Driver {
-    fn news(&self, news: News<'_>) {
-        self.list(&news, if news.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
+    fn on_update(&self, update: News<'_>) {
+        self.list(&update, if update.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
+    }
+
+    fn on_list_complete(&self) {
+        self.starts.borrow_mut().list_is_complete(self.shared.clock.now());
     }
 }
 
 /// An endpoint in the module's numbers; what is new gets one.
 fn numbered(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
-    site.entry(&Listed {
+    site.entry(&olivecart_settings::ListedEndpoint {
         name: &endpoint.name,
         state: endpoint.state,
         zone: &endpoint.zone,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,6 +3,8 @@
 //! A request passes the stages in [`stages`]; [`driver`] puts what happens to the module and does what it
 //! answers; [`platform`] alone knows the names of this protocol.
 
+mod accept;
+mod admin_overrides;
 mod answer;
 mod backends;
 mod bodies;
@@ -15,26 +17,29 @@
 mod clusters;
 mod config;
 mod config_tool;
+mod connect;
 mod console;
 mod descriptors;
 mod discovery;
 mod driver;
-mod handover;
+mod hot_restart;
+mod interrupted;
 mod invariant;
 mod latency;
 mod listen;
 mod membership;
 mod operators;
-mod overlay;
 mod platform;
 mod reload;
+mod serve;
+mod serving_process;
 mod shutdown;
 mod sidecar;
 mod stages;
+mod start_times;
 mod stats;
 mod tools;
 mod trace;
-mod upgrade;
 mod wire;
 
 use std::process::ExitCode;
--- a/crates/proxy/src/sidecar/admin.rs
+++ b/crates/proxy/src/sidecar/admin.rs
@@ -1,7 +1,9 @@
 //! The listener for operators, on loopback: whether it is ready, what is in force, what there is, figures, and the
 //! word to end.
 
-use super::Sidecar;
+use super::{Listener, Sidecar};
+use crate::accept::Acceptor;
+use crate::interrupted::Uninterrupted;
 use actix_http::{HttpService, Method, Request, Response, StatusCode};
 use actix_service::{IntoServiceFactory, Service, ServiceFactory, fn_service};
 use bytes::Bytes;
@@ -19,37 +21,30 @@
 use tokio::sync::Semaphore;
 
 /// Connections at a time: it is for a few operators, and must not take others' descriptors.
-const MOST: usize = 4;
+const MOST_CONNECTIONS: usize = 4;
 
 /// Serves for good.
 pub async fn serve(listener: TcpListener, sidecar: Rc<Sidecar>, log: Logger) {
-    let service = HttpService::build()
-        .client_request_timeout(Duration::from_secs(2))
-        .h1(fn_service(move |request: Request| {
+    let service = HttpService::build().client_request_timeout(Duration::from_secs(2)).h1(fn_service(
+        move |request: Request| {
             let answer = answer(&sidecar, &request);
             async move { Ok::<_, Infallible>(answer) }
-        })
-        .into_factory())
-        .tcp();
+        },
+    )
+    .into_factory());
     let Ok(service) = service.new_service(()).await else {
         return warn!(log, "the admin service did not start");
     };
-    let (service, room) = (Rc::new(service), Arc::new(Semaphore::new(MOST)));
+    let (service, room) = (Rc::new(service), Arc::new(Semaphore::new(MOST_CONNECTIONS)));
+    let mut acceptor = Acceptor::new(listener, "admin", log);
     loop {
         let Ok(permit) = room.clone().acquire_owned().await else { return };
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                let service = service.clone();
-                actix_rt::spawn(async move {
-                    let _ = service.call(stream).await;
-                    drop(permit);
-                });
-            }
-            Err(error) => {
-                warn!(log, "accept failed"; "error" => %error);
-                tokio::time::sleep(Duration::from_millis(10)).await;
-            }
-        }
+        let (stream, peer) = acceptor.accept(|| {}).await; // its few connections are all in use
+        let service = service.clone();
+        actix_rt::spawn(async move {
+            let _ = service.call((Uninterrupted(stream), Some(peer))).await;
+            drop(permit);
+        });
     }
 }
 
@@ -64,7 +59,7 @@
         (&Method::GET, "/clusters") => told(StatusCode::OK, clusters(sidecar)),
         (&Method::GET, "/metrics") => told(StatusCode::OK, metrics(sidecar)),
         (&Method::POST, "/drain") => {
-            sidecar.leave.notify_one();
+            sidecar.shutdown.notify_one();
             told(StatusCode::OK, "leaving\n".into())
         }
         (_, "/ready" | "/config" | "/clusters" | "/metrics" | "/drain") => {
@@ -79,9 +74,9 @@
 /// A line for each cluster of each listener.
 fn clusters(sidecar: &Sidecar) -> String {
     let mut out = String::new();
-    for (listener, gate, clusters) in &sidecar.sides {
+    for Listener { name: listener, control, clusters } in &sidecar.listeners {
         // Writing to a string does not fail.
-        let _ = writeln!(out, "listener {listener}: connections {}", gate.connections());
+        let _ = writeln!(out, "listener {listener}: connections {}", control.connections());
         for place in clusters.routes.places() {
             let _ = match place.context() {
                 Some(context) => writeln!(
@@ -122,9 +117,9 @@
     let open = family(&mut registry, "open_requests", "Open requests, by listener and cluster");
     let refused =
         family(&mut registry, "refused_absent", "Requests refused since their cluster was not there");
-    for (listener, gate, clusters) in &sidecar.sides {
+    for Listener { name: listener, control, clusters } in &sidecar.listeners {
         let label = |name: &str, value: &str| (name.to_owned(), value.to_owned());
-        clients.get_or_create(&vec![label("listener", listener)]).set(gate.connections() as i64);
+        clients.get_or_create(&vec![label("listener", listener)]).set(control.connections() as i64);
         for place in clusters.routes.places() {
             let labels = vec![label("listener", listener), label("cluster", &place.cluster)];
             let requests = place.context().map_or(0, |context| context.open_requests());
