--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -3,10 +3,10 @@
 //! Each connection is an awc client of its own with a pool of one: which connection an attempt uses, how many
 //! are open, and when an idle one goes is then decided here and not by a pool that shares them out.
 
-use crate::answer::Seen;
 use crate::bodies::LONGEST;
 use crate::connect::{Connect, ConnectFailure, SystemConnect};
 use crate::descriptors::{Descriptors, Holder, Open};
+use crate::response_monitor::ResponseMonitor;
 use crate::wire::Wire;
 use actix_service::fn_service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
@@ -62,7 +62,7 @@
     /// Where it leads.
     pub target: Target,
     /// What became of it.
-    pub seen: Rc<Seen>,
+    pub seen: Rc<ResponseMonitor>,
     /// It was kept from an earlier request.
     pub kept: bool,
     /// Established and not yet taken by the client.
@@ -97,7 +97,7 @@
             .map_err(|_| ConnectFailure::TimedOut(addr))?
             .map_err(|error| ConnectFailure::of(addr, error))?;
         let _ = stream.set_nodelay(true); // a hint; without it small requests wait for acknowledgements
-        self.seen.comes_up();
+        self.seen.on_connected();
         self.established.replace(Some(stream));
         Ok(())
     }
@@ -314,7 +314,7 @@
     }
 
     fn connection(&self, target: Target, open: [Open; 2]) -> Lease {
-        let seen = Rc::new(Seen::new(LONGEST as usize));
+        let seen = Rc::new(ResponseMonitor::new(LONGEST as usize));
         let established = Established::default();
         Lease {
             client: client_of(&established, &seen),
@@ -331,24 +331,24 @@
 
 /// A client that uses the connection that was established for it. Asked for another, it says
 /// `ConnectError::Io`: the one it kept has ended, and nothing was sent.
-fn client_of(established: &Established, seen: &Rc<Seen>) -> Client {
+fn client_of(established: &Established, seen: &Rc<ResponseMonitor>) -> Client {
     let (established, seen) = (established.clone(), seen.clone());
     plain_client(HANDED_OVER, move || {
-        let connection = established.take().map(|stream| Wire { stream, tap: seen.clone() });
+        let connection = established.take().map(|stream| Wire { stream, observer: seen.clone() });
         ready(connection.ok_or_else(|| io::Error::from(io::ErrorKind::NotConnected)))
     })
 }
 
 /// A client that connects to one address when it is asked to send something.
-pub fn client(addr: SocketAddr, connect_timeout: Duration, seen: &Rc<Seen>) -> Client {
+pub fn client(addr: SocketAddr, connect_timeout: Duration, seen: &Rc<ResponseMonitor>) -> Client {
     let seen = seen.clone();
     plain_client(connect_timeout, move || {
         let seen = seen.clone();
         async move {
             let stream = TcpStream::connect(addr).await?;
             let _ = stream.set_nodelay(true);
-            seen.comes_up();
-            Ok(Wire { stream, tap: seen })
+            seen.on_connected();
+            Ok(Wire { stream, observer: seen })
         }
     })
 }
@@ -357,7 +357,7 @@
 /// lingering when a connection is dropped.
 fn plain_client<F>(connect_timeout: Duration, connect: impl Fn() -> F + Clone + 'static) -> Client
 where
-    F: Future<Output = io::Result<Wire<Seen>>> + 'static,
+    F: Future<Output = io::Result<Wire<ResponseMonitor>>> + 'static,
 {
     let service = fn_service(move |info: ConnectInfo<Uri>| {
         let connecting = connect();
--- a/crates/proxy/src/bodies/gathered.rs
+++ b/crates/proxy/src/bodies/buffered_body.rs
@@ -1,15 +1,15 @@
-//! The parts of a body, put together.
+//! The parts of a body, joined in memory.
 
 use bytes::{Bytes, BytesMut};
 
 /// What has come so far. A body in one piece, as most are, is kept as the very bytes that came.
 #[derive(Default)]
-pub struct Gathered {
+pub struct BufferedBody {
     first: Bytes,
     whole: BytesMut,
 }
 
-impl Gathered {
+impl BufferedBody {
     /// One more part.
     pub fn push(&mut self, part: Bytes) {
         match (self.first.is_empty(), self.whole.is_empty()) {
@@ -34,17 +34,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn parts_are_put_together_and_a_single_one_is_kept_as_it_is() {
-        let one = Bytes::from(vec![b'a'; 9]);
-        let mut gathered = Gathered::default();
-        gathered.push(one.clone());
-        assert_eq!(gathered.bytes().as_ptr(), one.as_ptr());
-        let mut gathered = Gathered::default();
-        ["", "ab", "", "c", "de"].iter().for_each(|part| gathered.push(Bytes::from_static(part.as_bytes())));
-        assert_eq!((gathered.len(), gathered.bytes()), (5, Bytes::from_static(b"abcde")));
-    }
-}
+mod tests;
--- a/crates/proxy/src/bodies/mod.rs
+++ b/crates/proxy/src/bodies/mod.rs
@@ -1,16 +1,17 @@
-//! Bodies too long to be held whole: they pass through in parts, at the pace of the slower side.
+//! Bodies too long to be buffered whole: they are streamed in parts, at the pace of the slower side.
 //!
-//! What is held of them is bounded by one [`Budget`]. Nothing here knows requests, backends or clients.
+//! Owns the buffers of request and response bodies and the one [`BodyMemoryLimit`] that bounds them; the stages and the
+//! listener use it. It never looks at requests, endpoints or clients.
 
-mod budget;
-mod download;
-mod gathered;
-mod upload;
+mod buffered_body;
+mod memory_limit;
+mod request_body;
+mod response_body;
 
-pub use budget::{Budget, Share};
-pub use download::{Broken, Download, Feed, feed};
-pub use gathered::Gathered;
-pub use upload::Upload;
+pub use buffered_body::BufferedBody;
+pub use memory_limit::{BodyMemoryLimit, BodyMemoryReservation};
+pub use request_body::RequestBody;
+pub use response_body::{BodySender, Broken, ResponseBody, feed};
 
 /// Bodies up to this length are held whole: an answer is known to be good before any of it goes on, and a request can
 /// be sent again. The platform's usual bodies are no longer.
--- a/crates/proxy/src/bodies/upload.rs
+++ b/crates/proxy/src/bodies/request_body.rs
@@ -1,7 +1,7 @@
-//! A long request body on its way to a backend.
+//! A request body that is streamed to an endpoint, with the buffered beginning that a retry can send again.
 
 use super::LONGEST;
-use super::budget::Share;
+use super::memory_limit::BodyMemoryReservation;
 use actix_http::body::{BodySize, MessageBody};
 use actix_http::error::PayloadError;
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 
 /// Why a body does not go on to its end.
 #[derive(Debug, thiserror::Error)]
-pub enum UploadError {
+pub enum RequestBodyError {
     /// Its client broke off.
     #[error("the client's body broke off: {0}")]
     Broken(#[from] PayloadError),
@@ -25,20 +25,20 @@
     TooLong,
     /// Some of it was sent elsewhere and let go.
     #[error("the client's body is not held any more")]
-    LetGo,
+    Released,
 }
 
 type Source = Pin<Box<dyn Stream<Item = Result<Bytes, PayloadError>>>>;
 
 /// A body of which the beginning is held, so that it can be sent again until more than that was asked for.
-pub struct Upload {
+pub struct RequestBody {
     length: Option<u64>,
     held: RefCell<Vec<Bytes>>,
     source: RefCell<Source>,
     /// Bytes that came so far.
     came: Cell<u64>,
     /// Which of its bodies has what is not held any more.
-    let_go: Cell<Option<u32>>,
+    released_to: Cell<Option<u32>>,
     /// How many bodies there were.
     bodies: Cell<u32>,
     /// When its last byte came.
@@ -48,34 +48,34 @@
     moved: Cell<Instant>,
     /// How long its client waits once it is whole.
     patience: Duration,
-    _share: Share,
+    _share: BodyMemoryReservation,
 }
 
 /// The body of one attempt.
-pub struct UploadBody {
-    upload: Rc<Upload>,
+pub struct RequestBodyStream {
+    upload: Rc<RequestBody>,
     number: u32,
     sent: usize,
     /// Called when the last byte has gone.
     written: Option<Box<dyn FnOnce()>>,
 }
 
-impl Upload {
+impl RequestBody {
     /// `held` came already, the rest is to come; the length may be known.
     pub fn new(
         length: Option<u64>,
         held: Vec<Bytes>,
         source: impl Stream<Item = Result<Bytes, PayloadError>> + 'static,
         patience: Duration,
-        share: Share,
-    ) -> Upload {
+        share: BodyMemoryReservation,
+    ) -> RequestBody {
         let came = Cell::new(held.iter().map(|part| part.len() as u64).sum());
-        Upload {
+        RequestBody {
             length,
             held: RefCell::new(held),
             source: RefCell::new(Box::pin(source)),
             came,
-            let_go: Cell::default(),
+            released_to: Cell::default(),
             bodies: Cell::default(),
             ended: Cell::new(None),
             changed: Notify::new(),
@@ -86,19 +86,19 @@
     }
 
     /// The body for one attempt, from its beginning. `written` is called with its last byte.
-    pub fn body(self: &Rc<Self>, written: impl FnOnce() + 'static) -> UploadBody {
+    pub fn body(self: &Rc<Self>, written: impl FnOnce() + 'static) -> RequestBodyStream {
         let number = self.bodies.replace(self.bodies.get() + 1);
-        UploadBody { upload: self.clone(), number, sent: 0, written: Some(Box::new(written)) }
+        RequestBodyStream { upload: self.clone(), number, sent: 0, written: Some(Box::new(written)) }
     }
 
-    /// Whether some of it is not held any more, so that no other attempt can have it.
-    pub fn is_let_go(&self) -> bool {
-        self.let_go.get().is_some()
+    /// Whether some of it is not buffered any more, so that no other attempt can have it.
+    pub fn is_released(&self) -> bool {
+        self.released_to.get().is_some()
     }
 
     /// Resolves when some of it is not held any more.
-    pub async fn lets_go(&self) {
-        while !self.is_let_go() {
+    pub async fn released(&self) {
+        while !self.is_released() {
             self.changed.notified().await;
         }
     }
@@ -124,7 +124,7 @@
     }
 
     /// Resolves when nothing of it has moved for so long, before its last byte came; at once it never does.
-    pub async fn stands_still(&self, still: Duration) {
+    pub async fn stalled(&self, still: Duration) {
         loop {
             let moved = self.moved.get();
             sleep_until((moved + still).into()).await;
@@ -137,17 +137,21 @@
         }
     }
 
-    fn poll_source(&self, cx: &mut Context<'_>, number: u32) -> Poll<Option<Result<Bytes, UploadError>>> {
+    fn poll_source(
+        &self,
+        cx: &mut Context<'_>,
+        number: u32,
+    ) -> Poll<Option<Result<Bytes, RequestBodyError>>> {
         let part = ready!(self.source.borrow_mut().poll_next_unpin(cx));
         self.moved.set(Instant::now());
-        if self.let_go.replace(Some(number)).is_none() {
+        if self.released_to.replace(Some(number)).is_none() {
             self.held.take();
             self.changed.notify_waiters();
         }
         Poll::Ready(match part {
             Some(Ok(part)) => {
                 self.came.set(self.came.get() + part.len() as u64);
-                Some(if self.came.get() > LONGEST { Err(UploadError::TooLong) } else { Ok(part) })
+                Some(if self.came.get() > LONGEST { Err(RequestBodyError::TooLong) } else { Ok(part) })
             }
             Some(Err(e)) => Some(Err(e.into())),
             None => {
@@ -159,17 +163,20 @@
     }
 }
 
-impl MessageBody for UploadBody {
-    type Error = UploadError;
+impl MessageBody for RequestBodyStream {
+    type Error = RequestBodyError;
 
     fn size(&self) -> BodySize {
         self.upload.length.map_or(BodySize::Stream, BodySize::Sized)
     }
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
+    fn poll_next(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, RequestBodyError>>> {
         // Danger: where two copies may be out, both would go on with parts of the rest.
-        if self.upload.let_go.get().is_some_and(|number| number != self.number) {
-            return Poll::Ready(Some(Err(UploadError::LetGo)));
+        if self.upload.released_to.get().is_some_and(|number| number != self.number) {
+            return Poll::Ready(Some(Err(RequestBodyError::Released)));
         }
         let held = self.upload.held.borrow().get(self.sent).cloned();
         if let Some(part) = held {
@@ -186,42 +193,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::bodies::Budget;
-    use futures_util::{FutureExt, stream};
-    use std::future::poll_fn;
-
-    fn upload(parts: &'static [&'static str]) -> Rc<Upload> {
-        let share = Rc::new(Budget::new(1)).take(1).expect("room");
-        let rest = stream::iter(parts.iter().map(|part| Ok(Bytes::from_static(part.as_bytes()))));
-        Rc::new(Upload::new(
-            None,
-            vec![Bytes::from_static(b"a"), Bytes::from_static(b"b")],
-            rest,
-            Duration::from_secs(1),
-            share,
-        ))
-    }
-
-    fn next(body: &mut UploadBody) -> String {
-        match poll_fn(|cx| Pin::new(&mut *body).poll_next(cx)).now_or_never().expect("there") {
-            Some(Ok(part)) => String::from_utf8_lossy(&part).into_owned(),
-            Some(Err(e)) => e.to_string(),
-            None => "end".into(),
-        }
-    }
-
-    #[test]
-    fn what_is_held_can_be_sent_again_until_more_was_asked_for() {
-        let upload = upload(&["c", "d"]);
-        let (mut first, mut second) = (upload.body(|| ()), upload.body(|| ()));
-        assert_eq!([next(&mut first), next(&mut first)], ["a", "b"]);
-        assert!(!upload.is_let_go() && upload.lets_go().now_or_never().is_none());
-        assert_eq!([0; 5].map(|_| next(&mut second)), ["a", "b", "c", "d", "end"]);
-        assert!(upload.is_let_go() && upload.ends().now_or_never().is_some());
-        for late in [&mut first, &mut upload.body(|| ())] {
-            assert_eq!(next(late), "the client's body is not held any more");
-        }
-    }
-}
+mod tests;
--- a/crates/proxy/src/bodies/download.rs
+++ b/crates/proxy/src/bodies/response_body.rs
@@ -1,6 +1,6 @@
-//! A long answer on its way to its client.
+//! A response body that is streamed to its client: a bounded channel between the attempt and the listener.
 
-use super::budget::Share;
+use super::memory_limit::BodyMemoryReservation;
 use actix_http::body::{BodySize, MessageBody};
 use bytes::Bytes;
 use std::any::Any;
@@ -22,8 +22,8 @@
     End,
 }
 
-/// What the client reads.
-pub struct Download {
+/// The receiving end, which the client reads.
+pub struct ResponseBody {
     length: Option<u64>,
     parts: mpsc::Receiver<Part>,
     /// What ends with it.
@@ -32,18 +32,18 @@
     ended: Option<Box<dyn FnOnce(bool)>>,
 }
 
-/// Where its parts are put.
-pub struct Feed {
+/// The sending end, which the attempt owns.
+pub struct BodySender {
     parts: mpsc::Sender<Part>,
 }
 
 /// Both ends of an answer, whose length may be known, with its share of the memory.
-pub fn feed(length: Option<u64>, share: Share) -> (Feed, Download) {
+pub fn feed(length: Option<u64>, share: BodyMemoryReservation) -> (BodySender, ResponseBody) {
     let (sender, parts) = mpsc::channel(PARTS);
-    (Feed { parts: sender }, Download { length, parts, kept: vec![Box::new(share)], ended: None })
+    (BodySender { parts: sender }, ResponseBody { length, parts, kept: vec![Box::new(share)], ended: None })
 }
 
-impl Feed {
+impl BodySender {
     /// Puts a part, once there is room for it. False: nobody reads any more.
     pub async fn put(&self, bytes: Bytes) -> bool {
         bytes.is_empty() || self.parts.send(Part::Bytes(bytes)).await.is_ok()
@@ -60,7 +60,7 @@
     }
 }
 
-impl Download {
+impl ResponseBody {
     /// Keeps something until the answer has gone on, or its client has.
     pub fn keep(&mut self, what: impl Any) {
         self.kept.push(Box::new(what));
@@ -76,7 +76,7 @@
     }
 }
 
-impl MessageBody for Download {
+impl MessageBody for ResponseBody {
     type Error = Broken;
 
     fn size(&self) -> BodySize {
@@ -98,50 +98,17 @@
     }
 }
 
-impl Drop for Download {
+impl Drop for ResponseBody {
     fn drop(&mut self) {
         self.ends(false);
     }
 }
 
-impl fmt::Debug for Download {
+impl fmt::Debug for ResponseBody {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.debug_struct("Download").field("length", &self.length).finish_non_exhaustive()
+        f.debug_struct("ResponseBody").field("length", &self.length).finish_non_exhaustive()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::bodies::Budget;
-    use futures_util::FutureExt;
-    use std::cell::Cell;
-    use std::future::poll_fn;
-    use std::rc::Rc;
-
-    fn next(download: &mut Download) -> Option<Option<Result<Bytes, Broken>>> {
-        poll_fn(|cx| Pin::new(&mut *download).poll_next(cx)).now_or_never()
-    }
-
-    #[test]
-    fn parts_wait_for_their_reader_and_its_end_is_told_and_gives_the_memory_back() {
-        let budget = Rc::new(Budget::new(10));
-        for whole in [true, false] {
-            let (feed, mut download) = feed(Some(9), budget.take(10).expect("room"));
-            let told = Rc::new(Cell::new(None));
-            let tell = told.clone();
-            download.when_ended(move |whole| tell.set(Some(whole)));
-            let put = || feed.put(Bytes::from_static(b"x")).now_or_never().is_some();
-            assert_eq!((0..9).filter(|_| put()).count(), PARTS);
-            (0..PARTS).for_each(|_| assert!(matches!(next(&mut download), Some(Some(Ok(_))))));
-            assert!(!whole || feed.end().now_or_never().expect("room"));
-            drop(feed);
-            assert!(matches!(
-                (whole, next(&mut download)),
-                (true, Some(None)) | (false, Some(Some(Err(Broken))))
-            ));
-            assert_eq!(told.get(), Some(whole));
-            assert!(budget.take(1).is_none(), "held until nobody reads any more");
-        }
-    }
-}
+mod tests;
--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/call.rs
@@ -1,6 +1,6 @@
 //! A call on its way between a front and the decisions, and the end that it comes to.
 
-use crate::bodies::{Broken, Download, Share, Upload};
+use crate::bodies::{BodyMemoryReservation, Broken, RequestBody, ResponseBody};
 use actix_http::body::{BodySize, MessageBody};
 use actix_http::header::{HeaderMap, HeaderValue};
 use actix_http::{Method, StatusCode};
@@ -32,10 +32,10 @@
         /// The bytes as they came.
         bytes: Bytes,
         /// Held with them.
-        _share: Option<Share>,
+        _share: Option<BodyMemoryReservation>,
     },
     /// It is still coming.
-    Streamed(Rc<Upload>),
+    Streamed(Rc<RequestBody>),
 }
 
 /// A request with all that the decisions need of it.
@@ -106,7 +106,7 @@
     /// All of it.
     Whole(Bytes),
     /// It is still coming.
-    Streamed(Download),
+    Streamed(ResponseBody),
 }
 
 impl From<Bytes> for AnswerBody {
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::clock::{Clock, SystemClocks};
 use crate::clusters::{Clusters, Routing, Start};
 use crate::config::{Changes, Config};
@@ -229,7 +229,7 @@
         };
         let (taken_over, link) = given.map(handover::Given::split).unzip();
         let kept = path.is_some().then(|| listener.try_clone()).transpose()?;
-        let budget = Rc::new(Budget::new(bodies));
+        let budget = Rc::new(BodyMemoryLimit::new(bodies));
         let listener = tokio::net::TcpListener::from_std(listener)?;
         info!(log, "listening"; "on" => %listen, "version" => env!("CARGO_PKG_VERSION"));
         let longest = config.site.settings.classes.iter().map(|class| class.client_deadline).max();
--- a/crates/proxy/src/clusters.rs
+++ b/crates/proxy/src/clusters.rs
@@ -1,6 +1,6 @@
 //! All clusters of the proxy: the platform's own, and those that the operators' sources bring.
 
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::catalog::{Numbered, Step};
 use crate::clock::{Clock, SystemClocks};
 use crate::config::Changes;
@@ -328,7 +328,7 @@
     /// Which request goes where.
     pub routing: Routing,
     /// The memory for long bodies.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<BodyMemoryLimit>,
     /// The figures, where anybody reads them.
     pub stats: Option<Arc<Stats>>,
     /// What an earlier process knew that this one takes over from.
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -7,10 +7,10 @@
 mod lines;
 mod watch;
 
-use crate::answer::Seen;
 use crate::backends;
 use crate::membership::News;
 use crate::platform::registry;
+use crate::response_monitor::ResponseMonitor;
 use awc::error::{PayloadError, SendRequestError};
 use awc::http::Uri;
 use bytes::Bytes;
@@ -229,7 +229,7 @@
     async fn call(self: Rc<Self>, query: Query, id: CallId) -> Result<(), CallEnd> {
         let address = self.address.get();
         let target = self.target(query);
-        let client = backends::client(address, NO_TIMEOUT, &Rc::new(Seen::new(usize::MAX)));
+        let client = backends::client(address, NO_TIMEOUT, &Rc::new(ResponseMonitor::new(usize::MAX)));
         debug!(self.log, "discovery call started"; "peer" => %address, "target" => &target);
         let uri = Uri::builder().scheme("http").authority(address.to_string()).path_and_query(&*target);
         let request = client.get(uri.build().unwrap_or_default()).no_decompress();
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -2,12 +2,12 @@
 //! their timers. What it shares with other clusters' is [`Shared`].
 
 use crate::backends::Backends;
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::call::Verdict;
 use crate::clock::Clock;
 use crate::descriptors::Descriptors;
 use crate::discovery::{Discovery, Subscriber};
-use crate::invariant::{must, take_broken};
+use crate::invariant::{check_invariant, take_violations};
 use crate::membership::{Endpoint, News};
 use crate::overlay::{Overlay, Place, Unknown};
 use crate::platform::registry;
@@ -48,7 +48,7 @@
     /// The budget for connections.
     pub descriptors: Rc<Descriptors>,
     /// The memory for long bodies.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<BodyMemoryLimit>,
     /// The figures, where anybody reads them.
     pub stats: Option<Arc<Stats>>,
     /// What an earlier process had out by hand, and had put back.
@@ -320,9 +320,14 @@
             Action::CancelAttempt { request, attempt } => book.cancel(request, attempt),
             Action::Shed { request, retry_after: come_back } => {
                 let come_back = Duration::from_nanos(come_back);
-                must(book.finish(request, Verdict::Refused { come_back }), "one verdict a request");
+                check_invariant(
+                    book.finish(request, Verdict::Refused { come_back }),
+                    "one verdict a request",
+                );
+            }
+            Action::Fail(request) => {
+                check_invariant(book.finish(request, Verdict::Failed), "one verdict a request")
             }
-            Action::Fail(request) => must(book.finish(request, Verdict::Failed), "one verdict a request"),
             Action::StartHealthCheck(endpoint) => {
                 drop(actix_rt::spawn(send::probe(self.context.clone(), endpoint)))
             }
@@ -330,7 +335,7 @@
             Action::WatchEndpoints(on) => self.watch(on),
             Action::RefreshEndpoints => self.discovery.iter().for_each(Discovery::refresh),
             Action::CloseIdleConnections(endpoint) => backends.close_idle(endpoint),
-            Action::Publish { .. } => must(false, "copies have no way to talk to each other"),
+            Action::Publish { .. } => check_invariant(false, "copies have no way to talk to each other"),
             Action::Log(text) => info!(self.log, "remark"; "text" => text),
         }
     }
@@ -372,7 +377,7 @@
                 () = self.retired.notified() => break,
             }
             self.context.backends.sweep();
-            for (what, times) in take_broken() {
+            for (what, times) in take_violations() {
                 error!(self.log, "an invariant does not hold"; "what" => what, "times" => times);
             }
         }
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -5,7 +5,7 @@
 //! `clients.rs`'s; how an endpoint is chosen and called is the stages'.
 
 use crate::accept::{Accept, Acceptor};
-use crate::bodies::{Budget, Download};
+use crate::bodies::{BodyMemoryLimit, ResponseBody};
 use crate::call::{AnswerBody, Body, Call, Verdict};
 use crate::clients::{Client, Clients, Connection, RequestBody, Stream};
 use crate::config::Sockets;
@@ -52,7 +52,7 @@
     /// The shares of the descriptors.
     pub sockets: Sockets,
     /// The memory for long bodies.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<BodyMemoryLimit>,
     /// The figures, where anybody reads them.
     pub stats: Option<Arc<Stats>>,
 }
@@ -74,7 +74,7 @@
     closing: Cell<bool>,
     /// Connections are accepted, and not left to another process.
     accepting: watch::Sender<bool>,
-    budget: Rc<Budget>,
+    budget: Rc<BodyMemoryLimit>,
     stats: Option<Arc<Stats>>,
 }
 
@@ -328,7 +328,7 @@
 /// Does something with the body of a response, if it is streamed, or with none.
 fn with_body(
     response: Response<AnswerBody>,
-    action: impl FnOnce(Option<&mut Download>),
+    action: impl FnOnce(Option<&mut ResponseBody>),
 ) -> Response<AnswerBody> {
     response.map_body(|_, mut body| {
         match &mut body {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,7 +4,6 @@
 //! answers; [`platform`] alone knows the names of this protocol.
 
 mod accept;
-mod answer;
 mod backends;
 mod bodies;
 mod call;
@@ -31,6 +30,7 @@
 mod overlay;
 mod platform;
 mod reload;
+mod response_monitor;
 mod shutdown;
 mod sidecar;
 mod stages;
--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/response_monitor.rs
@@ -1,4 +1,4 @@
-//! What comes on a connection to a backend, one answer for each request written.
+//! Monitors what comes on a connection to an endpoint or to discovery: one response for each request written.
 //!
 //! The bytes of the answer go on to awc as they came. Interim (1xx) answers ahead of it do not; an answer that
 //! cannot be read or keeps coming ends the reading with an error; and whatever comes behind an answer is kept
@@ -6,7 +6,7 @@
 //! bodies are told apart by actix-http's own codec, so that awc never sees another border than this.
 
 use crate::stats::Stats;
-use crate::wire::{Socket, Tap, uninterrupted};
+use crate::wire::{Socket, StreamObserver, uninterrupted};
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, MessageType};
 use actix_http::header::{CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use actix_http::{ResponseHead, StatusCode, Version};
@@ -34,20 +34,21 @@
 /// Says whether the first byte of a request may be written.
 pub type Gate = Box<dyn Fn() -> io::Result<()>>;
 
-/// What is known of a connection to a backend, or to discovery.
-pub struct Seen {
+/// What is known of a connection to an endpoint, or to discovery. Owned by its lease; [`Wire`](crate::wire::Wire) reads
+/// and writes through it. It never decides whether a request is retried.
+pub struct ResponseMonitor {
     /// It came up, now or for an earlier request: bytes of this one may have been written.
     pub connected: Cell<bool>,
     /// The peer ended its sending, or the stream broke.
-    pub ended: Cell<bool>,
+    pub peer_closed: Cell<bool>,
     /// What came is not an answer.
-    pub spoilt: Cell<bool>,
+    pub malformed: Cell<bool>,
     /// The request allows no body in its answer, whatever the head says.
-    pub bodiless: Cell<bool>,
+    pub expects_no_body: Cell<bool>,
     /// The connection kept for this request had ended, and another came up in its place.
-    pub replaced: Cell<bool>,
+    pub reconnected: Cell<bool>,
     /// Where it counts that a request was written, once it was.
-    pub tries: RefCell<Option<Arc<Stats>>>,
+    pub attempt_stats: RefCell<Option<Arc<Stats>>>,
     /// Something of this request was written: it may run.
     written: Cell<bool>,
     /// This request was not let through to the connection: it never runs.
@@ -57,7 +58,7 @@
     /// Largest body.
     limit: usize,
     /// More came than belongs to the answer.
-    excess: Cell<bool>,
+    has_excess_bytes: Cell<bool>,
     /// When some of the answer came last, since it began.
     begun: Cell<Option<Instant>>,
     began: Notify,
@@ -85,28 +86,28 @@
     Body(ClientPayloadCodec),
 }
 
-impl fmt::Debug for Seen {
+impl fmt::Debug for ResponseMonitor {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.debug_struct("Seen").field("connected", &self.connected).finish_non_exhaustive()
+        f.debug_struct("ResponseMonitor").field("connected", &self.connected).finish_non_exhaustive()
     }
 }
 
-impl Seen {
+impl ResponseMonitor {
     /// Nothing is known yet; bodies over a limit are not read to their end.
-    pub fn new(limit: usize) -> Seen {
+    pub fn new(limit: usize) -> ResponseMonitor {
         let flag = || Cell::new(false);
-        Seen {
+        ResponseMonitor {
             connected: flag(),
-            ended: flag(),
-            spoilt: flag(),
-            bodiless: flag(),
-            replaced: flag(),
-            tries: RefCell::default(),
+            peer_closed: flag(),
+            malformed: flag(),
+            expects_no_body: flag(),
+            reconnected: flag(),
+            attempt_stats: RefCell::default(),
             written: flag(),
             withheld: flag(),
             gate: RefCell::default(),
             limit,
-            excess: flag(),
+            has_excess_bytes: flag(),
             begun: Cell::new(None),
             began: Notify::new(),
             reading: RefCell::default(),
@@ -130,10 +131,10 @@
     }
 
     /// A connection has just come up.
-    pub fn comes_up(&self) {
+    pub fn on_connected(&self) {
         // A second time: the one kept for this request had been ended.
-        self.replaced.set(self.connected.replace(true));
-        [&self.ended, &self.spoilt, &self.excess].iter().for_each(|flag| flag.set(false));
+        self.reconnected.set(self.connected.replace(true));
+        [&self.peer_closed, &self.malformed, &self.has_excess_bytes].iter().for_each(|flag| flag.set(false));
         self.begun.set(None);
         *self.reading.borrow_mut() = Reading::default();
     }
@@ -146,11 +147,11 @@
     /// Whether another request may be written: the answer has come whole, nothing came behind it, and the
     /// peer has not ended the connection.
     pub fn reusable(&self) -> bool {
-        self.whole() && !self.ended.get() && !self.spoilt.get() && !self.excess.get()
+        self.whole() && !self.peer_closed.get() && !self.malformed.get() && !self.has_excess_bytes.get()
     }
 
     /// Resolves when an answer has begun, is not whole, and brings nothing more.
-    pub async fn stalls(&self) {
+    pub async fn stalled(&self) {
         loop {
             let Some(begun) = self.begun.get() else {
                 self.began.notified().await;
@@ -163,15 +164,15 @@
         }
     }
 
-    /// Tells apart what came. Err: it is not an answer.
-    fn tell_apart(&self, reading: &mut Reading) -> Result<(), ()> {
+    /// Splits what came into heads and bodies. Err: it is not a response.
+    fn split_messages(&self, reading: &mut Reading) -> Result<(), ()> {
         while !reading.raw.is_empty() {
             // Decoded from a copy: what goes on is the bytes that came.
             let mut rest = reading.raw.clone();
             let mut interim = false;
             match &mut reading.phase {
                 Phase::Nothing => {
-                    self.excess.set(true);
+                    self.has_excess_bytes.set(true);
                     reading.raw.clear();
                     return Ok(());
                 }
@@ -193,7 +194,8 @@
                         return Err(());
                     }
                     if !interim {
-                        let none = self.bodiless.get() || matches!(codec.message_type(), MessageType::None);
+                        let none =
+                            self.expects_no_body.get() || matches!(codec.message_type(), MessageType::None);
                         let body = || Phase::Body(codec.into_payload_codec());
                         (reading.phase, reading.length) = (if none { Phase::Nothing } else { body() }, 0);
                     }
@@ -235,7 +237,7 @@
         };
         head.version == Version::HTTP_11
             && matches!(codec.message_type(), MessageType::None)
-            && !self.bodiless.get()
+            && !self.expects_no_body.get()
             && !head.status.is_informational()
             && !matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
             && !head.headers.contains_key(CONTENT_LENGTH)
@@ -250,14 +252,14 @@
 
 /// Whether something has come, or the end, that the runtime has not heard of yet. Danger: a peer that closes
 /// right after its answer, and a request written to what it closed: it may have run, and can't be repeated.
-fn has_news(stream: &dyn Socket) -> bool {
+fn has_unread_bytes(stream: &dyn Socket) -> bool {
     match uninterrupted(|| Poll::Ready(stream.peek_byte())) {
         Poll::Ready(Err(e)) => e.kind() != io::ErrorKind::WouldBlock,
         _ => true,
     }
 }
 
-impl Tap for Seen {
+impl StreamObserver for ResponseMonitor {
     fn poll_read(
         &self,
         mut stream: Pin<&mut dyn Socket>,
@@ -266,26 +268,26 @@
     ) -> Poll<io::Result<()>> {
         let mut reading = self.reading.borrow_mut();
         loop {
-            if self.spoilt.get() {
-                return Seen::broken();
+            if self.malformed.get() {
+                return ResponseMonitor::broken();
             }
             // The end of an answer is read past before the answer goes on: what came with it is then known.
             let whole = matches!(reading.phase, Phase::Nothing);
-            if !reading.out.is_empty() && (!whole || self.ended.get() || self.excess.get()) {
+            if !reading.out.is_empty() && (!whole || self.peer_closed.get() || self.has_excess_bytes.get()) {
                 break;
             }
             let mut space = [0; READ];
             let mut came = ReadBuf::new(&mut space);
             let read = match uninterrupted(|| stream.as_mut().poll_read(cx, &mut came)) {
                 Poll::Pending if !reading.out.is_empty() => break,
-                Poll::Pending if whole && has_news(&*stream) => {
-                    self.ended.set(true);
+                Poll::Pending if whole && has_unread_bytes(&*stream) => {
+                    self.peer_closed.set(true);
                     return Poll::Ready(Ok(()));
                 }
                 read => ready!(read),
             };
             if read.is_err() || came.filled().is_empty() {
-                self.ended.set(true);
+                self.peer_closed.set(true);
                 if !reading.out.is_empty() {
                     break;
                 }
@@ -295,10 +297,10 @@
                 self.began.notify_one();
             }
             reading.raw.extend_from_slice(came.filled());
-            if self.tell_apart(&mut reading).is_err() {
-                self.spoilt.set(true);
-            } else if self.excess.get() && reading.out.is_empty() {
-                self.ended.set(true); // for awc, which is asked to take nothing more from it
+            if self.split_messages(&mut reading).is_err() {
+                self.malformed.set(true);
+            } else if self.has_excess_bytes.get() && reading.out.is_empty() {
+                self.peer_closed.set(true); // for awc, which is asked to take nothing more from it
                 return Poll::Ready(Ok(()));
             }
         }
@@ -307,7 +309,7 @@
         Poll::Ready(Ok(()))
     }
 
-    fn writes(&self) -> io::Result<()> {
+    fn on_write(&self) -> io::Result<()> {
         if let Some(gate) = self.gate.take()
             && let Err(closed) = gate()
         {
@@ -316,12 +318,12 @@
         }
         self.written.set(true);
         let mut reading = self.reading.borrow_mut();
-        if matches!(reading.phase, Phase::Nothing) && !self.excess.get() {
+        if matches!(reading.phase, Phase::Nothing) && !self.has_excess_bytes.get() {
             (reading.phase, reading.length) = (Phase::Head, 0);
             self.begun.set(None);
         }
         // A request that is not streamed goes out in one write, but for a few.
-        self.tries.take().iter().for_each(|stats| stats.tried());
+        self.attempt_stats.take().iter().for_each(|stats| stats.tried());
         Ok(())
     }
 }
--- a/crates/proxy/src/sidecar/mod.rs
+++ b/crates/proxy/src/sidecar/mod.rs
@@ -10,7 +10,7 @@
 mod live;
 mod settings;
 
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::catalog::{self, Step};
 use crate::clock::Clock;
 use crate::clusters::{Clusters, Routing, Start};
@@ -128,7 +128,7 @@
     let seed = clock.now() ^ u64::from(std::process::id()) << 32;
     let shares = settings::shares(proxy);
     let descriptors = Rc::new(Descriptors::new(shares.endpoints));
-    let budget = Rc::new(Budget::new(BODIES));
+    let budget = Rc::new(BodyMemoryLimit::new(BODIES));
     let bind = |what: &str, address: SocketAddr| {
         listen::bind(address, false).map_err(|error| SidecarError::Bind {
             what: what.to_owned(),
@@ -235,7 +235,7 @@
     clock: Clock,
     seed: u64,
     descriptors: &'a Rc<Descriptors>,
-    budget: &'a Rc<Budget>,
+    budget: &'a Rc<BodyMemoryLimit>,
     clients: usize,
 }
 
--- a/crates/proxy/src/stages/admit.rs
+++ b/crates/proxy/src/stages/admit.rs
@@ -3,7 +3,7 @@
 //! waits for what operators took out.
 
 use super::context::Context;
-use crate::bodies::Upload;
+use crate::bodies::RequestBody;
 use crate::call::{Body, Call, Verdict};
 use olivecart_decisions::{Event, Request, RequestId};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
     /// The time by which it must be answered, come what may.
     pub deadline: Instant,
     /// The body, if it was still coming.
-    pub upload: Option<Rc<Upload>>,
+    pub upload: Option<Rc<RequestBody>>,
     verdict: oneshot::Receiver<Verdict>,
     /// Closes the account when it is dropped.
     _account: Account,
--- a/crates/proxy/src/stages/context.rs
+++ b/crates/proxy/src/stages/context.rs
@@ -2,7 +2,7 @@
 
 use super::book::Book;
 use crate::backends::Backends;
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::stats::Stats;
 use olivecart_decisions::Event;
 use std::cell::Cell;
@@ -34,7 +34,7 @@
     /// Limits from the settings.
     pub limits: Limits,
     /// The memory for long bodies.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<BodyMemoryLimit>,
     /// The figures, where anybody reads them.
     pub stats: Option<Arc<Stats>>,
     /// Requests that are open here, and the most.
@@ -53,7 +53,7 @@
         book: Rc<Book>,
         backends: Backends,
         limits: Limits,
-        budget: Rc<Budget>,
+        budget: Rc<BodyMemoryLimit>,
         stats: Option<Arc<Stats>>,
     ) -> Context {
         let (open, most, all_out) = (Cell::new(0), Cell::new(usize::MAX), Cell::new(false));
--- a/crates/proxy/src/stages/intake.rs
+++ b/crates/proxy/src/stages/intake.rs
@@ -1,7 +1,7 @@
 //! Takes a request in: reads its body to the end, or the beginning of a long one, and the few fields that the decisions
 //! need.
 
-use crate::bodies::{Budget, Gathered, ON_THE_WAY, SHORT, Share, Upload};
+use crate::bodies::{BodyMemoryLimit, BodyMemoryReservation, BufferedBody, ON_THE_WAY, RequestBody, SHORT};
 use crate::call::{Body, Call};
 use crate::platform::client::{self, Reject};
 use actix_http::Request;
@@ -20,7 +20,11 @@
 const ROOM: Duration = Duration::from_millis(1500);
 
 /// The request as a call, or why it is not one. Its time runs from its last byte.
-pub async fn take(mut request: Request, site: &RefCell<Site>, budget: &Rc<Budget>) -> Result<Call, Reject> {
+pub async fn take(
+    mut request: Request,
+    site: &RefCell<Site>,
+    budget: &Rc<BodyMemoryLimit>,
+) -> Result<Call, Reject> {
     let fields = client::fields(request.head())?;
     let (class, left) = {
         let site = site.borrow();
@@ -40,10 +44,10 @@
     request: &mut Request,
     length: Option<u64>,
     patience: Duration,
-    budget: &Rc<Budget>,
+    budget: &Rc<BodyMemoryLimit>,
 ) -> Result<Body, Reject> {
     let mut stream = request.take_payload();
-    let (mut gathered, mut share): (Gathered, Option<Share>) = Default::default();
+    let (mut gathered, mut share): (BufferedBody, Option<BodyMemoryReservation>) = Default::default();
     while let Some(part) = stream.next().await {
         gathered.push(part.map_err(|_| Reject::Broken)?);
         let came = gathered.len();
@@ -55,7 +59,7 @@
         let long = came > AHEAD || length.is_some_and(|length| length > AHEAD as u64);
         if let Some(share) = share.take_if(|_| long) {
             let held = vec![gathered.bytes()];
-            return Ok(Body::Streamed(Rc::new(Upload::new(length, held, stream, patience, share))));
+            return Ok(Body::Streamed(Rc::new(RequestBody::new(length, held, stream, patience, share))));
         }
     }
     Ok(Body::Whole { bytes: gathered.bytes(), _share: share })
--- a/crates/proxy/src/stages/send.rs
+++ b/crates/proxy/src/stages/send.rs
@@ -4,12 +4,12 @@
 use super::book::Attempt;
 use super::context::Context;
 use super::gate::WriteGate;
-use crate::answer::{Gate, Seen};
 use crate::backends::{Lease, LeaseError};
-use crate::bodies::{Feed, Gathered, LONGEST, ON_THE_WAY, SHORT, Upload, feed};
+use crate::bodies::{BodySender, BufferedBody, LONGEST, ON_THE_WAY, RequestBody, SHORT, feed};
 use crate::call::{Answer, AnswerBody, Body, Payload, Verdict};
 use crate::connect::ConnectFailure;
 use crate::platform::backend;
+use crate::response_monitor::{Gate, ResponseMonitor};
 use actix_http::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 use actix_http::{Method, StatusCode, Version};
 use awc::error::{ConnectError, PayloadError, SendRequestError};
@@ -25,7 +25,7 @@
 /// Longest wait for a probe's answer. A probe is answered beside the queue, so that one taking longer than
 /// any round trip tells of a machine that hangs.
 const PROBE_LIMIT: Duration = Duration::from_millis(400);
-/// An answer whose head says that it is long goes on this long after its head at the latest. Before, what is spoilt
+/// An answer whose head says that it is long goes on this long after its head at the latest. Before, what is malformed
 /// can still be told from what is slow.
 const HELD_BACK: Duration = Duration::from_millis(250);
 /// Heads that are built for one attempt at most: for a connection that was kept, for one in its place, and once more
@@ -45,7 +45,7 @@
 
 /// An answer that has begun to go on.
 struct Rest {
-    feed: Feed,
+    feed: BodySender,
     lease: Lease,
     response: ClientResponse,
     closes: bool,
@@ -85,7 +85,7 @@
                     Some(seen) if !seen.written() => Outcome::NotSent.into(),
                     _ => Outcome::Cancelled.into(),
                 },
-                () = let_go(upload.as_deref()), if lets_go => {
+                () = body_released(upload.as_deref()), if lets_go => {
                     lets_go = false;
                     begun(&context, &attempt);
                 }
@@ -102,7 +102,7 @@
     // may the decisions hear of it, since they may send the request elsewhere at once.
     if let Some(upload) = &upload {
         starts = upload.ended_at().unwrap_or(began); // a backend starts when the last byte is there
-        if end.answer.is_none() && upload.is_let_go() {
+        if end.answer.is_none() && upload.is_released() {
             give_up(&context, &attempt, &end, upload);
         }
     }
@@ -121,7 +121,7 @@
 
 /// What of a request's body is not held any more can't be sent again: the decisions are not asked what to do, and the
 /// client is told at once. Without its last byte it never ran.
-fn give_up(context: &Context, attempt: &Attempt, end: &End, upload: &Upload) {
+fn give_up(context: &Context, attempt: &Attempt, end: &End, upload: &RequestBody) {
     let never_ran = end.outcome.was_never_executed() || !upload.is_whole();
     let verdict = if never_ran { Verdict::Refused { come_back: Duration::ZERO } } else { Verdict::Failed };
     context.book.finish(attempt.request, verdict);
@@ -132,16 +132,16 @@
     context.tell(Event::ResponseStarted { request: attempt.request, attempt: attempt.number });
 }
 
-async fn let_go(upload: Option<&Upload>) {
+async fn body_released(upload: Option<&RequestBody>) {
     match upload {
-        Some(upload) => upload.lets_go().await,
+        Some(upload) => upload.released().await,
         None => std::future::pending().await,
     }
 }
 
 /// Resolves when an attempt's time is up. That of a body that is still coming runs from its last byte, and until then
 /// it must not stand still.
-async fn expires(upload: Option<&Upload>, until: Instant) {
+async fn expires(upload: Option<&RequestBody>, until: Instant) {
     let Some(upload) = upload else { return sleep_until(until.into()).await };
     let last_byte = async {
         let deadline = upload.ends().await;
@@ -149,7 +149,7 @@
     };
     tokio::select! {
         () = last_byte => {}
-        () = upload.stands_still(STILL) => {}
+        () = upload.stalled(STILL) => {}
     }
 }
 
@@ -190,15 +190,15 @@
 ) -> End {
     let (Ok(lease), Some(gate)) = (lease, gate) else { return Outcome::NotSent.into() };
     let (endpoint, method) = (lease.target.endpoint, &payload.method);
-    lease.seen.bodiless.set(*method == Method::HEAD);
+    lease.seen.expects_no_body.set(*method == Method::HEAD);
     let (seen, kept) = (lease.seen.clone(), lease.kept);
     let received = match sent(context, &lease, &gate, payload).await {
         Ok(response) => receive(context, lease, method, response).await,
         Err(outcome) => Err(outcome),
     };
-    let replaced = seen.replaced.take();
-    let broke = matches!(received, Err(Outcome::Reset)) && kept && !replaced;
-    if broke || kept && replaced {
+    let reconnected = seen.reconnected.take();
+    let broke = matches!(received, Err(Outcome::Reset)) && kept && !reconnected;
+    if broke || kept && reconnected {
         context.backends.ended_one(endpoint);
     }
     match received {
@@ -229,7 +229,7 @@
         if needs_connection {
             connect(context, lease).await?;
             if gate.wants_new_head() {
-                lease.seen.replaced.set(false); // the endpoint had not ended it
+                lease.seen.reconnected.set(false); // the endpoint had not ended it
             }
         }
         match awaited(&lease.seen, send_once(context, lease, gate, payload)).await? {
@@ -259,12 +259,12 @@
     let left = gate.time_left(now);
     let request = backend::request(&lease.client, lease.target.addr, payload, left);
     let stats = context.stats.clone();
-    lease.seen.tries.replace(None);
+    lease.seen.attempt_stats.replace(None);
     match &payload.body {
         Body::Whole { bytes, .. } => {
             gate.head_is_built(now);
             lease.seen.begin(Some(asking(gate)));
-            lease.seen.tries.replace(stats);
+            lease.seen.attempt_stats.replace(stats);
             let without_body = bytes.is_empty() && matches!(payload.method, Method::GET | Method::HEAD);
             if without_body { request.send() } else { request.send_body(bytes.clone()) }
         }
@@ -284,13 +284,13 @@
 
 /// The head of an answer. Danger: one that begins and never ends holds the request until its deadline.
 async fn awaited(
-    seen: &Seen,
+    seen: &ResponseMonitor,
     sending: SendClientRequest,
 ) -> Result<Result<ClientResponse, SendRequestError>, Outcome> {
     tokio::select! {
         biased;
         response = sending => Ok(response),
-        () = seen.stalls() => Err(Outcome::Error),
+        () = seen.stalled() => Err(Outcome::Error),
     }
 }
 
@@ -339,7 +339,7 @@
     let (head, body, response) = tokio::select! {
         biased;
         received = received => received?,
-        () = seen.stalls() => return Err(Outcome::Error),
+        () = seen.stalled() => return Err(Outcome::Error),
     };
     let closes = head.closes();
     let Some(response) = response else {
@@ -359,12 +359,12 @@
 
 /// The body; or the beginning of one that is too long to be held, and whether there is more.
 async fn beginning(
-    seen: &Seen,
+    seen: &ResponseMonitor,
     response: &mut ClientResponse,
     length: u64,
 ) -> Result<(Bytes, bool), Outcome> {
     let held_back = Instant::now() + HELD_BACK;
-    let mut gathered = Gathered::default();
+    let mut gathered = BufferedBody::default();
     loop {
         let part = if length > SHORT as u64 && gathered.len() > 0 {
             tokio::select! {
@@ -430,9 +430,9 @@
 /// ended while the answer was awaited: the request was written by then, so that it may have run, as after any error of
 /// reading or writing. What came and was no answer tells no more of the backend than an error would: it is there, and
 /// does not cut calls off.
-fn failure(error: &SendRequestError, seen: &Seen) -> Outcome {
+fn failure(error: &SendRequestError, seen: &ResponseMonitor) -> Outcome {
     match error {
-        _ if seen.spoilt.get() => Outcome::Error,
+        _ if seen.malformed.get() => Outcome::Error,
         _ if seen.withheld() => Outcome::NotSent,
         SendRequestError::Connect(ConnectError::Disconnected) => Outcome::Reset,
         SendRequestError::Connect(_) => Outcome::ConnectFailed,
@@ -442,19 +442,24 @@
 }
 
 /// What a body that can't be read further means.
-fn broken(_: &PayloadError, seen: &Seen) -> Outcome {
-    if seen.spoilt.get() { Outcome::Error } else { Outcome::Reset }
+fn broken(_: &PayloadError, seen: &ResponseMonitor) -> Outcome {
+    if seen.malformed.get() { Outcome::Error } else { Outcome::Reset }
 }
 
 /// Whether a body that ended is whole. awc ends a body quietly where its connection ended in the middle of it, so
 /// the length is compared, and a chunked body is not whole if the stream ended before its last chunk. One without
 /// either is whole if the backend ended its connection after it, as its head has to say.
-fn is_whole(seen: &Seen, method: &Method, response: &ClientResponse, came: u64) -> Result<(), Outcome> {
+fn is_whole(
+    seen: &ResponseMonitor,
+    method: &Method,
+    response: &ClientResponse,
+    came: u64,
+) -> Result<(), Outcome> {
     match response.headers().get(CONTENT_LENGTH) {
         _ if *method == Method::HEAD => Ok(()),
         Some(length) if length.to_str().is_ok_and(|l| l.trim().parse() == Ok(came)) => Ok(()),
         None if !response.headers().contains_key(TRANSFER_ENCODING) => {
-            let ends = response.version() == Version::HTTP_10 && seen.ended.get();
+            let ends = response.version() == Version::HTTP_10 && seen.peer_closed.get();
             if ends { Ok(()) } else { Err(Outcome::Error) }
         }
         None if seen.whole() => Ok(()),
@@ -484,8 +489,8 @@
 
 async fn probed(context: &Context, lease: Lease) -> Result<End, Outcome> {
     let seen = lease.seen.clone();
-    seen.bodiless.set(false);
-    seen.tries.take(); // a probe is no attempt
+    seen.expects_no_body.set(false);
+    seen.attempt_stats.take(); // a probe is no attempt
     seen.begin(None);
     if !lease.kept {
         connect(context, &lease).await?;
--- a/crates/proxy/src/stages/send/tests.rs
+++ b/crates/proxy/src/stages/send/tests.rs
@@ -173,7 +173,7 @@
 
 #[test]
 fn a_connection_that_breaks_after_something_was_written_may_have_run_its_request() {
-    let seen = Seen::new(0);
+    let seen = ResponseMonitor::new(0);
     for errno in [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::NETUNREACH, Errno::NOBUFS, Errno::CONNRESET] {
         let error = || io::Error::from(errno);
         assert_eq!(failure(&SendRequestError::Send(error()), &seen), Outcome::Reset, "{errno}");
--- a/crates/proxy/src/upgrade.rs
+++ b/crates/proxy/src/upgrade.rs
@@ -1,6 +1,6 @@
 //! What this process does for the one that takes over from it, and what it takes over itself.
 
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::clusters::Clusters;
 use crate::config::Sockets;
 use crate::console::call::Call;
@@ -64,7 +64,7 @@
     /// There where another process may take over.
     listener: Option<TcpListener>,
     sockets: Cell<Sockets>,
-    budget: Rc<Budget>,
+    budget: Rc<BodyMemoryLimit>,
     /// The whole of it.
     bodies: Cell<usize>,
     parts: Cell<u32>,
@@ -77,7 +77,7 @@
         clusters: Rc<Clusters>,
         listener: Option<TcpListener>,
         sockets: Sockets,
-        (budget, bodies): (Rc<Budget>, usize),
+        (budget, bodies): (Rc<BodyMemoryLimit>, usize),
     ) -> Process {
         let (sockets, bodies, parts) = (Cell::new(sockets), Cell::new(bodies), Cell::new(1));
         Process { control, clusters, listener, sockets, budget, bodies, parts }
--- a/crates/proxy/src/wire.rs
+++ b/crates/proxy/src/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! awc takes an interim answer for the final one, drops what came behind an answer and uses
 //! the connection again, and tells neither whether a connection had come up nor a whole body from one that was
-//! cut off (`answer.rs`). The clients' side is `clients/stream.rs`.
+//! cut off (`response_monitor.rs`). The clients' side is `clients/stream.rs`.
 
 use actix_rt::net::{ActixStream, Ready};
 use socket2::SockRef;
@@ -41,7 +41,7 @@
 }
 
 /// Somebody through whom all reads of a stream go, and who is told of writes.
-pub trait Tap {
+pub trait StreamObserver {
     /// Reads.
     fn poll_read(
         &self,
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// It must not be.
-    fn writes(&self) -> io::Result<()> {
+    fn on_write(&self) -> io::Result<()> {
         Ok(())
     }
 }
@@ -65,23 +65,23 @@
     /// The socket.
     pub stream: S,
     /// Who reads.
-    pub tap: Rc<T>,
+    pub observer: Rc<T>,
 }
 
-impl<T: Tap, S: Socket> AsyncRead for Wire<T, S> {
+impl<T: StreamObserver, S: Socket> AsyncRead for Wire<T, S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let wire = &mut *self;
-        wire.tap.poll_read(Pin::new(&mut wire.stream), cx, buf)
+        wire.observer.poll_read(Pin::new(&mut wire.stream), cx, buf)
     }
 }
 
-impl<T: Tap, S: Socket> AsyncWrite for Wire<T, S> {
+impl<T: StreamObserver, S: Socket> AsyncWrite for Wire<T, S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if let Err(closed) = self.tap.writes() {
+        if let Err(closed) = self.observer.on_write() {
             return Poll::Ready(Err(closed));
         }
         uninterrupted(|| Pin::new(&mut self.stream).poll_write(cx, buf))
@@ -96,7 +96,7 @@
     }
 }
 
-impl<T: Tap + 'static, S: Socket> ActixStream for Wire<T, S> {
+impl<T: StreamObserver + 'static, S: Socket> ActixStream for Wire<T, S> {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.stream, cx)
     }
--- a/crates/proxy/src/wire/tests.rs
+++ b/crates/proxy/src/wire/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::answer::Seen;
+use crate::response_monitor::ResponseMonitor;
 use std::cell::Cell;
 use std::future::poll_fn;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -70,15 +70,15 @@
 }
 
 /// Both ends of a connection, ours with many signals.
-async fn connection() -> (Wire<Seen, Interrupted>, TcpStream) {
+async fn connection() -> (Wire<ResponseMonitor, Interrupted>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
     let stream = TcpStream::connect(addr).await.expect("connected");
     let (peer, _) = listener.accept().await.expect("accepted");
     let socket = Interrupted { stream, left: Cell::new(INTERRUPTIONS) };
-    let tap = Rc::new(Seen::new(usize::MAX));
-    tap.comes_up();
-    (Wire { stream: socket, tap }, peer)
+    let observer = Rc::new(ResponseMonitor::new(usize::MAX));
+    observer.on_connected();
+    (Wire { stream: socket, observer }, peer)
 }
 
 #[test]
@@ -87,7 +87,7 @@
     const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
     actix_rt::System::new().block_on(async {
         let (mut wire, mut peer) = connection().await;
-        wire.tap.begin(None);
+        wire.observer.begin(None);
         wire.write_all(REQUEST).await.expect("written");
         let mut got = [0; REQUEST.len()];
         peer.read_exact(&mut got).await.expect("it came");
@@ -95,7 +95,7 @@
         let mut got = [0; ANSWER.len()];
         wire.read_exact(&mut got).await.expect("it came");
         assert_eq!(got, ANSWER);
-        assert!(wire.tap.reusable());
+        assert!(wire.observer.reusable());
     });
 }
 
@@ -108,7 +108,7 @@
             Poll::Ready(Pin::new(&mut wire).poll_read(cx, &mut ReadBuf::new(&mut space)))
         });
         assert!(nothing.await.is_pending(), "nothing has come on it");
-        assert!(wire.tap.reusable(), "it can carry a request");
+        assert!(wire.observer.reusable(), "it can carry a request");
         drop(peer);
     });
 }
