--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -4,6 +4,7 @@
 //! answers; [`platform`] alone knows the names of this protocol.
 
 mod accept;
+mod admin_overrides;
 mod backends;
 mod bodies;
 mod call;
@@ -20,17 +21,18 @@
 mod descriptors;
 mod discovery;
 mod driver;
-mod handover;
+mod hot_restart;
 mod interrupted;
 mod invariant;
 mod latency;
 mod listen;
 mod membership;
 mod operators;
-mod overlay;
 mod platform;
 mod reload;
 mod response_monitor;
+mod serve;
+mod serving_process;
 mod shutdown;
 mod sidecar;
 mod stages;
@@ -38,7 +40,6 @@
 mod stats;
 mod tools;
 mod trace;
-mod upgrade;
 mod wire;
 
 use std::process::ExitCode;
