--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -5,7 +5,6 @@
 
 mod accept;
 mod admin_overrides;
-mod answer;
 mod backends;
 mod bodies;
 mod call;
@@ -31,6 +30,7 @@
 mod operators;
 mod platform;
 mod reload;
+mod response_monitor;
 mod serve;
 mod serving_process;
 mod shutdown;
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -3,7 +3,7 @@
 //! `cli.rs` calls [`serve`] once. It owns the tasks that it spawns: they end with its runtime. What they do is in the
 //! modules that it puts together.
 
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::clock::{Clock, SystemClocks};
 use crate::clusters::{Clusters, Routing, Start};
 use crate::config::{Changes, Config};
@@ -46,7 +46,7 @@
     };
     let OpenListener { listener, path, taken_over, connection } = front;
     let kept_listener = path.is_some().then(|| listener.try_clone()).transpose()?;
-    let budget = Rc::new(Budget::new(bodies));
+    let budget = Rc::new(BodyMemoryLimit::new(bodies));
     let listener = tokio::net::TcpListener::from_std(listener)?;
     info!(log, "listening"; "on" => %listen, "version" => env!("CARGO_PKG_VERSION"));
     let times = shutdown_times(&config.site);
--- a/crates/proxy/src/serving_process.rs
+++ b/crates/proxy/src/serving_process.rs
@@ -4,7 +4,7 @@
 //! `cli.rs` makes one [`ServingProcess`], and tells it of new limits. It stands between `hot_restart` and what that may
 //! change: the listener's [`AcceptControl`], the clusters and the memory budget.
 
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::clusters::Clusters;
 use crate::config::Sockets;
 use crate::console::request::AdminRequest;
@@ -69,7 +69,7 @@
     listener: Option<TcpListener>,
     /// The limits of all processes of the address together.
     limits: Cell<ProcessLimits>,
-    budget: Rc<Budget>,
+    budget: Rc<BodyMemoryLimit>,
     /// Processes that share the limits.
     processes: Cell<u32>,
 }
@@ -90,7 +90,7 @@
         clusters: Rc<Clusters>,
         listener: Option<TcpListener>,
         limits: ProcessLimits,
-        budget: Rc<Budget>,
+        budget: Rc<BodyMemoryLimit>,
     ) -> ServingProcess {
         ServingProcess {
             control,
--- a/crates/proxy/src/sidecar/mod.rs
+++ b/crates/proxy/src/sidecar/mod.rs
@@ -13,7 +13,7 @@
 mod live;
 mod settings;
 
-use crate::bodies::Budget;
+use crate::bodies::BodyMemoryLimit;
 use crate::catalog::{self, Step};
 use crate::clock::Clock;
 use crate::clusters::{Clusters, Routing, Start};
@@ -217,7 +217,7 @@
     clock: Clock,
     seed: u64,
     descriptors: Rc<Descriptors>,
-    budget: Rc<Budget>,
+    budget: Rc<BodyMemoryLimit>,
     shares: Shares,
     log: Logger,
 }
@@ -230,7 +230,7 @@
             clock,
             seed: clock.now() ^ u64::from(std::process::id()) << 32,
             descriptors: Rc::new(Descriptors::new(shares.endpoints)),
-            budget: Rc::new(Budget::new(BODY_BUDGET_BYTES)),
+            budget: Rc::new(BodyMemoryLimit::new(BODY_BUDGET_BYTES)),
             shares,
             log: log.clone(),
         }
