--- a/crates/proxy/benches/figures.rs
+++ b/crates/proxy/benches/figures.rs
@@ -213,7 +213,7 @@
         }
         proxy.program.lines();
         let _ = Command::new("kill").args(["-USR1", &proxy.program.id().to_string()]).status();
-        println!("  {}", proxy.program.line("longest_part_us"));
+        println!("  {}", proxy.program.line("longest_batch_us"));
     }
 }
 
--- a/crates/proxy/src/admin_overrides.rs
+++ b/crates/proxy/src/admin_overrides.rs
@@ -1,6 +1,6 @@
 //! Endpoints that operators detached or attached: a layer between the list, wherever it comes from, and the decisions.
 //!
-//! Each cluster's driver owns one and passes every entry of its list through it. A detached endpoint counts as draining,
+//! Each cluster runtime owns one and passes every entry of its list through it. A detached endpoint counts as draining,
 //! whatever the list says. One that was attached again counts as started at that moment, since operators restart what
 //! they detach; or when the list says, if that is later. No I/O and no clock here.
 
--- a/crates/proxy/src/catalog/mod.rs
+++ b/crates/proxy/src/catalog/mod.rs
@@ -12,7 +12,7 @@
 pub use members::Numbered;
 
 use crate::clock::Clock;
-use crate::operators::{REGISTRY, Source};
+use crate::cluster_config::{REGISTRY, Source};
 use catalog_log::CatalogLog;
 use members::{EndpointChanges, Members};
 use olivecart_membership::source::{Ask, Heard, SINK_BOUND};
--- a/crates/proxy/src/catalog/source_starter.rs
+++ b/crates/proxy/src/catalog/source_starter.rs
@@ -3,7 +3,7 @@
 //! The catalog's thread calls it once for each source; the tasks end with that thread's runtime.
 
 use super::catalog_log::{Notices, Severity};
-use crate::operators::{Source, SourceKind, Watched, Xds};
+use crate::cluster_config::{Source, SourceKind, Watched, Xds};
 use olivecart_membership::source::{ASK_BOUND, Ask, Asks, Sink};
 use olivecart_membership::watch::{self, Kind, Parser, Watch};
 use olivecart_membership::xds::conversation::{Config, Node, Note};
--- a/crates/proxy/src/operators/mod.rs
+++ b/crates/proxy/src/cluster_config/mod.rs
@@ -36,7 +36,7 @@
 mod tests;
 
 pub use problem::Problems;
-pub use read::read;
+pub use read::parse;
 pub use rules::{Criteria, Rules};
 
 use olivecart_membership::xds::conversation::Variant;
@@ -54,7 +54,7 @@
 
 /// What the operators' file says.
 #[derive(Debug)]
-pub struct Operators {
+pub struct ClusterConfig {
     /// In the order of precedence.
     pub sources: Vec<Source>,
     /// The catalog's figures.
@@ -146,7 +146,7 @@
     }
 }
 
-impl Operators {
+impl ClusterConfig {
     /// The clusters that requests can be put to, the default first, then by name. Clusters of a source that
     /// are not among these are known and not served.
     pub fn named(&self) -> Vec<ClusterName> {
@@ -158,7 +158,7 @@
     }
 }
 
-impl fmt::Display for Operators {
+impl fmt::Display for ClusterConfig {
     /// Lines of what `check` tells, without a line break at the end.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for Source { id, kind } in &self.sources {
--- a/crates/proxy/src/operators/read.rs
+++ b/crates/proxy/src/cluster_config/read.rs
@@ -2,7 +2,7 @@
 
 use super::problem::{Fault, Problem, Problems};
 use super::rules::{Criteria, Rules};
-use super::{Operators, Overrides, REGISTRY, Source, SourceKind, VERSION, Watched, Xds};
+use super::{ClusterConfig, Overrides, REGISTRY, Source, SourceKind, VERSION, Watched, Xds};
 use olivecart_decisions::ClassId;
 use olivecart_membership::xds::conversation::Variant;
 use olivecart_membership::{ClusterName, ClusterSettings, Policy, SourceId};
@@ -85,16 +85,16 @@
 ///
 /// # Errors
 /// All that is wrong with it; but of what is not TOML or not of the form only the first thing.
-pub fn read(
+pub fn parse(
     name: &str,
     text: &str,
     beside: &Path,
     class: &dyn Fn(&str) -> Option<ClassId>,
-) -> Result<Operators, Problems> {
+) -> Result<ClusterConfig, Problems> {
     let file = form(text).map_err(|problem| Problems::one(name, problem))?;
     let mut reader = Reader { text, beside, class, problems: Vec::new() };
-    let operators = reader.operators(&file);
-    Problems::of(name, reader.problems).map_or(Ok(operators), Err)
+    let cluster_config = reader.cluster_config(&file);
+    Problems::of(name, reader.problems).map_or(Ok(cluster_config), Err)
 }
 
 /// The text as a tree of the form's types.
@@ -125,7 +125,7 @@
         self.problem(at.span(), key, Fault::Value { found, wanted });
     }
 
-    fn operators(&mut self, file: &File) -> Operators {
+    fn cluster_config(&mut self, file: &File) -> ClusterConfig {
         if *file.version.get_ref() != VERSION {
             self.problem(file.version.span(), "version".into(), Fault::Version(*file.version.get_ref()));
         }
@@ -151,7 +151,7 @@
             clusters.insert(self.cluster_name(name, format!("{key}.name")), overrides);
         }
         let policy = file.catalog.as_ref().map(|table| self.policy(table)).unwrap_or_default();
-        Operators { sources, policy, clusters, rules: self.rules(&file.rules), default }
+        ClusterConfig { sources, policy, clusters, rules: self.rules(&file.rules), default }
     }
 
     /// Danger: one name for two things, where the second would silently be taken for the first.
--- a/crates/proxy/src/operators/tests.rs
+++ b/crates/proxy/src/cluster_config/tests.rs
@@ -42,9 +42,9 @@
 hold = "1s"
 "#;
 
-fn read(text: &str) -> Result<Operators, Problems> {
+fn read(text: &str) -> Result<ClusterConfig, Problems> {
     let class = |name: &str| (name == "book").then_some(ClassId(1));
-    super::read("ops.toml", text, Path::new("/etc/olivecart"), &class)
+    super::parse("ops.toml", text, Path::new("/etc/olivecart"), &class)
 }
 
 #[test]
--- /dev/null
+++ b/crates/proxy/src/cluster_runtime/mod.rs
@@ -0,0 +1,221 @@
+//! Runs the balancer of one cluster: passes events to it in order, carries out its actions and keeps its timers.
+//!
+//! [`crate::clusters`] starts one [`ClusterRuntime`] for each cluster. Discovery reaches it as its [`Subscriber`], and
+//! the stages of requests as their [`Decisions`]. It makes no load-balancing decision itself. What the runtimes of all
+//! clusters share is [`ProxyState`].
+
+mod actions;
+mod endpoint_list;
+mod endpoint_updates;
+mod maintenance;
+mod timers;
+
+use crate::backends::Backends;
+use crate::bodies::Budget;
+use crate::clock::Clock;
+use crate::descriptors::Descriptors;
+use crate::discovery::{Discovery, Subscriber};
+use crate::membership::News;
+use crate::stages::book::Book;
+use crate::stages::context::{Context, Decisions, Limits};
+use crate::start_times::StartTime;
+use crate::stats::Stats;
+use crate::trace;
+use endpoint_list::EndpointList;
+use olivecart_decisions::{
+    Balancer, Discovery as DiscoveryMode, EndpointUpdate, Event, LearnedState, Nanos, Settings,
+};
+use olivecart_settings::Site;
+use slog::{Logger, error};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::rc::{Rc, Weak};
+use std::sync::Arc;
+use std::time::Duration;
+use timers::TimerQueue;
+use tokio::sync::Notify;
+
+/// State that all clusters of the proxy share.
+pub struct ProxyState {
+    /// The clock of all balancers.
+    pub clock: Clock,
+    /// Settings, and the numbers of names.
+    pub site: Rc<RefCell<Site>>,
+    /// Open requests of all clusters; a request id is unique across them.
+    pub book: Rc<Book>,
+    /// The limit on connections.
+    pub descriptors: Rc<Descriptors>,
+    /// The memory limit for long bodies.
+    pub budget: Rc<Budget>,
+    /// Metrics; none if nothing reads them.
+    pub stats: Option<Arc<Stats>>,
+    /// What an earlier process knew about endpoints.
+    pub inherited: InheritedEndpoints,
+}
+
+/// What an earlier process knew about endpoints, on the clock that this process continues.
+#[derive(Default)]
+pub struct InheritedEndpoints {
+    /// Endpoints that operators detached.
+    pub detached: BTreeSet<String>,
+    /// When operators attached others again.
+    pub attached_at: BTreeMap<String, Nanos>,
+    /// When the list was last known to be complete.
+    pub list_complete_at: Option<Nanos>,
+    /// Endpoints that count as started at another time than the list says.
+    pub start_times: BTreeMap<String, StartTime>,
+}
+
+/// How one cluster is started.
+pub struct RuntimeConfig {
+    /// The balancer's settings.
+    pub settings: Settings,
+    /// Seeds all randomness of the cluster.
+    pub seed: u64,
+    /// Discovery's address; none if the cluster's endpoints come from the catalog.
+    pub discovery: Option<SocketAddr>,
+    /// The cluster's logger.
+    pub log: Logger,
+}
+
+/// The balancer of one cluster and all that it acts on.
+pub struct ClusterRuntime {
+    /// What the stages of the cluster's requests share.
+    pub context: Rc<Context>,
+    shared: Rc<ProxyState>,
+    balancer: RefCell<Balancer>,
+    endpoints: EndpointList,
+    discovery: Option<Discovery>,
+    pending_events: RefCell<VecDeque<Event>>,
+    handling_event: Cell<bool>,
+    timers: TimerQueue,
+    retired: Notify,
+    log: Logger,
+}
+
+impl ClusterRuntime {
+    /// Starts a cluster without endpoints, and its timer and maintenance tasks.
+    pub fn start(shared: &Rc<ProxyState>, config: RuntimeConfig) -> Rc<ClusterRuntime> {
+        let runtime = Rc::new_cyclic(|this: &Weak<ClusterRuntime>| ClusterRuntime::new(this, shared, config));
+        let timers = actix_rt::spawn(runtime.clone().run_timers());
+        actix_rt::spawn(runtime.clone().run_maintenance(timers));
+        runtime
+    }
+
+    fn new(this: &Weak<ClusterRuntime>, shared: &Rc<ProxyState>, config: RuntimeConfig) -> ClusterRuntime {
+        let RuntimeConfig { settings, seed, discovery, log } = config;
+        let site = shared.site.borrow();
+        let connect_timeout = Duration::from_nanos(settings.limits.connect_timeout);
+        let backends =
+            Backends::new(connect_timeout, site.idle_close, shared.descriptors.clone(), log.clone());
+        let limits = Limits { open_requests: site.most_held, second_copies: settings.limits.hedging_enabled };
+        let context = Context::new(
+            this.clone(),
+            shared.book.clone(),
+            backends,
+            limits,
+            shared.budget.clone(),
+            shared.stats.clone(),
+        );
+        ClusterRuntime {
+            context: Rc::new(context),
+            shared: shared.clone(),
+            balancer: RefCell::new(Balancer::new(settings, seed, shared.clock.now())),
+            endpoints: EndpointList::restored(&shared.inherited),
+            discovery: discovery.map(|address| Discovery::new(address, this.clone(), seed, log.clone())),
+            pending_events: RefCell::default(),
+            handling_event: Cell::new(false),
+            timers: TimerQueue::default(),
+            retired: Notify::new(),
+            log,
+        }
+    }
+
+    /// Applies the list that was stored by an earlier process, and follows discovery from there.
+    pub fn start_from_cached_list(&self, cached: &News) {
+        self.apply_news(cached, EndpointUpdate::Cached);
+        if self.shared.site.borrow().settings.discovery == DiscoveryMode::Automatic {
+            self.set_watch(true); // the balancer expects updates without asking for them
+        }
+    }
+
+    /// Applies the list that the predecessor of a hot restart holds, restores what its balancer learned, and follows
+    /// discovery at once: the list is as current as one from discovery.
+    pub fn start_from_predecessor(&self, list: &News, learned_state: Option<&LearnedState>) {
+        self.apply_news(list, EndpointUpdate::Snapshot);
+        if let Some(learned_state) = learned_state {
+            self.balancer.borrow_mut().restore(learned_state);
+        }
+        self.set_watch(true);
+    }
+
+    /// What the balancer has learned.
+    pub fn learned_state(&self) -> LearnedState {
+        self.balancer.borrow().learned_state()
+    }
+
+    /// Changes discovery's address.
+    pub fn set_discovery_address(&self, address: SocketAddr) {
+        if let Some(discovery) = &self.discovery {
+            discovery.set_address(address);
+        }
+    }
+
+    /// Retires a removed cluster: nothing new goes to its endpoints. Admitted requests finish, or fail at their
+    /// deadlines; then the tasks end and the cluster is dropped.
+    pub fn retire(&self) {
+        self.context.backends.close();
+        self.tell(Event::Endpoints(EndpointUpdate::Snapshot(Vec::new())));
+        self.retired.notify_one();
+    }
+
+    fn set_watch(&self, enabled: bool) {
+        if let Some(discovery) = &self.discovery {
+            discovery.watch(enabled);
+        }
+    }
+
+    fn handle_event(&self, event: Event) {
+        trace::event(&self.log, &event);
+        let mut actions = Vec::new();
+        let handle = || self.balancer.borrow_mut().handle(self.shared.clock.now(), event, &mut actions);
+        if catch_unwind(AssertUnwindSafe(handle)).is_err() {
+            // Requests are still answered at their deadline.
+            error!(self.log, "balancer panicked");
+        }
+        for action in actions {
+            self.perform(action);
+        }
+    }
+}
+
+impl Decisions for ClusterRuntime {
+    /// Passes an event to the balancer and carries out its actions. Events that these cause wait until all of them are
+    /// carried out: the balancer is never re-entered.
+    fn tell(&self, event: Event) {
+        self.pending_events.borrow_mut().push_back(event);
+        if self.handling_event.replace(true) {
+            return;
+        }
+        loop {
+            let Some(event) = self.pending_events.borrow_mut().pop_front() else { break };
+            self.handle_event(event);
+        }
+        self.handling_event.set(false);
+    }
+}
+
+impl Subscriber for ClusterRuntime {
+    fn on_update(&self, update: News<'_>) {
+        self.apply_news(&update, if update.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
+    }
+
+    fn on_list_complete(&self) {
+        self.endpoints.set_complete(self.shared.clock.now());
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/driver/tests.rs
+++ b/crates/proxy/src/cluster_runtime/tests.rs
@@ -1,8 +1,10 @@
+use super::endpoint_list::numbered;
 use super::*;
 use crate::clock::{SystemClocks, TimeSource};
-use crate::clusters::{Clusters, Routing, Start};
+use crate::clusters::{Clusters, ClustersConfig, Routing};
 use crate::hot_restart::State;
-use olivecart_decisions::EndpointId;
+use crate::platform::registry;
+use olivecart_decisions::{EndpointId, EndpointStatus};
 
 #[test]
 fn endpoints_are_numbered_by_name_in_the_order_they_are_heard_of() {
@@ -26,7 +28,7 @@
 /// The platform's own cluster, in a process that started by this wall clock, or took over.
 fn cluster(unix: Nanos, known: Option<&str>, taken_over: Option<State>) -> Rc<Clusters> {
     let handed = taken_over.as_ref().and_then(|state| state.clock);
-    let start = Start {
+    let config = ClustersConfig {
         site: Rc::new(RefCell::new(Site::read(SETTINGS).expect("settings"))),
         clock: Clock::starting(&SteppedClock(unix), handed),
         seed: 0,
@@ -38,7 +40,7 @@
         stats: None,
         taken_over,
     };
-    Clusters::start(start, &Logger::root(slog::Discard, slog::o!()))
+    Clusters::start(config, &Logger::root(slog::Discard, slog::o!()))
 }
 
 /// A wall clock that was stepped; the other runs on.
@@ -63,13 +65,13 @@
     )
 }
 
-fn tell(driver: &Driver, object: &str) {
-    Subscriber::on_update(driver, registry::read(object.as_bytes()).expect("an object"));
-    driver.on_list_complete();
+fn tell(runtime: &ClusterRuntime, object: &str) {
+    Subscriber::on_update(runtime, registry::read(object.as_bytes()).expect("an object"));
+    runtime.on_list_complete();
 }
 
-fn is_in_slow_start(driver: &Driver, number: u32) -> bool {
-    matches!(driver.balancer.borrow().endpoint_status(EndpointId(number)), EndpointStatus::SlowStart { .. })
+fn is_in_slow_start(runtime: &ClusterRuntime, number: u32) -> bool {
+    matches!(runtime.balancer.borrow().endpoint_status(EndpointId(number)), EndpointStatus::SlowStart { .. })
 }
 
 #[test]
@@ -78,17 +80,17 @@
         for (ahead, behind) in [(HOUR, 0), (0, HOUR), (0, 0)] {
             let known = object(true, "a", 1_000_000);
             let clusters = cluster(WALL + ahead - behind, Some(&known), None);
-            let driver = clusters.own().expect("the platform's own");
-            assert!(!is_in_slow_start(&driver, 0), "it has been there for ever");
-            driver.on_list_complete();
-            tell(&driver, &object(false, "b", WALL));
-            assert!(is_in_slow_start(&driver, 1), "{ahead} ahead, {behind} behind");
+            let runtime = clusters.platform_cluster().expect("the platform's own");
+            assert!(!is_in_slow_start(&runtime, 0), "it has been there for ever");
+            runtime.on_list_complete();
+            tell(&runtime, &object(false, "b", WALL));
+            assert!(is_in_slow_start(&runtime, 1), "{ahead} ahead, {behind} behind");
             let EndpointStatus::SlowStart { started } =
-                driver.balancer.borrow().endpoint_status(EndpointId(1))
+                runtime.balancer.borrow().endpoint_status(EndpointId(1))
             else {
                 return;
             };
-            assert!(started <= driver.shared.clock.now(), "it would be cold for an hour and more");
+            assert!(started <= runtime.shared.clock.now(), "it would be cold for an hour and more");
         }
     });
 }
@@ -97,22 +99,23 @@
 fn the_next_process_goes_on_with_clock_and_start_times_across_a_step_of_the_wall_clock() {
     actix_rt::System::new().block_on(async {
         let old = cluster(WALL + HOUR, Some(&object(true, "a", 1_000_000)), None);
-        let driver = old.own().expect("the platform's own");
-        driver.on_list_complete();
-        tell(&driver, &object(false, "b", WALL));
-        driver.detach("a").expect("listed");
-        driver.attach("a").expect("out");
+        let runtime = old.platform_cluster().expect("the platform's own");
+        runtime.on_list_complete();
+        tell(&runtime, &object(false, "b", WALL));
+        runtime.detach("a").expect("listed");
+        runtime.attach("a").expect("out");
         let handed = serde_json::to_string(&old.state()).expect("written");
         for wall in [WALL - HOUR, WALL, WALL + HOUR] {
             let state: State = serde_json::from_str(&handed).expect("read");
             let new = cluster(wall, None, Some(state));
-            let successor = new.own().expect("the platform's own");
+            let successor = new.platform_cluster().expect("the platform's own");
             for number in [0, 1] {
-                let standing = |driver: &Driver| driver.balancer.borrow().endpoint_status(EndpointId(number));
-                assert_eq!(standing(&successor), standing(&driver));
+                let standing =
+                    |runtime: &ClusterRuntime| runtime.balancer.borrow().endpoint_status(EndpointId(number));
+                assert_eq!(standing(&successor), standing(&runtime));
                 assert!(is_in_slow_start(&successor, number));
             }
-            let apart = successor.shared.clock.now().abs_diff(driver.shared.clock.now());
+            let apart = successor.shared.clock.now().abs_diff(runtime.shared.clock.now());
             assert!(apart < HOUR / 2, "it goes on from the clock of the one before");
             tell(&successor, &object(false, "b", WALL));
             assert!(is_in_slow_start(&successor, 1), "the same process, as the list's own words have it");
--- /dev/null
+++ b/crates/proxy/src/cluster_runtime/timers.rs
@@ -0,0 +1,62 @@
+//! The balancer's timers: a queue of them, and the task that reports each to the balancer when it is due.
+
+use super::ClusterRuntime;
+use crate::stages::context::Decisions;
+use olivecart_decisions::{Event, Nanos, Timer};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use tokio::sync::Notify;
+use tokio::time::sleep_until;
+
+/// Timers by due time; those due at the same time in the order in which they were set.
+#[derive(Default)]
+pub struct TimerQueue {
+    timers: RefCell<BTreeMap<(Nanos, u64), Timer>>,
+    next_sequence: Cell<u64>,
+    /// Notified when the first due time has changed to an earlier one.
+    due_earlier: Notify,
+}
+
+impl TimerQueue {
+    /// Sets a timer.
+    pub fn insert(&self, due: Nanos, timer: Timer) {
+        let is_first = self.next_due().is_none_or(|next| due < next);
+        let sequence = self.next_sequence.get();
+        self.next_sequence.set(sequence + 1);
+        self.timers.borrow_mut().insert((due, sequence), timer);
+        if is_first {
+            self.due_earlier.notify_one();
+        }
+    }
+
+    fn next_due(&self) -> Option<Nanos> {
+        self.timers.borrow().first_key_value().map(|((due, _), _)| *due)
+    }
+
+    fn pop_first(&self) -> Option<Timer> {
+        self.timers.borrow_mut().pop_first().map(|(_, timer)| timer)
+    }
+}
+
+impl ClusterRuntime {
+    /// Reports timers when they are due, until the task is aborted.
+    pub(super) async fn run_timers(self: Rc<Self>) {
+        loop {
+            match self.timers.next_due() {
+                None => self.timers.due_earlier.notified().await,
+                Some(due) if due > self.shared.clock.now() => {
+                    tokio::select! {
+                        () = sleep_until(self.shared.clock.instant(due).into()) => {}
+                        () = self.timers.due_earlier.notified() => {}
+                    }
+                }
+                Some(_) => {
+                    if let Some(timer) = self.timers.pop_first() {
+                        self.tell(Event::TimerFired(timer));
+                    }
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/clusters/tests.rs
@@ -0,0 +1,32 @@
+use super::start::parse_list;
+use super::*;
+use crate::clock::Clock;
+use crate::descriptors::Descriptors;
+use olivecart_settings::Site;
+use slog::{Discard, o};
+
+#[test]
+fn an_endpoint_detached_in_another_process_before_it_is_listed_here_is_detached_once_it_is() {
+    let settings = r#"{"grades":[{"name":"v","aim-ns":1,"give-up-ns":2,"effect":"repeatable"}],"dcs":["z"]}"#;
+    let config = ClustersConfig {
+        site: Rc::new(RefCell::new(Site::read(settings).expect("settings"))),
+        clock: Clock::start(),
+        seed: 0,
+        descriptors: Rc::new(Descriptors::new(1)),
+        discovery: None,
+        known: None,
+        routing: Routing::default(),
+        budget: Rc::default(),
+        stats: None,
+        taken_over: None,
+    };
+    let server = |id| format!(r#"{{"id":"{id}","addr":"127.0.0.1:1","state":"ready","zone":"z"}}"#);
+    let list = format!(r#"{{"version":2,"full":true,"servers":[{},{}]}}"#, server("a"), server("b"));
+    actix_rt::System::new().block_on(async {
+        let clusters = Clusters::start(config, &Logger::root(Discard, o!()));
+        clusters.apply_forwarded_admin_request(&AdminRequest::Detach("a".into()));
+        let runtime = clusters.platform_cluster.as_ref().expect("the platform's own");
+        runtime.start_from_cached_list(&parse_list(Some(&list), &clusters.log));
+        assert_eq!(clusters.pool(), Pool { size: 2, ejected: 1 });
+    });
+}
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -3,8 +3,8 @@
 //! `cli.rs` reads it once, and `reload.rs` again at each SIGHUP. Errors name the key or variable at fault. Nothing else
 //! reads a configuration of `serve`; the sidecar has one of its own.
 
+use crate::cluster_config::{self, ClusterConfig};
 use crate::console;
-use crate::operators::{self, Operators};
 use olivecart_decisions::ClassId;
 use olivecart_settings::{SettingsError, Site};
 use serde::Deserialize;
@@ -52,10 +52,10 @@
     Settings(#[from] SettingsError),
     /// The operators' file cannot be read.
     #[error("{OPERATORS_FILE_VARIABLE}: {path}: {error}", path = .0.display(), error = .1)]
-    NoOperators(PathBuf, std::io::Error),
+    UnreadableClusterConfig(PathBuf, std::io::Error),
     /// The operators' file is unusable.
     #[error(transparent)]
-    Operators(#[from] operators::Problems),
+    ClusterConfig(#[from] cluster_config::Problems),
 }
 
 /// The file's keys; unknown ones are skipped.
@@ -128,7 +128,7 @@
     /// The settings, read.
     pub site: Site,
     /// The operators' file, if there is one. It is not read again while all runs on.
-    pub operators: Option<Operators>,
+    pub cluster_config: Option<ClusterConfig>,
     /// Where this was read, for reading it again.
     pub origin: ConfigSource,
 }
@@ -224,8 +224,8 @@
         let file = path(file, "EDGE_CONFIG").ok_or(ConfigError::NoFile)?;
         let text = text(&file)?;
         let mut config = Config::read(file, File::parse(&text)?, |name| std::env::var(name).ok())?;
-        config.operators = path(clusters, OPERATORS_FILE_VARIABLE)
-            .map(|file| operators_file(&file, &config.site))
+        config.cluster_config = path(clusters, OPERATORS_FILE_VARIABLE)
+            .map(|file| read_cluster_config(&file, &config.site))
             .transpose()?;
         Ok(config)
     }
@@ -256,7 +256,7 @@
             bodies: (file.limits.memory_mb * BODY_MEMORY_SHARE * 1e6) as usize,
             known: file.known.map(|k| k.get().to_owned()),
             site: Site::read(settings.get())?,
-            operators: None,
+            cluster_config: None,
             origin: ConfigSource { path, file_values, listen, discovery },
         })
     }
@@ -276,16 +276,16 @@
         )?;
         writeln!(f, "tier       {}, copy {} of {}", s.tier, s.replica_index, s.replica_count)?;
         write!(f, "classes    {}, tenants {}", s.classes.len(), s.tenants.len())?;
-        self.operators.iter().try_for_each(|operators| write!(f, "\n{operators}"))
+        self.cluster_config.iter().try_for_each(|clusters| write!(f, "\n{clusters}"))
     }
 }
 
-fn operators_file(path: &Path, site: &Site) -> Result<Operators, ConfigError> {
-    let text = std::fs::read_to_string(path).map_err(|e| ConfigError::NoOperators(path.to_owned(), e))?;
+fn read_cluster_config(path: &Path, site: &Site) -> Result<ClusterConfig, ConfigError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|e| ConfigError::UnreadableClusterConfig(path.to_owned(), e))?;
     let class = |name: &str| site.classes.get(name).map(|class| ClassId(class as u16));
     let beside = path.parent().unwrap_or(Path::new(""));
-    let operators = operators::read(&path.to_string_lossy(), &text, beside, &class)?;
-    Ok(operators)
+    Ok(cluster_config::parse(&path.to_string_lossy(), &text, beside, &class)?)
 }
 
 /// A value with the name of the variable or key that it comes from.
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! Client of the discovery service: keeps a watch on changes open, and fetches the whole list on demand.
 //!
-//! A cluster's driver owns a [`Discovery`] and is its [`Subscriber`]. Two tasks, one a [`Query`], run for as long as it
+//! A cluster runtime owns a [`Discovery`] and is its [`Subscriber`]. Two tasks, one a [`Query`], run for as long as it
 //! lives: dropping it ends both. [`watch`] decides when to call, when to abandon a call and when to call again; this
 //! module does the I/O. It never interprets a list beyond its version.
 
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,22 +1,25 @@
-//! What must hold: asserted in debug builds, counted in release builds.
+//! Runtime invariants: asserted in debug builds, counted in release builds.
+//!
+//! Any module checks them; the maintenance task of a cluster takes the counts and logs them. A violated invariant never
+//! ends the process in a release build.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
 thread_local! {
-    static BROKEN: RefCell<BTreeMap<&'static str, u64>> = const { RefCell::new(BTreeMap::new()) };
+    static VIOLATIONS: RefCell<BTreeMap<&'static str, u64>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Notes whether something that must hold does.
+/// Counts a violation of `invariant` unless it holds.
 #[track_caller]
-pub fn must(holds: bool, what: &'static str) {
-    debug_assert!(holds, "{what}");
+pub fn check_invariant(holds: bool, invariant: &'static str) {
+    debug_assert!(holds, "{invariant}");
     if !holds {
-        BROKEN.with_borrow_mut(|broken| *broken.entry(what).or_default() += 1);
+        VIOLATIONS.with_borrow_mut(|violations| *violations.entry(invariant).or_default() += 1);
     }
 }
 
-/// What did not hold since the last call, and how often.
-pub fn take_broken() -> Vec<(&'static str, u64)> {
-    BROKEN.take().into_iter().collect()
+/// Violated invariants since the last call, each with its count.
+pub fn take_violations() -> Vec<(&'static str, u64)> {
+    VIOLATIONS.take().into_iter().collect()
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,7 +1,7 @@
 //! The real proxy: the decision module on sockets.
 //!
-//! A request passes the stages in [`stages`]; [`driver`] puts what happens to the module and does what it
-//! answers; [`platform`] alone knows the names of this protocol.
+//! A request passes the stages in [`stages`]; [`cluster_runtime`] passes events to the balancer and carries out its
+//! actions; [`platform`] alone knows the names of this protocol.
 
 mod accept;
 mod admin_overrides;
@@ -14,20 +14,20 @@
 mod clients;
 mod clock;
 mod closing;
+mod cluster_config;
+mod cluster_runtime;
 mod clusters;
 mod config;
 mod config_tool;
 mod console;
 mod descriptors;
 mod discovery;
-mod driver;
 mod hot_restart;
 mod interrupted;
 mod invariant;
 mod latency;
 mod listen;
 mod membership;
-mod operators;
 mod platform;
 mod reload;
 mod serve;
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -26,13 +26,13 @@
         }
         match origin.reload() {
             Ok(changes) => {
-                info!(log, "configuration read again"; "discovery" => %changes.discovery);
+                info!(log, "configuration reloaded"; "discovery" => %changes.discovery);
                 if !changes.at_start.is_empty() {
-                    warn!(log, "changed keys that take effect at the next start"; "keys" => ?changes.at_start);
+                    warn!(log, "configuration changes deferred until restart"; "keys" => ?changes.at_start);
                 }
                 adopt(&changes);
             }
-            Err(e) => warn!(log, "the configuration stays as it was"; "error" => %e),
+            Err(error) => warn!(log, "configuration reload rejected"; "error" => %error),
         }
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -5,12 +5,12 @@
 
 use crate::bodies::Budget;
 use crate::clock::{Clock, SystemClocks};
-use crate::clusters::{Clusters, Routing, Start};
+use crate::cluster_config::ClusterConfig;
+use crate::clusters::{Clusters, ClustersConfig, Routing};
 use crate::config::{Changes, Config};
 use crate::descriptors::Descriptors;
 use crate::hot_restart::HotRestart;
 use crate::listen::{AcceptControl, ListenerParts};
-use crate::operators::Operators;
 use crate::serving_process::{ProcessLimits, ServingProcess, TakenOver};
 use crate::shutdown::{ShutdownSignals, ShutdownTimes};
 use crate::stats::Stats;
@@ -37,9 +37,10 @@
 pub async fn serve(config: Config, log: &Logger) -> Result<(), Box<dyn Error>> {
     let hang_up = reload::register()?; // before anything that takes time
     let mut signals = ShutdownSignals::register()?;
-    let Config { listen, discovery, console, seed, sockets, bodies, known, origin, operators, .. } = config;
+    let Config { listen, discovery, console, seed, sockets, bodies, known, origin, cluster_config, .. } =
+        config;
     // Danger: unregistered, the signal ends the program. Without an operators' file it does, as ever.
-    let report_signal = operators.is_some().then(|| signal(SignalKind::user_defined1())).transpose()?;
+    let report_signal = cluster_config.is_some().then(|| signal(SignalKind::user_defined1())).transpose()?;
     let console = console.map(bind_console).transpose()?;
     let Some(front) = open_listener(listen, console.is_some(), &mut signals, log).await? else {
         return Ok(()); // nothing was taken yet
@@ -53,11 +54,11 @@
     let stats = console.is_some().then(|| Arc::new(Stats::new(config.site.classes.names())));
     let site = Rc::new(RefCell::new(config.site));
     let clock = Clock::starting(&SystemClocks, taken_over.as_ref().and_then(|state| state.clock));
-    let (routing, catalog) = match operators {
-        Some(operators) => start_catalog(operators, seed, clock, log).map(|(r, c)| (r, Some(c)))?,
+    let (routing, catalog) = match cluster_config {
+        Some(cluster_config) => start_catalog(cluster_config, seed, clock, log).map(|(r, c)| (r, Some(c)))?,
         None => (Routing::default(), None),
     };
-    let start = Start {
+    let clusters_config = ClustersConfig {
         site: site.clone(),
         clock,
         seed,
@@ -69,7 +70,7 @@
         stats: stats.clone(),
         taken_over,
     };
-    let clusters = Clusters::start(start, log);
+    let clusters = Clusters::start(clusters_config, log);
     if let (Some(catalog), Some(report_signal)) = (catalog, report_signal) {
         follow_catalog(&clusters, catalog, report_signal);
     }
@@ -152,13 +153,13 @@
 
 /// Starts the catalog that the operators' file asks for.
 fn start_catalog(
-    operators: Operators,
+    cluster_config: ClusterConfig,
     seed: u64,
     clock: Clock,
     log: &Logger,
 ) -> Result<(Routing, catalog::Handle), catalog::StartError> {
-    let named = operators.named();
-    let Operators { sources, policy, clusters: overrides, rules, .. } = operators;
+    let named = cluster_config.named();
+    let ClusterConfig { sources, policy, clusters: overrides, rules, .. } = cluster_config;
     let handle = catalog::start(sources, policy, named.clone(), seed, clock, log.clone())?;
     Ok((Routing { named, rules, overrides }, handle))
 }
@@ -167,7 +168,7 @@
 fn follow_catalog(clusters: &Rc<Clusters>, catalog: catalog::Handle, report_signal: Signal) {
     let asked = Rc::new(Notify::new());
     actix_rt::spawn(clusters.clone().follow(catalog.steps));
-    actix_rt::spawn(clusters.clone().keep_reporting(asked.clone()));
+    actix_rt::spawn(clusters.clone().run_reports(asked.clone()));
     actix_rt::spawn(pass_on_report_signal(report_signal, asked, catalog.report));
 }
 
@@ -218,7 +219,7 @@
     /// Makes the changes that operators ask for.
     async fn apply_changes(self, mut changes: Receiver<console::Change>) {
         while let Some(console::Change { request, done }) = changes.recv().await {
-            let answer = self.clusters.by_hand(&request);
+            let answer = self.clusters.apply_admin_request(&request);
             let change = serving_process::manual_change(&request);
             if let (Ok(()), Some(hot_restart), Some(change)) = (&answer, &self.hot_restart, change) {
                 hot_restart.on_manual_change(change);
--- a/crates/proxy/src/serving_process.rs
+++ b/crates/proxy/src/serving_process.rs
@@ -137,7 +137,7 @@
             ManualChange::Detach(target) => AdminRequest::Detach(target),
             ManualChange::Attach(target) => AdminRequest::Attach(target),
         };
-        self.clusters.by_hand_elsewhere(&request);
+        self.clusters.apply_forwarded_admin_request(&request);
     }
 }
 
--- a/crates/proxy/src/sidecar/live.rs
+++ b/crates/proxy/src/sidecar/live.rs
@@ -40,13 +40,13 @@
     async fn reload(&mut self) {
         let new = match super::read(&self.path, &self.environment) {
             Ok((_, resolved)) => resolved.proxy,
-            Err(error) => return warn!(self.log, "the configuration stays as it was"; "error" => %error),
+            Err(error) => return warn!(self.log, "configuration reload rejected"; "error" => %error),
         };
         let edits = edits(&self.proxy, &new);
         let waits: Vec<&str> =
             edits.iter().filter(|edit| edit.when == When::Restart).map(|edit| edit.key.as_str()).collect();
         if !waits.is_empty() {
-            warn!(self.log, "changed keys that take effect at the next start"; "keys" => waits.join(", "));
+            warn!(self.log, "configuration changes deferred until restart"; "keys" => waits.join(", "));
         }
         self.proxy.settings.client_connections = new.settings.client_connections;
         let shares = shares(&self.proxy);
@@ -58,6 +58,6 @@
             limit.set(most.unwrap_or(MAX_REQUESTS)).await;
             inbound.max_requests = most;
         }
-        info!(self.log, "configuration read again"; "live" => edits.len() - waits.len());
+        info!(self.log, "configuration reloaded"; "live" => edits.len() - waits.len());
     }
 }
--- a/crates/proxy/src/sidecar/mod.rs
+++ b/crates/proxy/src/sidecar/mod.rs
@@ -16,11 +16,11 @@
 use crate::bodies::Budget;
 use crate::catalog::{self, Step};
 use crate::clock::Clock;
-use crate::clusters::{Clusters, Routing, Start};
+use crate::cluster_config::{Overrides, Rules};
+use crate::clusters::{Clusters, ClustersConfig, Routing};
 use crate::config::Sockets;
 use crate::descriptors::Descriptors;
 use crate::listen::{self, AcceptControl, ListenerParts};
-use crate::operators::{Overrides, Rules};
 use crate::{reload, shutdown};
 use application::{Application, Limit};
 use live::Live;
@@ -276,7 +276,7 @@
     ) -> BoundListener {
         let log = self.log.new(slog::o!("listener" => name.to_owned()));
         let site = Rc::new(RefCell::new(site));
-        let start = Start {
+        let clusters_config = ClustersConfig {
             site: site.clone(),
             clock: self.clock,
             seed: self.seed,
@@ -288,7 +288,7 @@
             stats: None,
             taken_over: None,
         };
-        let clusters = Clusters::start(start, &log);
+        let clusters = Clusters::start(clusters_config, &log);
         let control = Rc::new(AcceptControl::new(ListenerParts {
             routes: clusters.routes.clone(),
             site,
@@ -345,5 +345,5 @@
             clusters.apply(step.clone()).await;
         }
     }
-    error!(log, "the catalog has ended; endpoints stay as they are");
+    error!(log, "catalog thread ended");
 }
--- a/crates/proxy/src/sidecar/settings.rs
+++ b/crates/proxy/src/sidecar/settings.rs
@@ -1,6 +1,6 @@
 //! From what one proxy reads to what its parts are told.
 
-use crate::operators::{self, Criteria, SourceKind, Watched};
+use crate::cluster_config::{self, Criteria, SourceKind, Watched};
 use olivecart_config::document::Span;
 use olivecart_config::resolve::OWN_DESCRIPTORS;
 use olivecart_config::types::{Group, Proxy, ProxyClass, Repeat, Route, Variant};
@@ -139,7 +139,7 @@
 }
 
 /// Where endpoints come from. Files that are not absolute are beside the proxy's own.
-pub fn sources(proxy: &Proxy, beside: &Path) -> Vec<operators::Source> {
+pub fn sources(proxy: &Proxy, beside: &Path) -> Vec<cluster_config::Source> {
     let wanted: Vec<ClusterName> = proxy
         .outbound
         .iter()
@@ -153,7 +153,7 @@
             (Some(path), ..) => SourceKind::File(watched(path)),
             (_, Some(path), ..) => SourceKind::Directory(watched(path)),
             (_, _, Some(path), _) => SourceKind::Envoy(watched(path)),
-            (.., address) => SourceKind::Xds(operators::Xds {
+            (.., address) => SourceKind::Xds(cluster_config::Xds {
                 address: address.clone().unwrap_or_default(),
                 node: proxy.name.clone(),
                 node_cluster: source.node_cluster.clone().unwrap_or_default(),
@@ -168,7 +168,7 @@
                 zone: proxy.zone.clone().unwrap_or_default(),
             }),
         };
-        operators::Source { id: SourceId::new(source.name.as_str()), kind }
+        cluster_config::Source { id: SourceId::new(source.name.as_str()), kind }
     };
     proxy.sources.iter().map(one).collect()
 }
--- a/crates/proxy/src/stages/admit.rs
+++ b/crates/proxy/src/stages/admit.rs
@@ -34,7 +34,7 @@
 pub enum NotAdmitted {
     /// As many are open as the settings or the cluster's limits allow.
     Full,
-    /// Operators took out whatever could take it.
+    /// ClusterConfig took out whatever could take it.
     AllOut,
     /// One with its id is open.
     Twice,
--- a/crates/proxy/src/stages/book.rs
+++ b/crates/proxy/src/stages/book.rs
@@ -1,7 +1,7 @@
 //! The accounts of open requests: one final verdict each, one outcome for each attempt.
 
 use crate::call::{Answer, Payload, Verdict};
-use crate::invariant::must;
+use crate::invariant::check_invariant;
 use actix_http::header::HeaderValue;
 use olivecart_decisions::RequestId;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -103,7 +103,7 @@
     pub fn attempt_ended(&self, request: RequestId, answer: Option<Answer>) -> bool {
         let mut accounts = self.accounts.borrow_mut();
         let Some(account) = accounts.get_mut(&request) else { return true };
-        must(account.out > 0, "an attempt ends once");
+        check_invariant(account.out > 0, "an attempt ends once");
         account.out = account.out.saturating_sub(1);
         drop(accounts);
         match answer {
--- a/crates/proxy/src/stages/choose.rs
+++ b/crates/proxy/src/stages/choose.rs
@@ -2,7 +2,7 @@
 
 use super::context::Context;
 use crate::call::{Absent, Traits};
-use crate::operators::Rules;
+use crate::cluster_config::Rules;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
--- a/crates/proxy/src/stages/context.rs
+++ b/crates/proxy/src/stages/context.rs
@@ -40,7 +40,7 @@
     /// Requests that are open here, and the most.
     open: Cell<usize>,
     most: Cell<usize>,
-    /// Operators took out whatever could take requests.
+    /// ClusterConfig took out whatever could take requests.
     all_out: Cell<bool>,
     /// Not owned: it owns this.
     decisions: Weak<dyn Decisions>,
@@ -65,7 +65,7 @@
         self.most.set(most);
     }
 
-    /// Operators took out whatever could take requests, or no longer.
+    /// ClusterConfig took out whatever could take requests, or no longer.
     pub fn set_all_out(&self, all_out: bool) {
         self.all_out.set(all_out);
     }
--- a/crates/proxy/src/stages/route.rs
+++ b/crates/proxy/src/stages/route.rs
@@ -1,7 +1,7 @@
 //! Puts a call where the decisions say: checks that it may go there and starts the attempt.
 
 use super::{book::Attempt, context::Context, send};
-use crate::invariant::must;
+use crate::invariant::check_invariant;
 use olivecart_decisions::{EndpointId, Nanos, Outcome, RequestId};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -9,9 +9,9 @@
 /// Starts an attempt, or ends it as never issued.
 pub fn route(context: &Rc<Context>, request: RequestId, endpoint: EndpointId, cap: Nanos, start_by: Instant) {
     let ready = context.backends.takes_requests(endpoint);
-    must(ready, "no call is sent to a draining or unknown endpoint");
+    check_invariant(ready, "no call is sent to a draining or unknown endpoint");
     let (attempt, lone) = context.book.attempt(request, start_by);
-    must(lone || context.limits.second_copies, "no two attempts of a request are out at once");
+    check_invariant(lone || context.limits.second_copies, "no two attempts of a request are out at once");
     match attempt {
         Ok(attempt) if ready => {
             let until = match cap {
@@ -22,7 +22,7 @@
         }
         Ok(attempt) => send::ended(context, request, attempt.number, endpoint, Outcome::NotSent),
         Err(number) => {
-            must(false, "only open requests are sent");
+            check_invariant(false, "only open requests are sent");
             send::ended(context, request, number, endpoint, Outcome::NotSent);
         }
     }
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -2,7 +2,7 @@
 //!
 //! A list says when an endpoint started by the wall clock, which may have been stepped before this process or its
 //! machine read it. What is known besides: nobody started later than now, and one that is named for the first time was
-//! not there when the list was last known to be complete. The driver of a cluster asks for each endpoint that a list
+//! not there when the list was last known to be complete. The cluster runtime asks for each endpoint that a list
 //! names. No I/O and no clock here.
 
 use olivecart_decisions::Nanos;
--- a/crates/proxy/src/stats.rs
+++ b/crates/proxy/src/stats.rs
@@ -103,7 +103,7 @@
             class.ended[self.ended as usize].fetch_add(1, Relaxed);
         }
         self.stats.active.fetch_sub(1, Relaxed);
-        crate::invariant::must(self.stats.balanced(), "taken = ok + shed + errors + active");
+        crate::invariant::check_invariant(self.stats.balanced(), "taken = ok + shed + errors + active");
     }
 }
 
--- a/crates/proxy/tests/clusters.rs
+++ b/crates/proxy/tests/clusters.rs
@@ -205,7 +205,7 @@
          e send 200 | undisturbed
          c4 expect 200 | undisturbed
          c close
-         proxy expect log has ended its last request",
+         proxy expect log removed cluster drained",
     );
 }
 
@@ -223,7 +223,7 @@
          d send 200 | whole
          c expect 200 | whole
          d expect closed
-         proxy expect log has ended its last request",
+         proxy expect log removed cluster drained",
     );
 }
 
@@ -290,7 +290,7 @@
          disk raw fleet.toml version = 1\\n[[clusters]]\\nname = \"cart\"\\n
          proxy expect log no [end] as the last line
          proxy send USR1
-         proxy expect log open_requests: 0, there: true, cluster: cart
+         proxy expect log open_requests: 0, present: true, cluster: cart
          proxy expect log quiet for
          proxy expect log cart: from fleet, 2 ready, 0 draining
          disk list fleet.toml cart=a,b book=e
--- a/crates/proxy/tests/console.rs
+++ b/crates/proxy/tests/console.rs
@@ -112,7 +112,7 @@
          {listed}
          file send discovery=@moved
          proxy send HUP
-         proxy expect log configuration read again
+         proxy expect log configuration reloaded
          c send GET /hup
          b expect GET /hup
          b send 200 | b
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -251,14 +251,14 @@
     for round in 0..50 {
         // Torn, bad, and valid with a key that waits for a start.
         reload(&text[..text.len() / 2]);
-        sidecar.program.line("stays as it was");
+        sidecar.program.line("configuration reload rejected");
         reload(&text.replace("max_requests = 2", "max_requests = 0"));
-        sidecar.program.line("stays as it was");
+        sidecar.program.line("configuration reload rejected");
         let most = 2 + round % 2;
         let other = text.replace("max_requests = 2", &format!("max_requests = {most}"));
         reload(&other.replace("attempts = 2", "attempts = 1"));
         sidecar.program.line("keys: outbound[records].attempts");
-        sidecar.program.line("read again");
+        sidecar.program.line("configuration reloaded");
     }
     // The last one allows three.
     open.push(client());
--- a/crates/proxy/tests/xds.rs
+++ b/crates/proxy/tests/xds.rs
@@ -62,7 +62,7 @@
          e expect POST /book | x
          e send 200 | undisturbed
          c3 expect 200 | undisturbed
-         proxy expect log has ended its last request",
+         proxy expect log removed cluster drained",
     );
 }
 
