--- a/crates/membership/src/watch/mod.rs
+++ b/crates/membership/src/watch/mod.rs
@@ -1,25 +1,27 @@
 //! Files and directories in the documented form ([`file`](crate::file)) as a source of the catalog.
 //!
-//! What changes is seen by the file system's events, with polling behind them, since network file systems send
-//! none. It is read whole by a thread that may block, and checked before the catalog hears of it; what cannot
-//! be read or is no good changes nothing, and the last good one stands.
+//! A change is seen by the file system's events, with polling behind them, since network file systems send
+//! none. The file is read whole by a thread that may block, and checked before the catalog gets it; what cannot
+//! be read or used changes nothing, and the last good content stands.
 //!
-//! `look` is what a file is at one moment, `judge` what follows from it, and [`run`] the task around both, which
-//! decides nothing.
+//! `snapshot` is what a file is at one moment, `validator` what follows from it, `file_watcher` the file system's
+//! events, and [`run`] the task around them, which decides nothing. The proxy starts that task for each source of
+//! this kind, and reads files through [`read_texts`] for its command line.
 
-mod eyes;
 #[cfg(test)]
 mod fake_file_system;
 mod file_system;
-mod judge;
-mod look;
-mod shell;
+mod file_watcher;
+mod snapshot;
+mod task;
+mod validator;
 
-pub use judge::Notice;
-pub use shell::run;
+pub use task::run;
+pub use validator::Notice;
 
 use crate::endpoint::Cluster;
 use crate::names::SourceId;
+use snapshot::Observation;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -52,7 +54,7 @@
     /// The clusters.
     pub clusters: Vec<Cluster>,
     /// What is there and does nothing here, in words with the places.
-    pub remarks: Vec<String>,
+    pub warnings: Vec<String>,
 }
 
 /// From the texts of files, each with its name, to what they hold.
@@ -65,9 +67,9 @@
 ///
 /// # Errors
 /// All that is wrong, in words with the places.
-pub fn documented(texts: Vec<(String, String)>) -> Result<Parsed, String> {
+pub fn parse_documented(texts: Vec<(String, String)>) -> Result<Parsed, String> {
     let clusters = crate::file::merge_fragments(texts).map_err(|problems| problems.to_string())?;
-    Ok(Parsed { clusters, remarks: Vec::new() })
+    Ok(Parsed { clusters, warnings: Vec::new() })
 }
 
 /// Reads texts in Envoy's JSON or YAML form ([`xds::file`](crate::xds::file)).
@@ -75,12 +77,12 @@
 /// # Errors
 /// All that is wrong, in words with the places.
 #[cfg(feature = "xds")]
-pub fn envoy(texts: Vec<(String, String)>) -> Result<Parsed, String> {
+pub fn parse_envoy(texts: Vec<(String, String)>) -> Result<Parsed, String> {
     let mut parsed = Parsed::default();
     for (name, text) in texts {
         let resources = crate::xds::file::parse(&name, &text).map_err(|problems| problems.to_string())?;
         parsed.clusters.extend(resources.clusters);
-        parsed.remarks.extend(resources.ignored.iter().map(ToString::to_string));
+        parsed.warnings.extend(resources.ignored.iter().map(ToString::to_string));
     }
     Ok(parsed)
 }
@@ -89,12 +91,12 @@
 ///
 /// # Errors
 /// Why it cannot be read, in words.
-pub fn texts(path: &Path) -> Result<Vec<(String, String)>, String> {
+pub fn read_texts(path: &Path) -> Result<Vec<(String, String)>, String> {
     let kind = if path.is_dir() { Kind::Directory } else { Kind::File };
-    match look::look(&file_system::LocalFileSystem, path, kind, None) {
-        look::Look::Read(found) => Ok(found.texts),
-        look::Look::Lost(e) => Err(format!("{}: {e}", path.display())),
-        look::Look::Unusable(why) => Err(why),
-        look::Look::Same => Ok(Vec::new()), // compared with nothing, it is never the same
+    match snapshot::observe(&file_system::LocalFileSystem, path, kind, None) {
+        Observation::Read(snapshot) => Ok(snapshot.texts),
+        Observation::Unavailable(error) => Err(format!("{}: {error}", path.display())),
+        Observation::Unusable(reason) => Err(reason),
+        Observation::Unchanged => Ok(Vec::new()), // compared with nothing, it is never unchanged
     }
 }
--- a/crates/membership/src/xds/resource/assignment.rs
+++ b/crates/membership/src/xds/resource/assignment.rs
@@ -4,8 +4,8 @@
 use super::endpoint::{Kinds, Place, endpoint};
 use super::problem::{BadField, BadResource, Problem};
 use crate::endpoint::Endpoint;
+use crate::invalid::Invalid;
 use crate::names::Label;
-use crate::refusal::Invalid;
 use envoy_types::pb::envoy::config::core::v3::Locality;
 use envoy_types::pb::envoy::config::endpoint::v3::locality_lb_endpoints::LbConfig;
 use envoy_types::pb::envoy::config::endpoint::v3::{ClusterLoadAssignment, LocalityLbEndpoints};
@@ -74,8 +74,8 @@
                     list.push(endpoint);
                     places.push((at, inner));
                 }
-                Err((field, (below, problem))) => {
-                    fault(&format!(".lb_endpoints[{inner}]{field}{below}"), problem);
+                Err(BadField { field, problem }) => {
+                    fault(&format!(".lb_endpoints[{inner}]{field}"), problem);
                 }
             }
         }
--- a/crates/proxy/src/catalog/source_starter.rs
+++ b/crates/proxy/src/catalog/source_starter.rs
@@ -4,10 +4,10 @@
 
 use super::catalog_log::{Notices, Severity};
 use crate::cluster_config::{Source, SourceKind, Watched, Xds};
-use olivecart_membership::source::{ASK_BOUND, Ask, Asks, Sink};
+use olivecart_membership::source::{EventSender, REFETCH_QUEUE_CAPACITY, RefetchReceiver, RefetchRequest};
 use olivecart_membership::watch::{self, Kind, Parser, Watch};
-use olivecart_membership::xds::conversation::{Config, Node, Note};
-use olivecart_membership::xds::shell::{self, Target};
+use olivecart_membership::xds::session::{Config, Node, SessionNotice};
+use olivecart_membership::xds::transport::{self, Target};
 use olivecart_membership::{Policy, SourceId};
 use rustc_hash::FxBuildHasher;
 use std::hash::BuildHasher;
@@ -16,7 +16,7 @@
 /// What sources are started with.
 pub struct SourceStarter {
     /// Where they put what they hear.
-    pub sink: Sink,
+    pub sink: EventSender,
     /// Where they log.
     pub notices: Notices,
     /// The catalog's figures: what it would refuse, a control plane is told.
@@ -27,29 +27,40 @@
 
 impl SourceStarter {
     /// Starts a source, and returns where it is asked for a cluster.
-    pub fn start(&self, Source { id, kind }: Source) -> Sender<Ask> {
-        let (asks, asked) = channel(ASK_BOUND);
+    pub fn start(&self, Source { id, kind }: Source) -> Sender<RefetchRequest> {
+        let (asks, asked) = channel(REFETCH_QUEUE_CAPACITY);
         match kind {
-            SourceKind::File(watched) => self.start_watch(id, watched, Kind::File, watch::documented, asked),
+            SourceKind::File(watched) => {
+                self.start_watch(id, watched, Kind::File, watch::parse_documented, asked)
+            }
             SourceKind::Directory(watched) => {
-                self.start_watch(id, watched, Kind::Directory, watch::documented, asked);
+                self.start_watch(id, watched, Kind::Directory, watch::parse_documented, asked);
+            }
+            SourceKind::Envoy(watched) => {
+                self.start_watch(id, watched, Kind::File, watch::parse_envoy, asked)
             }
-            SourceKind::Envoy(watched) => self.start_watch(id, watched, Kind::File, watch::envoy, asked),
             SourceKind::Xds(xds) => self.start_xds(id, xds, asked),
         }
         asks
     }
 
-    fn start_watch(&self, source: SourceId, watched: Watched, kind: Kind, parse: Parser, asked: Asks) {
+    fn start_watch(
+        &self,
+        source: SourceId,
+        watched: Watched,
+        kind: Kind,
+        parse: Parser,
+        asked: RefetchReceiver,
+    ) {
         let Watched { path, poll } = watched;
         let (notices, of) = (self.notices.clone(), source.clone());
         let tell = move |notice: watch::Notice| {
             let severity = match &notice {
-                watch::Notice::Back => Severity::Recovered,
-                watch::Notice::Remark(_) => Severity::Info,
-                watch::Notice::Refused(_) | watch::Notice::Lost(_) | watch::Notice::Blind(_) => {
-                    Severity::Warning
-                }
+                watch::Notice::Recovered => Severity::Recovered,
+                watch::Notice::Warning(_) => Severity::Info,
+                watch::Notice::Rejected(_)
+                | watch::Notice::Unavailable(_)
+                | watch::Notice::EventsUnavailable(_) => Severity::Warning,
             };
             notices.record(&of, severity, &notice);
         };
@@ -57,11 +68,11 @@
         tokio::spawn(watch::run(watch, parse, self.sink.clone(), asked, tell));
     }
 
-    fn start_xds(&self, source: SourceId, xds: Xds, asked: Asks) {
+    fn start_xds(&self, source: SourceId, xds: Xds, asked: RefetchReceiver) {
         let (notices, of) = (self.notices.clone(), source.clone());
-        let tell = move |note: &Note| {
+        let tell = move |note: &SessionNotice| {
             let severity = match note {
-                Note::Connected => Severity::Recovered,
+                SessionNotice::Connected => Severity::Recovered,
                 note if note.is_warning() => Severity::Warning,
                 _ => Severity::Info,
             };
@@ -80,6 +91,6 @@
             seed: self.seed ^ FxBuildHasher.hash_one((source.as_str(), &node.id)),
             ..Config::new(source, node)
         };
-        tokio::spawn(shell::run(Target::new(xds.address), config, self.sink.clone(), asked, tell));
+        tokio::spawn(transport::run(Target::new(xds.address), config, self.sink.clone(), asked, tell));
     }
 }
