--- a/crates/proxy/src/cluster_runtime/endpoint_list.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_list.rs
@@ -11,7 +11,7 @@
 use crate::start_times::{StartTime, StartTimes};
 use crate::stats::Pool;
 use olivecart_decisions::{EndpointEntry, EndpointId, Nanos};
-use olivecart_settings::{Listed, Site};
+use olivecart_settings::Site;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
@@ -131,7 +131,7 @@
 
 /// A listed endpoint as the balancer knows it; new names get the next numbers.
 pub fn numbered(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
-    site.entry(&Listed {
+    site.entry(&olivecart_settings::ListedEndpoint {
         name: &endpoint.name,
         state: endpoint.state,
         zone: &endpoint.zone,
--- a/crates/proxy/src/cluster_runtime/mod.rs
+++ b/crates/proxy/src/cluster_runtime/mod.rs
@@ -110,7 +110,8 @@
         let connect_timeout = Duration::from_nanos(settings.limits.connect_timeout);
         let backends =
             Backends::new(connect_timeout, site.idle_close, shared.descriptors.clone(), log.clone());
-        let limits = Limits { open_requests: site.most_held, second_copies: settings.limits.hedging_enabled };
+        let limits =
+            Limits { open_requests: site.max_open_requests, second_copies: settings.limits.hedging_enabled };
         let context = Context::new(
             this.clone(),
             shared.book.clone(),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -19,6 +19,7 @@
 mod clusters;
 mod config;
 mod config_tool;
+mod connect;
 mod console;
 mod descriptors;
 mod discovery;
