--- a/crates/proxy/src/catalog/source_starter.rs
+++ b/crates/proxy/src/catalog/source_starter.rs
@@ -3,7 +3,7 @@
 //! The catalog's thread calls it once for each source; the tasks end with that thread's runtime.
 
 use super::catalog_log::{Notices, Severity};
-use crate::operators::{Source, SourceKind, Watched, Xds};
+use crate::cluster_config::{Source, SourceKind, Watched, Xds};
 use olivecart_membership::source::{EventSender, REFETCH_QUEUE_CAPACITY, RefetchReceiver, RefetchRequest};
 use olivecart_membership::watch::{self, Kind, Parser, Watch};
 use olivecart_membership::xds::session::{Config, Node, SessionNotice};
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,4 +1,7 @@
-//! Invariants: asserted in debug builds, counted in release builds. The maintenance task reports the counts.
+//! Runtime invariants: asserted in debug builds, counted in release builds.
+//!
+//! Any module checks them; the maintenance task of a cluster takes the counts and logs them. A violated invariant never
+//! ends the process in a release build.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,16 +10,16 @@
     static VIOLATIONS: RefCell<BTreeMap<&'static str, u64>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Checks an invariant.
+/// Counts a violation of `invariant` unless it holds.
 #[track_caller]
-pub fn check_invariant(holds: bool, what: &'static str) {
-    debug_assert!(holds, "{what}");
+pub fn check_invariant(holds: bool, invariant: &'static str) {
+    debug_assert!(holds, "{invariant}");
     if !holds {
-        VIOLATIONS.with_borrow_mut(|violations| *violations.entry(what).or_default() += 1);
+        VIOLATIONS.with_borrow_mut(|violations| *violations.entry(invariant).or_default() += 1);
     }
 }
 
-/// The invariants that were violated since the last call, and how often.
+/// Violated invariants since the last call, each with its count.
 pub fn take_violations() -> Vec<(&'static str, u64)> {
     VIOLATIONS.take().into_iter().collect()
 }
