--- a/crates/proxy/src/cluster_runtime/actions.rs
+++ b/crates/proxy/src/cluster_runtime/actions.rs
@@ -4,7 +4,7 @@
 use crate::call::Verdict;
 use crate::discovery::Discovery;
 use crate::invariant::check_invariant;
-use crate::stages::{route, send};
+use crate::stages::{attempt, routing};
 use crate::trace;
 use olivecart_decisions::{Action, EndpointId, Nanos, RequestId};
 use slog::info;
@@ -16,9 +16,9 @@
         match action {
             Action::StartAttempt { request, endpoint, timeout, start_by } => {
                 let start_by = self.shared.clock.instant(start_by);
-                route::route(&self.context, request, endpoint, timeout, start_by);
+                routing::route(&self.context, request, endpoint, timeout, start_by);
             }
-            Action::CancelAttempt { request, attempt } => self.context.book.cancel(request, attempt),
+            Action::CancelAttempt { request, attempt } => self.context.request_table.cancel(request, attempt),
             Action::Shed { request, retry_after } => self.shed(request, retry_after),
             Action::Fail(request) => self.finish(request, Verdict::Failed),
             Action::StartHealthCheck(endpoint) => self.start_health_check(endpoint),
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn start_health_check(&self, endpoint: EndpointId) {
-        actix_rt::spawn(send::probe(self.context.clone(), endpoint));
+        actix_rt::spawn(attempt::health_check(self.context.clone(), endpoint));
     }
 
     fn shed(&self, request: RequestId, retry_after: Nanos) {
@@ -41,7 +41,7 @@
     }
 
     fn finish(&self, request: RequestId, verdict: Verdict) {
-        let is_first_verdict = self.context.book.finish(request, verdict);
+        let is_first_verdict = self.context.request_table.finish(request, verdict);
         check_invariant(is_first_verdict, "one verdict a request");
     }
 }
--- a/crates/proxy/src/cluster_runtime/mod.rs
+++ b/crates/proxy/src/cluster_runtime/mod.rs
@@ -16,8 +16,8 @@
 use crate::descriptors::Descriptors;
 use crate::discovery::{Discovery, Subscriber};
 use crate::membership::News;
-use crate::stages::book::Book;
 use crate::stages::context::{Context, Decisions, Limits};
+use crate::stages::request_table::RequestTable;
 use crate::start_times::StartTime;
 use crate::stats::Stats;
 use crate::trace;
@@ -44,7 +44,7 @@
     /// Settings, and the numbers of names.
     pub site: Rc<RefCell<Site>>,
     /// Open requests of all clusters; a request id is unique across them.
-    pub book: Rc<Book>,
+    pub request_table: Rc<RequestTable>,
     /// The limit on connections.
     pub descriptors: Rc<Descriptors>,
     /// The memory limit for long bodies.
@@ -114,7 +114,7 @@
             Limits { open_requests: site.max_open_requests, second_copies: settings.limits.hedging_enabled };
         let context = Context::new(
             this.clone(),
-            shared.book.clone(),
+            shared.request_table.clone(),
             backends,
             limits,
             shared.budget.clone(),
--- a/crates/proxy/src/clusters/mod.rs
+++ b/crates/proxy/src/clusters/mod.rs
@@ -20,7 +20,7 @@
 use crate::config::Changes;
 use crate::console::request::{AdminError, AdminRequest};
 use crate::hot_restart::State;
-use crate::stages::choose::Routes;
+use crate::stages::cluster_selection::Routes;
 use crate::stats::Pool;
 use olivecart_membership::ClusterName;
 use slog::Logger;
--- a/crates/proxy/src/clusters/routing.rs
+++ b/crates/proxy/src/clusters/routing.rs
@@ -1,7 +1,7 @@
 //! Which clusters there are, which request goes to which, and what each may use.
 
 use crate::cluster_config::{Overrides, REGISTRY, Rules};
-use crate::stages::choose::Routes;
+use crate::stages::cluster_selection::Routes;
 use olivecart_membership::ClusterName;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/proxy/src/clusters/start.rs
+++ b/crates/proxy/src/clusters/start.rs
@@ -64,7 +64,7 @@
         let shared = Rc::new(ProxyState {
             clock: config.clock,
             site: config.site,
-            book: Rc::default(),
+            request_table: Rc::default(),
             descriptors: config.descriptors,
             budget: config.budget,
             stats: config.stats,
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -11,9 +11,9 @@
 use crate::config::Sockets;
 use crate::latency::LatencyEstimate;
 use crate::platform::client;
-use crate::stages::admit::{self, NotAdmitted};
-use crate::stages::choose::Routes;
-use crate::stages::{intake, relay};
+use crate::stages::admission::{self, NotAdmitted};
+use crate::stages::cluster_selection::Routes;
+use crate::stages::{parse, response};
 use crate::stats::{Ended, Stats, Taken};
 use actix_http::error::DispatchError;
 use actix_http::{ConnectionType, Extensions, HttpService, KeepAlive, Request, Response};
@@ -292,7 +292,7 @@
     client: &Rc<Client>,
 ) -> Result<Response<AnswerBody>, client::Reject> {
     client.on_head_received();
-    let call = intake::take(request, &control.site, &control.budget).await?;
+    let call = parse::parse(request, &control.site, &control.budget).await?;
     let taken = control.stats.as_ref().map(|stats| stats.take(usize::from(call.class.0)));
     let answer = call_cluster(control, client, call).await?;
     Ok(match taken {
@@ -370,7 +370,7 @@
         Ok(context) => context,
         Err(absent) => return Ok(client::buffered(client::absent(&absent))),
     };
-    let mut held = match admit::admit(&context, call) {
+    let mut held = match admission::admit(&context, call) {
         Ok(held) => held,
         Err(NotAdmitted::Full) => return Ok(client::buffered(client::overloaded())),
         Err(NotAdmitted::AllOut) => return Ok(client::buffered(client::refusal(Duration::ZERO))),
@@ -378,7 +378,7 @@
     };
     let taken_at = Instant::now();
     control.last_request_at.set(taken_at);
-    let verdict = relay::relay(&mut held, client.wait_for_close()).await;
+    let verdict = response::wait(&mut held, client.wait_for_close()).await;
     if let Some(Verdict::Served(_)) = &verdict {
         let mut latency = control.latency.get();
         latency.observe(taken_at.elapsed());
--- a/crates/proxy/src/platform/client.rs
+++ b/crates/proxy/src/platform/client.rs
@@ -1,7 +1,7 @@
 //! The clients' side of this platform's protocol: the headers that a request must have, and the responses of the proxy's
 //! own.
 //!
-//! `stages/intake.rs` and `listen.rs` call it. It knows nothing of connections or endpoints.
+//! `stages/parse.rs` and `listen.rs` call it. It knows nothing of connections or endpoints.
 
 use super::{end_to_end, names};
 use crate::bodies::LONGEST;
--- a/crates/proxy/src/stages/admit.rs
+++ b/crates/proxy/src/stages/admission.rs
@@ -34,7 +34,7 @@
 pub enum NotAdmitted {
     /// As many are open as the settings or the cluster's limits allow.
     Full,
-    /// ClusterConfig took out whatever could take it.
+    /// Administrators drained whatever could take it.
     AllOut,
     /// One with its id is open.
     Twice,
@@ -55,7 +55,8 @@
         Body::Streamed(upload) => Some(upload.clone()),
         Body::Whole { .. } => None,
     };
-    let (request, verdict) = context.book.open(call.id, call.payload, until).ok_or(NotAdmitted::Twice)?;
+    let (request, verdict) =
+        context.request_table.open(call.id, call.payload, until).ok_or(NotAdmitted::Twice)?;
     context.enter();
     let account = Account { context: context.clone(), request };
     context.tell(Event::RequestArrived(Request {
@@ -76,7 +77,7 @@
 impl Drop for Account {
     fn drop(&mut self) {
         self.context.leave();
-        if self.context.book.abandon(self.request) {
+        if self.context.request_table.abandon(self.request) {
             self.context.tell(Event::RequestAborted(self.request));
         }
     }
@@ -133,7 +134,7 @@
         let context = context(&decisions, 2);
         let left = admit(&context, call("left")).ok().expect("room");
         let answered = admit(&context, call("answered")).ok().expect("room");
-        assert!(context.book.finish(RequestId(1), Verdict::Failed));
+        assert!(context.request_table.finish(RequestId(1), Verdict::Failed));
         drop((left, answered));
         let told = decisions.0.borrow();
         let [Event::RequestArrived(left), Event::RequestArrived(answered), Event::RequestAborted(gone)] =
--- a/crates/proxy/src/stages/send.rs
+++ b/crates/proxy/src/stages/attempt.rs
@@ -1,9 +1,9 @@
 //! One attempt on one connection, and exactly one outcome for it.
 
-use super::admit::MARGIN;
-use super::book::Attempt;
+use super::admission::MARGIN;
 use super::context::Context;
 use super::gate::WriteGate;
+use super::request_table::Attempt;
 use crate::backends::{Lease, LeaseError};
 use crate::bodies::{BodySender, BufferedBody, LONGEST, ON_THE_WAY, RequestBody, SHORT, feed};
 use crate::call::{Answer, AnswerBody, Body, Payload, Verdict};
@@ -60,7 +60,7 @@
 }
 
 /// Runs an attempt to its end and books it.
-pub async fn attempt(context: Rc<Context>, mut attempt: Attempt, endpoint: EndpointId) {
+pub async fn run(context: Rc<Context>, mut attempt: Attempt, endpoint: EndpointId) {
     let began = Instant::now();
     let lease = context.backends.lease(endpoint);
     let seen = lease.as_ref().ok().map(|lease| lease.seen.clone());
@@ -110,12 +110,12 @@
     // An answer that goes on has served its request. Danger: booked at its last byte, it keeps its place at the endpoint while
     // somebody reads it, and ends with a second copy of its request that is called off.
     let rest = end.rest.take();
-    book(&context, &attempt, endpoint, took, end);
+    record_outcome(&context, &attempt, endpoint, took, end);
     let Some(rest) = rest else { return };
     let outcome = pass_on(&context, *rest, &attempt.payload.method).await;
     // Danger: an endpoint that dies meanwhile has counted as well just now.
     if !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
-        probe(context, endpoint).await;
+        health_check(context, endpoint).await;
     }
 }
 
@@ -124,7 +124,7 @@
 fn give_up(context: &Context, attempt: &Attempt, end: &End, upload: &RequestBody) {
     let never_ran = end.outcome.was_never_executed() || !upload.is_whole();
     let verdict = if never_ran { Verdict::Refused { come_back: Duration::ZERO } } else { Verdict::Failed };
-    context.book.finish(attempt.request, verdict);
+    context.request_table.finish(attempt.request, verdict);
 }
 
 /// Nothing else may be tried for the request from now on, and no timer runs for it.
@@ -153,8 +153,8 @@
     }
 }
 
-fn book(context: &Context, attempt: &Attempt, endpoint: EndpointId, took: Duration, end: End) {
-    let over = context.book.attempt_ended(attempt.request, end.answer);
+fn record_outcome(context: &Context, attempt: &Attempt, endpoint: EndpointId, took: Duration, end: End) {
+    let over = context.request_table.attempt_ended(attempt.request, end.answer);
     context.tell(Event::AttemptEnded(AttemptEnd {
         request: attempt.request,
         attempt: attempt.number,
@@ -167,8 +167,14 @@
 }
 
 /// Books the end of an attempt that never started.
-pub fn ended(context: &Context, request: RequestId, number: u32, endpoint: EndpointId, outcome: Outcome) {
-    let over = context.book.attempt_ended(request, None);
+pub fn report_end(
+    context: &Context,
+    request: RequestId,
+    number: u32,
+    endpoint: EndpointId,
+    outcome: Outcome,
+) {
+    let over = context.request_table.attempt_ended(request, None);
     let end = AttemptEnd {
         request,
         attempt: number,
@@ -468,7 +474,7 @@
 }
 
 /// Probes an endpoint and tells the decisions what came of it: nothing, where this machine could not ask.
-pub async fn probe(context: Rc<Context>, endpoint: EndpointId) {
+pub async fn health_check(context: Rc<Context>, endpoint: EndpointId) {
     let began = Instant::now();
     let lease = context.backends.lease(endpoint);
     let asked = async {
--- a/crates/proxy/src/stages/send/tests.rs
+++ b/crates/proxy/src/stages/attempt/tests.rs
@@ -82,15 +82,15 @@
         let payload = Rc::new(Payload { method: Method::GET, target: None, headers: HeaderMap::new(), body });
         let until = Instant::now() + left;
         let (request, _) =
-            self.context.book.open(HeaderValue::from_static(id), payload, until).expect("opened");
-        let (attempt, _) = self.context.book.attempt(request, until);
+            self.context.request_table.open(HeaderValue::from_static(id), payload, until).expect("opened");
+        let (attempt, _) = self.context.request_table.attempt(request, until);
         attempt.unwrap_or_else(|_| panic!("it is open"))
     }
 
     /// Runs an attempt to its end.
     async fn outcome(&self, id: &'static str, left: Duration) -> Outcome {
         let attempt = self.attempt(id, left);
-        super::attempt(self.context.clone(), attempt, ENDPOINT).await;
+        super::run(self.context.clone(), attempt, ENDPOINT).await;
         match self.told.0.borrow_mut().pop() {
             Some(Event::AttemptEnded(end)) => end.outcome,
             other => panic!("{other:?}"),
@@ -98,7 +98,7 @@
     }
 
     async fn checked(&self) -> Option<Outcome> {
-        probe(self.context.clone(), ENDPOINT).await;
+        health_check(self.context.clone(), ENDPOINT).await;
         match self.told.0.borrow_mut().pop() {
             Some(Event::HealthCheckCompleted { outcome, .. }) => Some(outcome),
             None => None,
--- a/crates/proxy/src/stages/context.rs
+++ b/crates/proxy/src/stages/context.rs
@@ -1,6 +1,6 @@
 //! What the stages share, and all that they may ask of whoever runs the decisions.
 
-use super::book::Book;
+use super::request_table::RequestTable;
 use crate::backends::Backends;
 use crate::bodies::BodyMemoryLimit;
 use crate::stats::Stats;
@@ -28,7 +28,7 @@
 /// What the stages of all requests to a cluster share.
 pub struct Context {
     /// Accounts of the open requests of all clusters.
-    pub book: Rc<Book>,
+    pub request_table: Rc<RequestTable>,
     /// Endpoints and connections.
     pub backends: Backends,
     /// Limits from the settings.
@@ -40,7 +40,7 @@
     /// Requests that are open here, and the most.
     open: Cell<usize>,
     most: Cell<usize>,
-    /// ClusterConfig took out whatever could take requests.
+    /// Administrators drained whatever could take requests.
     all_out: Cell<bool>,
     /// Not owned: it owns this.
     decisions: Weak<dyn Decisions>,
@@ -50,14 +50,14 @@
     /// No request is open here yet.
     pub fn new(
         decisions: Weak<dyn Decisions>,
-        book: Rc<Book>,
+        request_table: Rc<RequestTable>,
         backends: Backends,
         limits: Limits,
         budget: Rc<BodyMemoryLimit>,
         stats: Option<Arc<Stats>>,
     ) -> Context {
         let (open, most, all_out) = (Cell::new(0), Cell::new(usize::MAX), Cell::new(false));
-        Context { book, backends, limits, budget, stats, open, most, all_out, decisions }
+        Context { request_table, backends, limits, budget, stats, open, most, all_out, decisions }
     }
 
     /// Another limit to the requests that are open here holds from now on.
@@ -65,7 +65,7 @@
         self.most.set(most);
     }
 
-    /// ClusterConfig took out whatever could take requests, or no longer.
+    /// Administrators drained whatever could take requests, or no longer.
     pub fn set_all_out(&self, all_out: bool) {
         self.all_out.set(all_out);
     }
@@ -82,7 +82,7 @@
 
     /// Whether there is room for one more here, and in the proxy.
     pub fn has_room(&self) -> bool {
-        self.open.get() < self.most.get() && self.book.open_requests() < self.limits.open_requests
+        self.open.get() < self.most.get() && self.request_table.open_requests() < self.limits.open_requests
     }
 
     /// One more is open here.
--- a/crates/proxy/src/stages/gate.rs
+++ b/crates/proxy/src/stages/gate.rs
@@ -3,8 +3,8 @@
 //! Between the decision and that byte a connection has to come up, which may take as long as its time-out. Each fact
 //! is asked of whoever owns it, in that moment. What does not pass was never sent, and is decided anew.
 
-use super::book::Attempt;
 use super::context::Context;
+use super::request_table::Attempt;
 use crate::backends::Target;
 use olivecart_decisions::RequestId;
 use std::cell::Cell;
@@ -83,7 +83,7 @@
 
     fn check_at(&self, now: Instant) -> Result<(), Closed> {
         let head_age = self.head_built_at.get().map(|at| now.saturating_duration_since(at));
-        if !self.context.book.is_open(self.request) {
+        if !self.context.request_table.is_open(self.request) {
             Err(Closed::Ended(self.request))
         } else if !self.context.backends.still_takes(self.target) {
             Err(Closed::Withdrawn(self.target))
--- a/crates/proxy/src/stages/gate/tests.rs
+++ b/crates/proxy/src/stages/gate/tests.rs
@@ -36,12 +36,13 @@
     let (headers, body) = (HeaderMap::new(), Body::Whole { bytes: Bytes::new(), _share: None });
     let payload = Rc::new(Payload { method: Method::GET, target: None, headers, body });
     let far = Instant::now() + Duration::from_secs(600);
-    let (request, _) = context.book.open(HeaderValue::from_static("r"), payload, far).expect("opened");
+    let (request, _) =
+        context.request_table.open(HeaderValue::from_static("r"), payload, far).expect("opened");
     (context, request)
 }
 
 fn gate(context: &Rc<Context>, request: RequestId, start_by: Instant) -> WriteGate {
-    let (attempt, _) = context.book.attempt(request, start_by);
+    let (attempt, _) = context.request_table.attempt(request, start_by);
     let lease = context.backends.lease(ENDPOINT).expect("it is listed");
     let Ok(attempt) = attempt else { panic!("it is open") };
     WriteGate::new(context, &attempt, lease.target)
@@ -60,11 +61,11 @@
 fn it_closes_once_the_request_has_ended() {
     let (context, request) = stage();
     let gate = gate(&context, request, Instant::now() + Duration::from_secs(600));
-    assert!(context.book.abandon(request), "its client leaves");
+    assert!(context.request_table.abandon(request), "its client leaves");
     assert_eq!(gate.check(), Err(Closed::Ended(request)));
     let (context, request) = stage();
     let gate = self::gate(&context, request, Instant::now() + Duration::from_secs(600));
-    assert!(context.book.finish(request, Verdict::Failed), "or has its answer");
+    assert!(context.request_table.finish(request, Verdict::Failed), "or has its answer");
     assert_eq!(gate.check(), Err(Closed::Ended(request)));
 }
 
--- a/crates/proxy/src/stages/intake.rs
+++ b/crates/proxy/src/stages/parse.rs
@@ -20,7 +20,7 @@
 const ROOM: Duration = Duration::from_millis(1500);
 
 /// The request as a call, or why it is not one. Its time runs from its last byte.
-pub async fn take(
+pub async fn parse(
     mut request: Request,
     site: &RefCell<Site>,
     budget: &Rc<BodyMemoryLimit>,
--- a/crates/proxy/src/stages/book.rs
+++ b/crates/proxy/src/stages/request_table.rs
@@ -38,14 +38,14 @@
 
 /// All accounts. One stays until the request has ended and nothing of it is out.
 #[derive(Default)]
-pub struct Book {
+pub struct RequestTable {
     accounts: RefCell<FxHashMap<RequestId, Account>>,
     /// Those of the requests without a verdict.
     ids: RefCell<FxHashSet<HeaderValue>>,
     next: Cell<u64>,
 }
 
-impl Book {
+impl RequestTable {
     /// Requests without a verdict.
     pub fn open_requests(&self) -> usize {
         self.ids.borrow().len()
--- a/crates/proxy/src/stages/relay.rs
+++ b/crates/proxy/src/stages/response.rs
@@ -1,6 +1,6 @@
 //! Gives the client its one answer: what the decisions came to, or failed when they came to nothing in time.
 
-use super::admit::Held;
+use super::admission::Held;
 use crate::call::Verdict;
 use std::time::Duration;
 use tokio::time::sleep_until;
@@ -9,7 +9,7 @@
 const LAST_MOMENT: Duration = Duration::from_millis(2);
 
 /// The end of a request; none if the client went away first. An answer that is streamed has only begun.
-pub async fn relay(held: &mut Held, gone: impl Future<Output = ()>) -> Option<Verdict> {
+pub async fn wait(held: &mut Held, gone: impl Future<Output = ()>) -> Option<Verdict> {
     let (deadline, upload) = (held.deadline, held.upload.clone());
     let last_moment = async {
         // The time of a request runs from its last byte.
