--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -115,7 +115,7 @@
             id,
             class: ClassId(class as u16),
             tenant,
-            key: event.key,
+            idempotency_key: event.key,
             time_left: event.time_left_ns.max(0) as u64,
             estimated_work: event.estimated_work_ns,
             is_write: event.is_write,
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -139,7 +139,7 @@
         (bad_event, "unheard-of", true),
         (no_field, "txn", true),
         (batch(9, 10, &bad_class), "steal", true),
-        (batch(9, 10, &[unusable]), "outside its group", true),
+        (batch(9, 10, &[unusable]), "replica index is out of range", true),
         ("{\"batch\":9,".to_string(), "the first line", false),
         ("nonsense".to_string(), "the first line", false),
     ];
--- a/crates/decisions/src/endpoint_selection.rs
+++ b/crates/decisions/src/endpoint_selection.rs
@@ -89,7 +89,7 @@
             if endpoint.is_available() {
                 available += 1;
                 if endpoint.is_warm(self.now, &self.settings.rules) {
-                    warm.add(endpoint.entry.size, responses);
+                    warm.add(endpoint.entry.relative_capacity, responses);
                 }
             }
         }
@@ -162,7 +162,8 @@
         let sent_work = self.sent_work.decay(self.now, window);
         let mean_sent_rate = sent_work / self.mean_work / window / self.endpoints.len() as f64;
         let endpoint = &mut self.endpoints[slot];
-        let refill = BudgetRefill::new(warm, endpoint.entry.size, fraction, mean_sent_rate, rules);
+        let refill =
+            BudgetRefill::new(warm, endpoint.entry.relative_capacity, fraction, mean_sent_rate, rules);
         endpoint.slow_start.allows(self.now, self.request.work / self.mean_work, &refill)
     }
 }
--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -3,7 +3,7 @@
 //! Plain data. The embedding program (proxy, simulator's adapter, lab) makes the events and carries out the
 //! actions; nothing is decided here.
 
-use crate::id::{CellId, ClassId, EndpointId, KindId, Nanos, RequestId, TenantId, ZoneId};
+use crate::id::{CellId, ClassId, EndpointId, MachineKindId, Nanos, RequestId, TenantId, ZoneId};
 use std::rc::Rc;
 
 /// What a timer is for; handed back unchanged.
@@ -41,11 +41,11 @@
     /// Where it runs.
     pub zone: ZoneId,
     /// Its kind of machine.
-    pub kind: KindId,
+    pub machine_kind: MachineKindId,
     /// Its cell.
     pub cell: CellId,
     /// Its size, greater than 0 and comparable with that of others; 1 where nothing is known.
-    pub size: f64,
+    pub relative_capacity: f64,
     /// When its process last started; none if long ago.
     pub started: Option<Nanos>,
 }
@@ -57,7 +57,7 @@
             id,
             name: name.into(),
             state: EndpointState::Ready,
-            size: 1.0,
+            relative_capacity: 1.0,
             ..EndpointEntry::default()
         }
     }
@@ -86,7 +86,7 @@
     /// Its tenant, where there are any.
     pub tenant: Option<TenantId>,
     /// Its idempotency key; requests of one key belong together.
-    pub key: Option<u64>,
+    pub idempotency_key: Option<u64>,
     /// Time until the client gives up, in nanoseconds.
     pub time_left: Nanos,
     /// Expected work, as time on a standard core; rough.
@@ -104,7 +104,7 @@
             id,
             class,
             tenant: None,
-            key: None,
+            idempotency_key: None,
             time_left,
             estimated_work: None,
             is_write: false,
--- a/crates/decisions/src/id.rs
+++ b/crates/decisions/src/id.rs
@@ -29,7 +29,7 @@
 
 /// A kind of machine, numbered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KindId(pub u16);
+pub struct MachineKindId(pub u16);
 
 /// A cell: a small group of endpoints that share which idempotency keys they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -221,18 +221,18 @@
             return Err(InvalidSettings::NoClasses);
         }
         if self.replica_count == 0 || self.replica_index >= self.replica_count {
-            return Err(InvalidSettings::ReplicaIndex);
+            return Err(InvalidSettings::ReplicaIndexOutOfRange);
         }
         if self.limits.max_attempts == 0 {
             return Err(InvalidSettings::NoAttempts);
         }
         if self.classes.iter().any(|class| class.latency_objective == 0 || class.client_deadline == 0) {
-            return Err(InvalidSettings::ClassWithoutTime);
+            return Err(InvalidSettings::ZeroClassDuration);
         }
         let has_valid_share = (0.0..=1.0).contains(&self.rules.slow_start_initial_share);
         let has_valid_multiple = self.rules.overload_multiple > 0.0;
         if !has_valid_share || !has_valid_multiple {
-            return Err(InvalidSettings::SlowStartRule);
+            return Err(InvalidSettings::SlowStartOutOfRange);
         }
         Ok(())
     }
@@ -244,23 +244,23 @@
     /// [`Settings::classes`] is empty.
     NoClasses,
     /// [`Settings::replica_index`] is not below [`Settings::replica_count`].
-    ReplicaIndex,
+    ReplicaIndexOutOfRange,
     /// [`Limits::max_attempts`] is 0.
     NoAttempts,
     /// The latency objective or the deadline of a [`Class`] is 0.
-    ClassWithoutTime,
+    ZeroClassDuration,
     /// [`Rules::slow_start_initial_share`] or [`Rules::overload_multiple`] is out of its range.
-    SlowStartRule,
+    SlowStartOutOfRange,
 }
 
 impl fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            InvalidSettings::NoClasses => "settings: there is no class of requests",
-            InvalidSettings::ReplicaIndex => "settings: this instance's number lies outside its group",
-            InvalidSettings::NoAttempts => "settings: no attempt is allowed at all",
-            InvalidSettings::ClassWithoutTime => "settings: a class has no time to be answered in",
-            InvalidSettings::SlowStartRule => "settings: the figures of the cold rule are not usable",
+            InvalidSettings::NoClasses => "settings: no request class is configured",
+            InvalidSettings::ReplicaIndexOutOfRange => "settings: the replica index is out of range",
+            InvalidSettings::NoAttempts => "settings: the maximum number of attempts is 0",
+            InvalidSettings::ZeroClassDuration => "settings: a class has an objective or a deadline of 0",
+            InvalidSettings::SlowStartOutOfRange => "settings: a slow start value is out of range",
         })
     }
 }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -337,7 +337,11 @@
             call_to(b, silent)
         };
         let favourite = (0..4000).map(|_| call(&mut b, None)).last().expect("served");
-        let entry = EndpointEntry { started: Some(b.now), size, ..list(10)[favourite.0 as usize].clone() };
+        let entry = EndpointEntry {
+            started: Some(b.now),
+            relative_capacity: size,
+            ..list(10)[favourite.0 as usize].clone()
+        };
         b.list(EndpointUpdate::Delta(vec![entry]));
         (0..1000).filter(|_| call(&mut b, Some(favourite)) == favourite).count()
     };
--- a/crates/lab/src/model/topology.rs
+++ b/crates/lab/src/model/topology.rs
@@ -7,7 +7,7 @@
 use crate::policy::{self, PolicyFactory, UnknownPolicy};
 use crate::scenario::{self, DiscoveryMode, Scenario, Weights};
 use olivecart_decisions as decisions;
-use olivecart_decisions::{CellId, KindId, Nanos, ZoneId};
+use olivecart_decisions::{CellId, MachineKindId, Nanos, ZoneId};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
@@ -251,9 +251,9 @@
             name,
             state: entry.state,
             zone: ZoneId(spec.zone),
-            kind: KindId(spec.kind),
+            machine_kind: MachineKindId(spec.kind),
             cell: CellId(spec.cell),
-            size: spec.weight,
+            relative_capacity: spec.weight,
             started: (entry.started > 0).then_some(entry.started),
         }
     }
--- a/crates/lab/src/policy/policy_harness.rs
+++ b/crates/lab/src/policy/policy_harness.rs
@@ -134,7 +134,7 @@
     // ---- requests ----
 
     fn request_arrived(&mut self, request: Request, out: &mut Vec<Action>) {
-        let key = request.key.unwrap_or(request.id.0);
+        let key = request.idempotency_key.unwrap_or(request.id.0);
         let class = self.settings.classes.get(request.class.0 as usize);
         let latency_objective = class.map_or(0, |class| class.latency_objective);
         let open = OpenRequest {
--- a/crates/lab/tests/policies/checker.rs
+++ b/crates/lab/tests/policies/checker.rs
@@ -320,7 +320,11 @@
         let account = Account { class: class as usize, deadline, ended: false, attempts: Vec::new() };
         self.accounts.insert(id, account);
         self.due.insert((deadline + ANSWER_GRACE + 1, Due::Deadline(id)));
-        let request = Request { key, estimated_work: Some(WORK), ..Request::new(id, ClassId(class), left) };
+        let request = Request {
+            idempotency_key: key,
+            estimated_work: Some(WORK),
+            ..Request::new(id, ClassId(class), left)
+        };
         self.tell(Event::RequestArrived(request));
         id
     }
--- a/crates/proxy/src/cluster_runtime/endpoint_list.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_list.rs
@@ -145,14 +145,14 @@
 /// The reverse of [`numbered`], with the start time that the list gave.
 fn named(site: &Site, start_times: &StartTimes, (entry, address): &AddressedEntry) -> Endpoint<'static> {
     let zone = site.zones.name(entry.zone.0.into());
-    let kind = site.kinds.name(entry.kind.0.into());
+    let kind = site.kinds.name(entry.machine_kind.0.into());
     Endpoint {
         name: entry.name.to_string().into(),
         state: entry.state,
         zone: zone.map_or("".into(), |name| name.to_string().into()),
         kind: kind.map_or("".into(), |name| name.to_string().into()),
         cell: entry.cell.0,
-        size: entry.size,
+        size: entry.relative_capacity,
         started: start_times.listed(&entry.name, entry.started),
         addr: *address,
     }
--- a/crates/proxy/src/clusters/catalog_steps.rs
+++ b/crates/proxy/src/clusters/catalog_steps.rs
@@ -3,7 +3,7 @@
 use super::Clusters;
 use crate::catalog::{Numbered, Step};
 use crate::cluster_runtime::{ClusterRuntime, RuntimeConfig};
-use olivecart_decisions::{CellId, EndpointEntry, EndpointId, KindId, ZoneId};
+use olivecart_decisions::{CellId, EndpointEntry, EndpointId, MachineKindId, ZoneId};
 use olivecart_membership::{ClusterName, ClusterSettings};
 use olivecart_settings::Site;
 use rustc_hash::FxBuildHasher;
@@ -125,9 +125,9 @@
         name: endpoint.name.as_str().into(),
         state: *state,
         zone: ZoneId(site.zones.id(endpoint.zone.as_str()) as u16),
-        kind: KindId(site.kinds.id(endpoint.kind.as_str()) as u16),
+        machine_kind: MachineKindId(site.kinds.id(endpoint.kind.as_str()) as u16),
         cell: CellId(endpoint.cell),
-        size: endpoint.weight,
+        relative_capacity: endpoint.weight,
         started: endpoint.started,
     }
 }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -6,7 +6,7 @@
 use crate::names::NameTable;
 use crate::object::SettingsObject;
 use olivecart_decisions::{
-    CellId, EndpointEntry, EndpointId, EndpointState, KindId, LoadReport, Nanos, Settings, ZoneId,
+    CellId, EndpointEntry, EndpointId, EndpointState, LoadReport, MachineKindId, Nanos, Settings, ZoneId,
 };
 use std::time::Duration;
 
@@ -91,9 +91,9 @@
             name,
             state: listed.state,
             zone: ZoneId(self.zones.id(listed.zone) as u16),
-            kind: KindId(self.kinds.id(listed.kind) as u16),
+            machine_kind: MachineKindId(self.kinds.id(listed.kind) as u16),
             cell: CellId(listed.cell),
-            size: listed.size,
+            relative_capacity: listed.size,
             started: listed.started,
         }
     }
--- a/crates/settings/tests/read.rs
+++ b/crates/settings/tests/read.rs
@@ -112,7 +112,7 @@
     let first = site.entry(&listed("x"));
     let second = site.entry(&listed("y"));
     assert_eq!((first.id, second.id, &*second.name), (EndpointId(0), EndpointId(1), "y"));
-    assert_eq!((first.zone.0, first.kind.0, first.cell.0), (1, 0, 3));
+    assert_eq!((first.zone.0, first.machine_kind.0, first.cell.0), (1, 0, 3));
     assert_eq!(site.entry(&listed("x")).id, first.id);
     let load = site.load_row(vec![Some(4.0), Some(5.0), None]);
     assert_eq!((load.rate, load.cpu, load.active), (Some(4.0), None, None));
