--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -1,9 +1,9 @@
-//! Where the endpoints are, and the connections to them.
+//! The endpoints of a cluster and the pool of connections to them.
 //!
-//! Each connection is an awc client of its own with a pool of one: which connection an attempt uses, how many
-//! are open, and when an idle one goes is then decided here and not by a pool that shares them out.
+//! Each connection is a separate awc client with a pool of one. So this module, and not awc's pool, decides
+//! which connection an attempt uses, how many connections are open, and when an idle connection is closed.
 
-use crate::bodies::LONGEST;
+use crate::bodies::MAX_BODY_BYTES;
 use crate::connect::{Connect, ConnectFailure, SystemConnect};
 use crate::descriptors::{Descriptors, Holder, Open};
 use crate::response_monitor::ResponseMonitor;
@@ -24,86 +24,86 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Part of the other side's idle time for which a connection is kept: a request that is written while it is
-/// being closed over there may have run.
-const KEPT: f64 = 0.8;
+/// The fraction of the endpoint's idle timeout for which a connection is kept. A request that is written
+/// while the endpoint closes the connection may have been executed, so that it can't be retried.
+const IDLE_LIFETIME_FRACTION: f64 = 0.8;
 
-/// The end of a connection that its peer ends right after an answer is here within this time.
-const SETTLES: Duration = Duration::from_millis(5);
+/// If a peer closes a connection right after a response, the close is noticed here within this time.
+const CLOSE_DETECTION_DELAY: Duration = Duration::from_millis(5);
 
-/// A client takes a connection that is established already at once.
-const HANDED_OVER: Duration = Duration::from_secs(60);
+/// The connect timeout of clients whose connection is already established, so that they never wait.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A process at an endpoint, as the list named it when a connection was chosen.
+/// A process at an endpoint, as it was listed when the connection was leased.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Where it was.
+    /// Its address.
     pub addr: SocketAddr,
     started: Option<u64>,
 }
 
-/// Why there is no connection to use for an endpoint.
+/// Why there is no connection for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseError {
-    /// The list gives no address for it.
+    /// The endpoint is listed without an address.
     #[error("endpoint {} has no address", .0.0)]
     NoAddress(EndpointId),
-    /// As many connections are open as may be: no fault of the endpoint.
-    #[error("no descriptor is left for a connection to endpoint {}", .0.0)]
+    /// A limit on connections of this process is reached, which is no failure of the endpoint.
+    #[error("no file descriptor available for a connection to endpoint {}", .0.0)]
     AtLimit(EndpointId),
 }
 
-/// A connection, or the means to make one.
+/// A pooled connection, or one that is still to be established, for the exclusive use of its owner.
 pub struct Lease {
-    /// The client that holds it.
+    /// The client that owns the connection.
     pub client: Client,
-    /// Where it leads.
+    /// The process at the other end.
     pub target: Target,
-    /// What became of it.
-    pub seen: Rc<ResponseMonitor>,
-    /// It was kept from an earlier request.
-    pub kept: bool,
-    /// Established and not yet taken by the client.
+    /// The state of the connection and of the exchange on it.
+    pub monitor: Rc<ResponseMonitor>,
+    /// Whether the connection was used for an earlier request.
+    pub reused: bool,
+    /// The established connection, until the client takes it.
     established: Established,
     connect: Rc<dyn Connect>,
     connect_timeout: Duration,
-    /// Of all connections, and of this cluster's.
+    /// Counts this connection among those of all clusters and those of this cluster.
     _open: [Open; 2],
 }
 
-/// Where a connection that has come up waits for the client that is to use it.
+/// Passes an established connection to the client that uses it.
 type Established = Rc<RefCell<Option<TcpStream>>>;
 
 impl fmt::Debug for Lease {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.debug_struct("Lease")
             .field("target", &self.target)
-            .field("kept", &self.kept)
+            .field("reused", &self.reused)
             .finish_non_exhaustive()
     }
 }
 
 impl Lease {
-    /// Establishes a connection for the next request that the client sends.
+    /// Establishes a connection for the next request of the client.
     ///
     /// # Errors
-    /// It does not come up; [`ConnectFailure`] says whose fault that is.
+    /// The connection can't be established; [`ConnectFailure`] distinguishes local causes from remote ones.
     pub async fn connect(&self) -> Result<(), ConnectFailure> {
         let addr = self.target.addr;
         let connected = timeout(self.connect_timeout, self.connect.connect(addr)).await;
         let stream = connected
             .map_err(|_| ConnectFailure::TimedOut(addr))?
             .map_err(|error| ConnectFailure::of(addr, error))?;
-        let _ = stream.set_nodelay(true); // a hint; without it small requests wait for acknowledgements
-        self.seen.on_connected();
+        let _ = stream.set_nodelay(true); // optional: without it, small requests wait for acknowledgements
+        self.monitor.on_connected();
         self.established.replace(Some(stream));
         Ok(())
     }
 }
 
-struct Idle {
+struct IdleConnection {
     lease: Lease,
     since: Instant,
 }
@@ -113,100 +113,107 @@
     addr: Option<SocketAddr>,
     started: Option<u64>,
     ready: bool,
-    /// Most recently used last.
-    idle: Vec<Idle>,
-    /// When it was last found to have ended a connection that was kept.
-    ended_one: Option<Instant>,
+    /// Idle connections, the most recently used last.
+    idle: Vec<IdleConnection>,
+    /// When the endpoint was last found to have closed a pooled connection.
+    closed_pooled_at: Option<Instant>,
 }
 
 impl Backend {
-    /// Whether it is still this process, and takes requests.
-    fn is(&self, target: Target) -> bool {
+    /// Whether the endpoint is still the target's process and ready.
+    fn is_ready_at(&self, target: Target) -> bool {
         self.ready && self.addr == Some(target.addr) && self.started == target.started
     }
 }
 
-/// Endpoints by number.
+/// The endpoints of a cluster, indexed by their number.
 #[derive(Default)]
-struct Table(RefCell<Vec<Backend>>);
+struct BackendTable(RefCell<Vec<Backend>>);
 
-/// All endpoints of a cluster.
+/// The endpoints of a cluster and the connections to them.
 pub struct Backends {
-    table: Rc<Table>,
+    table: Rc<BackendTable>,
     connect_timeout: Cell<Duration>,
-    idle_life: Duration,
-    /// How many take requests.
-    ready: Cell<usize>,
-    /// What all clusters share.
+    idle_lifetime: Duration,
+    /// The number of ready endpoints.
+    ready_count: Cell<usize>,
+    /// The limit on connections of all clusters.
     descriptors: Rc<Descriptors>,
-    /// Most connections of this one, idle ones included, and how many there are.
-    most: Cell<usize>,
+    /// The limit on connections of this cluster, idle ones included, and the counter of open ones.
+    max_connections: Cell<usize>,
     open: Open,
     connect: Rc<dyn Connect>,
     log: Logger,
 }
 
-impl Holder for Table {
+impl Holder for BackendTable {
     fn most_idle(&self) -> usize {
         self.0.borrow().iter().map(|b| b.idle.len()).max().unwrap_or(0)
     }
 
     fn give_up(&self) {
-        let mut table = self.0.borrow_mut();
-        let fullest = table.iter_mut().max_by_key(|b| b.idle.len()).filter(|b| !b.idle.is_empty());
-        fullest.into_iter().for_each(|b| _ = b.idle.remove(0));
+        let mut backends = self.0.borrow_mut();
+        let most_idle = backends.iter_mut().max_by_key(|b| b.idle.len()).filter(|b| !b.idle.is_empty());
+        most_idle.into_iter().for_each(|b| _ = b.idle.remove(0));
     }
 }
 
 impl Backends {
-    /// `idle_close`: the other side closes an idle connection after this; ours go well before.
+    /// Creates a cluster without endpoints. `idle_timeout` is the time after which endpoints close idle
+    /// connections; this side closes them well before.
     pub fn new(
         connect_timeout: Duration,
-        idle_close: Duration,
+        idle_timeout: Duration,
         descriptors: Rc<Descriptors>,
         log: Logger,
     ) -> Backends {
-        let table: Rc<Table> = Rc::default();
+        let table: Rc<BackendTable> = Rc::default();
         let holder = Rc::downgrade(&table);
         descriptors.enter(holder);
         Backends {
             table,
             connect_timeout: Cell::new(connect_timeout),
-            idle_life: idle_close.mul_f64(KEPT),
-            ready: Cell::new(0),
+            idle_lifetime: idle_timeout.mul_f64(IDLE_LIFETIME_FRACTION),
+            ready_count: Cell::new(0),
             descriptors,
-            most: Cell::new(usize::MAX),
+            max_connections: Cell::new(usize::MAX),
             open: Rc::default(),
             connect: Rc::new(SystemConnect),
             log,
         }
     }
 
-    /// Establishes its connections through this from now on.
+    /// Replaces how connections are established.
     #[cfg(test)]
-    pub fn connecting_through(self, connect: Rc<dyn Connect>) -> Backends {
+    pub fn with_connect(self, connect: Rc<dyn Connect>) -> Backends {
         Backends { connect, ..self }
     }
 
-    /// Other limits hold for this cluster from now on.
-    pub fn adopt(&self, connect_timeout: Duration, most: usize) {
+    /// Sets the connect timeout and the limit on connections of this cluster.
+    pub fn set_limits(&self, connect_timeout: Duration, max_connections: usize) {
         self.connect_timeout.set(connect_timeout);
-        self.most.set(most);
+        self.max_connections.set(max_connections);
     }
 
-    /// Where it logs.
+    /// The cluster's logger.
     pub fn log(&self) -> &Logger {
         &self.log
     }
 
-    /// How many connections are open, idle ones included.
+    /// The number of open connections, idle ones included.
     pub fn connections(&self) -> usize {
         Rc::strong_count(&self.open) - 1
     }
 
-    /// Notes where an endpoint is. One that moved, or is another process now, has none of the old
-    /// connections.
-    pub fn place(&self, endpoint: EndpointId, addr: Option<SocketAddr>, started: Option<u64>, ready: bool) {
+    /// Records the listed state of an endpoint. Closes its idle connections if the address or the start time
+    /// changed, or if the endpoint is not ready.
+    pub fn update_endpoint(
+        &self,
+        endpoint: EndpointId,
+        addr: Option<SocketAddr>,
+        started: Option<u64>,
+        ready: bool,
+    ) {
         let slot = endpoint.0 as usize;
         let mut table = self.table.0.borrow_mut();
         if table.len() <= slot {
@@ -216,84 +223,88 @@
         if backend.addr != addr || backend.started != started || !ready {
             backend.idle.clear();
         }
-        self.ready.set(self.ready.get() + usize::from(ready) - usize::from(backend.ready));
+        self.ready_count.set(self.ready_count.get() + usize::from(ready) - usize::from(backend.ready));
         (backend.addr, backend.started, backend.ready) = (addr, started, ready);
     }
 
-    /// Nothing takes requests any more, and nothing is kept for one.
+    /// Marks all endpoints as not ready and closes their idle connections.
     pub fn close(&self) {
-        self.forget_all();
-        self.sweep();
+        self.mark_all_unready();
+        self.close_expired();
     }
 
-    /// A whole list follows: what it does not name takes no more requests.
-    pub fn forget_all(&self) {
+    /// Marks all endpoints as not ready. Called before a snapshot is applied, so that endpoints missing in it
+    /// take no more requests.
+    pub fn mark_all_unready(&self) {
         self.table.0.borrow_mut().iter_mut().for_each(|b| b.ready = false);
-        self.ready.set(0);
+        self.ready_count.set(0);
     }
 
-    /// Whether the list names an endpoint as ready.
+    /// Whether an endpoint is listed as ready.
     pub fn takes_requests(&self, endpoint: EndpointId) -> bool {
         self.table.0.borrow().get(endpoint.0 as usize).is_some_and(|b| b.ready)
     }
 
-    /// Whether a target still takes requests: the list names the same process as ready.
-    pub fn still_takes(&self, target: Target) -> bool {
+    /// Whether the target's process is still listed as ready.
+    pub fn still_takes_requests(&self, target: Target) -> bool {
         let table = self.table.0.borrow();
-        table.get(target.endpoint.0 as usize).is_some_and(|backend| backend.is(target))
+        table.get(target.endpoint.0 as usize).is_some_and(|backend| backend.is_ready_at(target))
     }
 
-    /// Whether it names any.
+    /// Whether any endpoint is listed as ready.
     pub fn any_takes_requests(&self) -> bool {
-        self.ready.get() > 0
+        self.ready_count.get() > 0
     }
 
-    /// A connection to an endpoint: the idle one used last, or a new one that is still to be established.
+    /// Leases a connection to an endpoint: the most recently used idle one, or a new one that is still to be
+    /// established.
     ///
     /// # Errors
-    /// Nobody knows where it is, or there are no descriptors left for it.
+    /// The endpoint has no known address, or a limit on connections is reached.
     pub fn lease(&self, endpoint: EndpointId) -> Result<Lease, LeaseError> {
         let unknown = LeaseError::NoAddress(endpoint);
         let mut table = self.table.0.borrow_mut();
         let backend = table.get_mut(endpoint.0 as usize).ok_or(unknown)?;
         let target = Target { endpoint, addr: backend.addr.ok_or(unknown)?, started: backend.started };
-        // Danger: one that ends connections right after an answer. Where that was seen lately, a connection is
-        // used again only once the end would have come.
-        let wary = backend.ended_one.is_some_and(|at| at.elapsed() < self.idle_life);
-        let settled = |idle: &Idle| !wary || idle.since.elapsed() >= SETTLES;
-        if let Some(at) = backend.idle.iter().rposition(settled) {
-            let idle = backend.idle.remove(at);
-            if idle.since.elapsed() < self.idle_life {
-                return Ok(Lease { kept: true, ..idle.lease });
+        // Some endpoints close connections right after a response. If this endpoint closed a pooled
+        // connection lately, a connection is reused only after such a close would have been noticed.
+        let closed_lately = backend.closed_pooled_at.is_some_and(|at| at.elapsed() < self.idle_lifetime);
+        let is_usable =
+            |idle: &IdleConnection| !closed_lately || idle.since.elapsed() >= CLOSE_DETECTION_DELAY;
+        if let Some(index) = backend.idle.iter().rposition(is_usable) {
+            let idle = backend.idle.remove(index);
+            if idle.since.elapsed() < self.idle_lifetime {
+                return Ok(Lease { reused: true, ..idle.lease });
             }
         }
-        drop(table); // which may have to make room
-        if self.connections() >= self.most.get() {
+        drop(table); // borrowed again below to close an idle connection
+        if self.connections() >= self.max_connections.get() {
             self.table.give_up();
-            if self.connections() >= self.most.get() {
+            if self.connections() >= self.max_connections.get() {
                 return Err(LeaseError::AtLimit(endpoint));
             }
         }
         debug!(self.log, "connect"; "open" => self.connections(), "endpoint" => endpoint.0);
         let descriptor = self.descriptors.take().ok_or(LeaseError::AtLimit(endpoint))?;
-        Ok(self.connection(target, [descriptor, self.open.clone()]))
+        Ok(self.new_lease(target, [descriptor, self.open.clone()]))
     }
 
-    /// Takes back a connection if it can carry another request and the endpoint is where it was and takes any.
-    pub fn give_back(&self, lease: Lease) {
+    /// Keeps a connection for another request if it is reusable and its target is still ready, and closes it
+    /// otherwise.
+    pub fn release(&self, lease: Lease) {
         let mut table = self.table.0.borrow_mut();
         if let Some(backend) = table.get_mut(lease.target.endpoint.0 as usize)
-            && backend.is(lease.target)
-            && lease.seen.reusable()
+            && backend.is_ready_at(lease.target)
+            && lease.monitor.is_reusable()
         {
-            backend.idle.push(Idle { lease, since: Instant::now() });
+            backend.idle.push(IdleConnection { lease, since: Instant::now() });
         }
     }
 
-    /// Notes that an endpoint had ended a connection that was kept.
-    pub fn ended_one(&self, endpoint: EndpointId) {
+    /// Records that an endpoint closed a pooled connection.
+    pub fn on_pooled_connection_closed(&self, endpoint: EndpointId) {
         if let Some(backend) = self.table.0.borrow_mut().get_mut(endpoint.0 as usize) {
-            backend.ended_one = Some(Instant::now());
+            backend.closed_pooled_at = Some(Instant::now());
         }
     }
 
@@ -304,23 +315,24 @@
         }
     }
 
-    /// Closes what has been idle for long.
-    pub fn sweep(&self) {
-        let life = self.idle_life;
+    /// Closes connections that have been idle for their lifetime, and all idle connections to endpoints that
+    /// are not ready.
+    pub fn close_expired(&self) {
+        let lifetime = self.idle_lifetime;
         for backend in self.table.0.borrow_mut().iter_mut() {
             let ready = backend.ready;
-            backend.idle.retain(|idle| ready && idle.since.elapsed() < life);
+            backend.idle.retain(|idle| ready && idle.since.elapsed() < lifetime);
         }
     }
 
-    fn connection(&self, target: Target, open: [Open; 2]) -> Lease {
-        let seen = Rc::new(ResponseMonitor::new(LONGEST as usize));
+    fn new_lease(&self, target: Target, open: [Open; 2]) -> Lease {
+        let monitor = Rc::new(ResponseMonitor::new(MAX_BODY_BYTES as usize));
         let established = Established::default();
         Lease {
-            client: client_of(&established, &seen),
+            client: client_of(&established, &monitor),
             target,
-            seen,
-            kept: false,
+            monitor,
+            reused: false,
             established,
             connect: self.connect.clone(),
             connect_timeout: self.connect_timeout.get(),
@@ -329,32 +341,32 @@
     }
 }
 
-/// A client that uses the connection that was established for it. Asked for another, it says
-/// `ConnectError::Io`: the one it kept has ended, and nothing was sent.
-fn client_of(established: &Established, seen: &Rc<ResponseMonitor>) -> Client {
-    let (established, seen) = (established.clone(), seen.clone());
-    plain_client(HANDED_OVER, move || {
-        let connection = established.take().map(|stream| Wire { stream, observer: seen.clone() });
+/// Creates a client that uses the connection established for it. If its pooled connection was closed and none
+/// is established, a request fails with `ConnectError::Io` and nothing is sent.
+fn client_of(established: &Established, monitor: &Rc<ResponseMonitor>) -> Client {
+    let (established, monitor) = (established.clone(), monitor.clone());
+    plain_client(HANDOVER_TIMEOUT, move || {
+        let connection = established.take().map(|stream| Wire { stream, observer: monitor.clone() });
         ready(connection.ok_or_else(|| io::Error::from(io::ErrorKind::NotConnected)))
     })
 }
 
-/// A client that connects to one address when it is asked to send something.
-pub fn client(addr: SocketAddr, connect_timeout: Duration, seen: &Rc<ResponseMonitor>) -> Client {
-    let seen = seen.clone();
+/// Creates a client that connects to one address when it sends a request.
+pub fn client(addr: SocketAddr, connect_timeout: Duration, monitor: &Rc<ResponseMonitor>) -> Client {
+    let monitor = monitor.clone();
     plain_client(connect_timeout, move || {
-        let seen = seen.clone();
+        let monitor = monitor.clone();
         async move {
             let stream = TcpStream::connect(addr).await?;
             let _ = stream.set_nodelay(true);
-            seen.on_connected();
-            Ok(Wire { stream, observer: seen })
+            monitor.on_connected();
+            Ok(Wire { stream, observer: monitor })
         }
     })
 }
 
-/// An awc client that does nothing by itself: no time-outs of its own, no redirects, no headers, and no
-/// lingering when a connection is dropped.
+/// Creates an awc client without response timeouts, redirects, default headers, and without a graceful
+/// shutdown of dropped connections.
 fn plain_client<F>(connect_timeout: Duration, connect: impl Fn() -> F + Clone + 'static) -> Client
 where
     F: Future<Output = io::Result<Wire<ResponseMonitor>>> + 'static,
--- a/crates/proxy/src/bodies/buffered_body.rs
+++ b/crates/proxy/src/bodies/buffered_body.rs
@@ -1,35 +1,35 @@
-//! The parts of a body, joined in memory.
+//! A body that is collected in memory.
 
 use bytes::{Bytes, BytesMut};
 
-/// What has come so far. A body in one piece, as most are, is kept as the very bytes that came.
+/// The chunks received so far. A body of one chunk, as most are, is not copied.
 #[derive(Default)]
 pub struct BufferedBody {
     first: Bytes,
-    whole: BytesMut,
+    joined: BytesMut,
 }
 
 impl BufferedBody {
-    /// One more part.
-    pub fn push(&mut self, part: Bytes) {
-        match (self.first.is_empty(), self.whole.is_empty()) {
-            (true, true) => self.first = part,
+    /// Appends a chunk.
+    pub fn push(&mut self, chunk: Bytes) {
+        match (self.first.is_empty(), self.joined.is_empty()) {
+            (true, true) => self.first = chunk,
             (_, true) => {
-                self.whole.extend_from_slice(&std::mem::take(&mut self.first));
-                self.whole.extend_from_slice(&part);
+                self.joined.extend_from_slice(&std::mem::take(&mut self.first));
+                self.joined.extend_from_slice(&chunk);
             }
-            _ => self.whole.extend_from_slice(&part),
+            _ => self.joined.extend_from_slice(&chunk),
         }
     }
 
-    /// Bytes so far.
+    /// The number of bytes received so far.
     pub fn len(&self) -> usize {
-        self.first.len() + self.whole.len()
+        self.first.len() + self.joined.len()
     }
 
-    /// All of them.
+    /// Returns the bytes of all chunks.
     pub fn bytes(self) -> Bytes {
-        if self.whole.is_empty() { self.first } else { self.whole.freeze() }
+        if self.joined.is_empty() { self.first } else { self.joined.freeze() }
     }
 }
 
--- a/crates/proxy/src/bodies/memory_limit.rs
+++ b/crates/proxy/src/bodies/memory_limit.rs
@@ -1,69 +1,70 @@
-//! The limit on the memory that all streamed bodies may hold together.
+//! The limit on the memory that all streamed bodies together may occupy.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The limit in bytes, and how many are reserved.
+/// The limit in bytes, and how many bytes are reserved.
 #[derive(Default)]
 pub struct BodyMemoryLimit {
-    most: Cell<usize>,
-    held: Cell<usize>,
-    /// The most that was ever held.
+    limit: Cell<usize>,
+    reserved: Cell<usize>,
+    /// The most bytes that were reserved at any time.
     peak: Cell<usize>,
-    freed: Notify,
+    released: Notify,
 }
 
-/// A part of the limit, reserved while this lives.
+/// A number of reserved bytes, released when this is dropped.
 pub struct BodyMemoryReservation {
-    budget: Rc<BodyMemoryLimit>,
+    limit: Rc<BodyMemoryLimit>,
     bytes: usize,
 }
 
 impl BodyMemoryLimit {
-    /// Nothing is held.
-    pub fn new(most: usize) -> BodyMemoryLimit {
-        BodyMemoryLimit { most: Cell::new(most), ..BodyMemoryLimit::default() }
+    /// Creates a limit without reservations.
+    pub fn new(limit: usize) -> BodyMemoryLimit {
+        BodyMemoryLimit { limit: Cell::new(limit), ..BodyMemoryLimit::default() }
     }
 
-    /// Another limit holds from now on. What is held stays.
-    pub fn adopt(&self, most: usize) {
-        self.most.set(most);
-        self.freed.notify_waiters();
+    /// Changes the limit. Existing reservations stay.
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
+        self.released.notify_waiters();
     }
 
-    /// The most that was ever held.
+    /// The most bytes that were reserved at any time.
     pub fn peak(&self) -> usize {
         self.peak.get()
     }
 
-    /// Reserves so many bytes, if they are free. The first share is always had: a limit below it would let nothing pass.
-    pub fn take(self: &Rc<Self>, bytes: usize) -> Option<BodyMemoryReservation> {
-        let held = self.held.get() + bytes;
-        if held > self.most.get() && self.held.get() > 0 {
+    /// Reserves bytes if the limit allows it. The only reservation may exceed the limit: otherwise a low
+    /// limit would let no long body pass.
+    pub fn try_reserve(self: &Rc<Self>, bytes: usize) -> Option<BodyMemoryReservation> {
+        let reserved = self.reserved.get() + bytes;
+        if reserved > self.limit.get() && self.reserved.get() > 0 {
             return None;
         }
-        self.held.set(held);
-        self.peak.set(self.peak.get().max(held));
-        Some(BodyMemoryReservation { budget: self.clone(), bytes })
+        self.reserved.set(reserved);
+        self.peak.set(self.peak.get().max(reserved));
+        Some(BodyMemoryReservation { limit: self.clone(), bytes })
     }
 
-    /// Reserves so many bytes as soon as they are free.
-    pub async fn wait(self: &Rc<Self>, bytes: usize) -> BodyMemoryReservation {
+    /// Reserves bytes as soon as the limit allows it.
+    pub async fn reserve(self: &Rc<Self>, bytes: usize) -> BodyMemoryReservation {
         loop {
-            let freed = self.freed.notified();
-            if let Some(share) = self.take(bytes) {
-                return share;
+            let released = self.released.notified();
+            if let Some(reservation) = self.try_reserve(bytes) {
+                return reservation;
             }
-            freed.await;
+            released.await;
         }
     }
 }
 
 impl Drop for BodyMemoryReservation {
     fn drop(&mut self) {
-        self.budget.held.set(self.budget.held.get() - self.bytes);
-        self.budget.freed.notify_waiters();
+        self.limit.reserved.set(self.limit.reserved.get() - self.bytes);
+        self.limit.released.notify_waiters();
     }
 }
 
--- a/crates/proxy/src/bodies/memory_limit/tests.rs
+++ b/crates/proxy/src/bodies/memory_limit/tests.rs
@@ -3,17 +3,17 @@
 
 #[test]
 fn reservation_over_the_limit_waits_until_memory_is_released() {
-    let budget = Rc::new(BodyMemoryLimit::new(10));
-    let first = budget.take(6).expect("room");
-    assert!(budget.take(5).is_none());
-    let mut waits = Box::pin(budget.wait(5));
-    assert!((&mut waits).now_or_never().is_none());
+    let limit = Rc::new(BodyMemoryLimit::new(10));
+    let first = limit.try_reserve(6).expect("within the limit");
+    assert!(limit.try_reserve(5).is_none());
+    let mut waiting = Box::pin(limit.reserve(5));
+    assert!((&mut waiting).now_or_never().is_none());
     drop(first);
-    let second = (&mut waits).now_or_never().expect("given back");
-    assert!(budget.take(6).is_none());
-    budget.adopt(11);
-    let third = budget.take(6).expect("a higher limit");
+    let second = (&mut waiting).now_or_never().expect("memory was released");
+    assert!(limit.try_reserve(6).is_none());
+    limit.set_limit(11);
+    let third = limit.try_reserve(6).expect("within the higher limit");
     drop((second, third));
-    assert!(budget.take(100).is_some(), "one alone passes, however long");
-    assert_eq!(budget.peak(), 100);
+    assert!(limit.try_reserve(100).is_some(), "the only reservation may exceed the limit");
+    assert_eq!(limit.peak(), 100);
 }
--- a/crates/proxy/src/bodies/mod.rs
+++ b/crates/proxy/src/bodies/mod.rs
@@ -1,7 +1,8 @@
-//! Bodies too long to be buffered whole: they are streamed in parts, at the pace of the slower side.
+//! Buffers request and response bodies, and streams those that are too long to be buffered whole, at the pace
+//! of the slower side.
 //!
-//! Owns the buffers of request and response bodies and the one [`BodyMemoryLimit`] that bounds them; the stages and the
-//! listener use it. It never looks at requests, endpoints or clients.
+//! Owns the buffers and the [`BodyMemoryLimit`] that bounds them all; the stages and the listener use it. It
+//! knows nothing of requests, endpoints or clients.
 
 mod buffered_body;
 mod memory_limit;
@@ -11,13 +12,13 @@
 pub use buffered_body::BufferedBody;
 pub use memory_limit::{BodyMemoryLimit, BodyMemoryReservation};
 pub use request_body::RequestBody;
-pub use response_body::{BodySender, Broken, ResponseBody, feed};
+pub use response_body::{BodySender, IncompleteResponse, ResponseBody, body_channel};
 
-/// Bodies up to this length are held whole: an answer is known to be good before any of it goes on, and a request can
-/// be sent again. The platform's usual bodies are no longer.
-pub const SHORT: usize = 64 * 1024;
-/// Longest body, either way.
-pub const LONGEST: u64 = 32 << 20;
-/// What a long body holds on its way at most: what the HTTP library has read ahead of it, a part in each queue, and
-/// what waits to be written.
-pub const ON_THE_WAY: usize = 256 * 1024;
+/// Bodies up to this length are buffered whole: a response is known to be complete before any of it is
+/// forwarded, and a request can be sent again. Most bodies on the platform are not longer.
+pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// The longest accepted body of a request or a response.
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
+/// The most that a streamed body occupies in memory: what the HTTP library has read ahead, one chunk in each
+/// queue, and what waits to be written.
+pub const MAX_IN_TRANSIT_BYTES: usize = 256 * 1024;
--- a/crates/proxy/src/bodies/request_body.rs
+++ b/crates/proxy/src/bodies/request_body.rs
@@ -1,6 +1,6 @@
-//! A request body that is streamed to an endpoint, with the buffered beginning that a retry can send again.
+//! A request body that is streamed to an endpoint. Its start is buffered, so that a retry can send it again.
 
-use super::LONGEST;
+use super::MAX_BODY_BYTES;
 use super::memory_limit::BodyMemoryReservation;
 use actix_http::body::{BodySize, MessageBody};
 use actix_http::error::PayloadError;
@@ -14,124 +14,124 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-/// Why a body does not go on to its end.
+/// Why a body can't be sent to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestBodyError {
-    /// Its client broke off.
-    #[error("the client's body broke off: {0}")]
-    Broken(#[from] PayloadError),
-    /// It is longer than any may be.
-    #[error("the client's body is longer than {LONGEST} bytes")]
+    /// The client's body ended early, or its connection failed.
+    #[error("request body is incomplete: {0}")]
+    Incomplete(#[from] PayloadError),
+    /// The body is longer than the limit.
+    #[error("request body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
-    /// Some of it was sent elsewhere and let go.
-    #[error("the client's body is not held any more")]
+    /// A part of the body is no longer buffered, since another attempt has received it.
+    #[error("request body is no longer buffered")]
     Released,
 }
 
 type Source = Pin<Box<dyn Stream<Item = Result<Bytes, PayloadError>>>>;
 
-/// A body of which the beginning is held, so that it can be sent again until more than that was asked for.
+/// A body whose start is buffered. It can be sent again until an attempt reads beyond the buffered start.
 pub struct RequestBody {
     length: Option<u64>,
-    held: RefCell<Vec<Bytes>>,
+    buffered: RefCell<Vec<Bytes>>,
     source: RefCell<Source>,
-    /// Bytes that came so far.
-    came: Cell<u64>,
-    /// Which of its bodies has what is not held any more.
+    received_bytes: Cell<u64>,
+    /// The number of the stream that reads beyond the buffered start.
     released_to: Cell<Option<u32>>,
-    /// How many bodies there were.
-    bodies: Cell<u32>,
-    /// When its last byte came.
-    ended: Cell<Option<Instant>>,
+    /// The number of streams that were created.
+    streams: Cell<u32>,
+    /// When the last byte was received.
+    ended_at: Cell<Option<Instant>>,
     changed: Notify,
-    /// When some of it came last, or went on.
-    moved: Cell<Instant>,
-    /// How long its client waits once it is whole.
-    patience: Duration,
-    _share: BodyMemoryReservation,
+    /// When a chunk was last received or sent.
+    last_progress: Cell<Instant>,
+    /// How long the client waits for a response once the body is complete.
+    client_timeout: Duration,
+    _reservation: BodyMemoryReservation,
 }
 
-/// The body of one attempt.
+/// The body as one attempt sends it.
 pub struct RequestBodyStream {
     upload: Rc<RequestBody>,
     number: u32,
     sent: usize,
-    /// Called when the last byte has gone.
-    written: Option<Box<dyn FnOnce()>>,
+    /// Called when the last byte was sent.
+    on_sent: Option<Box<dyn FnOnce()>>,
 }
 
 impl RequestBody {
-    /// `held` came already, the rest is to come; the length may be known.
+    /// Creates a body from the chunks received so far and the source of the others. The length may be
+    /// unknown.
     pub fn new(
         length: Option<u64>,
-        held: Vec<Bytes>,
+        buffered: Vec<Bytes>,
         source: impl Stream<Item = Result<Bytes, PayloadError>> + 'static,
-        patience: Duration,
-        share: BodyMemoryReservation,
+        client_timeout: Duration,
+        reservation: BodyMemoryReservation,
     ) -> RequestBody {
-        let came = Cell::new(held.iter().map(|part| part.len() as u64).sum());
+        let received_bytes = Cell::new(buffered.iter().map(|chunk| chunk.len() as u64).sum());
         RequestBody {
             length,
-            held: RefCell::new(held),
+            buffered: RefCell::new(buffered),
             source: RefCell::new(Box::pin(source)),
-            came,
+            received_bytes,
             released_to: Cell::default(),
-            bodies: Cell::default(),
-            ended: Cell::new(None),
+            streams: Cell::default(),
+            ended_at: Cell::new(None),
             changed: Notify::new(),
-            moved: Cell::new(Instant::now()),
-            patience,
-            _share: share,
+            last_progress: Cell::new(Instant::now()),
+            client_timeout,
+            _reservation: reservation,
         }
     }
 
-    /// The body for one attempt, from its beginning. `written` is called with its last byte.
-    pub fn body(self: &Rc<Self>, written: impl FnOnce() + 'static) -> RequestBodyStream {
-        let number = self.bodies.replace(self.bodies.get() + 1);
-        RequestBodyStream { upload: self.clone(), number, sent: 0, written: Some(Box::new(written)) }
+    /// Returns the body for one attempt, from its start. `on_sent` is called with the last byte.
+    pub fn stream(self: &Rc<Self>, on_sent: impl FnOnce() + 'static) -> RequestBodyStream {
+        let number = self.streams.replace(self.streams.get() + 1);
+        RequestBodyStream { upload: self.clone(), number, sent: 0, on_sent: Some(Box::new(on_sent)) }
     }
 
-    /// Whether some of it is not buffered any more, so that no other attempt can have it.
+    /// Whether a part of the body is no longer buffered, so that no other attempt can send it.
     pub fn is_released(&self) -> bool {
         self.released_to.get().is_some()
     }
 
-    /// Resolves when some of it is not held any more.
-    pub async fn released(&self) {
+    /// Resolves when a part of the body is no longer buffered.
+    pub async fn wait_until_released(&self) {
         while !self.is_released() {
             self.changed.notified().await;
         }
     }
 
-    /// Resolves when its last byte has come, with the time when its client stops waiting.
-    pub async fn ends(&self) -> Instant {
+    /// Waits for the last byte, and returns when the client stops waiting for a response.
+    pub async fn wait_for_end(&self) -> Instant {
         loop {
-            if let Some(at) = self.ended.get() {
-                return at + self.patience;
+            if let Some(at) = self.ended_at.get() {
+                return at + self.client_timeout;
             }
             self.changed.notified().await;
         }
     }
 
-    /// When its last byte came.
+    /// When the last byte was received.
     pub fn ended_at(&self) -> Option<Instant> {
-        self.ended.get()
+        self.ended_at.get()
     }
 
-    /// Whether its last byte has come.
-    pub fn is_whole(&self) -> bool {
-        self.ended.get().is_some()
+    /// Whether the last byte was received.
+    pub fn is_complete(&self) -> bool {
+        self.ended_at.get().is_some()
     }
 
-    /// Resolves when nothing of it has moved for so long, before its last byte came; at once it never does.
-    pub async fn stalled(&self, still: Duration) {
+    /// Resolves when nothing was received or sent for `timeout`. Never resolves once the body is complete.
+    pub async fn wait_until_stalled(&self, timeout: Duration) {
         loop {
-            let moved = self.moved.get();
-            sleep_until((moved + still).into()).await;
-            if self.is_whole() {
+            let last_progress = self.last_progress.get();
+            sleep_until((last_progress + timeout).into()).await;
+            if self.is_complete() {
                 std::future::pending::<()>().await;
             }
-            if self.moved.get() == moved {
+            if self.last_progress.get() == last_progress {
                 return;
             }
         }
@@ -142,20 +142,24 @@
         cx: &mut Context<'_>,
         number: u32,
     ) -> Poll<Option<Result<Bytes, RequestBodyError>>> {
-        let part = ready!(self.source.borrow_mut().poll_next_unpin(cx));
-        self.moved.set(Instant::now());
+        let chunk = ready!(self.source.borrow_mut().poll_next_unpin(cx));
+        self.last_progress.set(Instant::now());
         if self.released_to.replace(Some(number)).is_none() {
-            self.held.take();
+            self.buffered.take();
             self.changed.notify_waiters();
         }
-        Poll::Ready(match part {
-            Some(Ok(part)) => {
-                self.came.set(self.came.get() + part.len() as u64);
-                Some(if self.came.get() > LONGEST { Err(RequestBodyError::TooLong) } else { Ok(part) })
+        Poll::Ready(match chunk {
+            Some(Ok(chunk)) => {
+                self.received_bytes.set(self.received_bytes.get() + chunk.len() as u64);
+                Some(if self.received_bytes.get() > MAX_BODY_BYTES {
+                    Err(RequestBodyError::TooLong)
+                } else {
+                    Ok(chunk)
+                })
             }
             Some(Err(e)) => Some(Err(e.into())),
             None => {
-                self.ended.set(Some(self.ended.get().unwrap_or_else(Instant::now)));
+                self.ended_at.set(Some(self.ended_at.get().unwrap_or_else(Instant::now)));
                 self.changed.notify_waiters();
                 None
             }
@@ -174,21 +178,22 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, RequestBodyError>>> {
-        // Danger: where two copies may be out, both would go on with parts of the rest.
+        // Without this check, two attempts of a hedged request would each send only some of the remaining
+        // chunks.
         if self.upload.released_to.get().is_some_and(|number| number != self.number) {
             return Poll::Ready(Some(Err(RequestBodyError::Released)));
         }
-        let held = self.upload.held.borrow().get(self.sent).cloned();
-        if let Some(part) = held {
+        let buffered = self.upload.buffered.borrow().get(self.sent).cloned();
+        if let Some(chunk) = buffered {
             self.sent += 1;
-            self.upload.moved.set(Instant::now());
-            return Poll::Ready(Some(Ok(part)));
+            self.upload.last_progress.set(Instant::now());
+            return Poll::Ready(Some(Ok(chunk)));
         }
-        let part = ready!(self.upload.poll_source(cx, self.number));
-        if part.is_none() {
-            self.written.take().into_iter().for_each(|written| written());
+        let chunk = ready!(self.upload.poll_source(cx, self.number));
+        if chunk.is_none() {
+            self.on_sent.take().into_iter().for_each(|on_sent| on_sent());
         }
-        Poll::Ready(part)
+        Poll::Ready(chunk)
     }
 }
 
--- a/crates/proxy/src/bodies/response_body.rs
+++ b/crates/proxy/src/bodies/response_body.rs
@@ -9,90 +9,98 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc;
 
-/// Parts that wait for the client. A part is what one read brought.
-const PARTS: usize = 4;
+/// The number of chunks that may wait for the client. A chunk is the result of one read.
+const MAX_QUEUED_CHUNKS: usize = 4;
 
-/// The answer broke off: its client must see that it is not whole.
+/// The endpoint's response ended early. The error ends the client's connection, so that the client notices
+/// it.
 #[derive(Debug, thiserror::Error)]
-#[error("the backend's answer broke off")]
-pub struct Broken;
+#[error("response from the endpoint is incomplete")]
+pub struct IncompleteResponse;
 
-enum Part {
+enum Chunk {
     Bytes(Bytes),
     End,
 }
 
-/// The receiving end, which the client reads.
+/// The receiving end, which the listener reads for the client.
 pub struct ResponseBody {
     length: Option<u64>,
-    parts: mpsc::Receiver<Part>,
-    /// What ends with it.
-    kept: Vec<Box<dyn Any>>,
-    /// Told once whether all of it went on.
-    ended: Option<Box<dyn FnOnce(bool)>>,
+    chunks: mpsc::Receiver<Chunk>,
+    /// Dropped together with the body.
+    kept_values: Vec<Box<dyn Any>>,
+    /// Called once with whether the whole body was read.
+    on_end: Option<Box<dyn FnOnce(bool)>>,
 }
 
 /// The sending end, which the attempt owns.
 pub struct BodySender {
-    parts: mpsc::Sender<Part>,
+    chunks: mpsc::Sender<Chunk>,
 }
 
-/// Both ends of an answer, whose length may be known, with its share of the memory.
-pub fn feed(length: Option<u64>, share: BodyMemoryReservation) -> (BodySender, ResponseBody) {
-    let (sender, parts) = mpsc::channel(PARTS);
-    (BodySender { parts: sender }, ResponseBody { length, parts, kept: vec![Box::new(share)], ended: None })
+/// Creates both ends of a response body, whose length may be unknown, with its memory reservation.
+pub fn body_channel(length: Option<u64>, reservation: BodyMemoryReservation) -> (BodySender, ResponseBody) {
+    let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    (
+        BodySender { chunks: sender },
+        ResponseBody { length, chunks, kept_values: vec![Box::new(reservation)], on_end: None },
+    )
 }
 
 impl BodySender {
-    /// Puts a part, once there is room for it. False: nobody reads any more.
-    pub async fn put(&self, bytes: Bytes) -> bool {
-        bytes.is_empty() || self.parts.send(Part::Bytes(bytes)).await.is_ok()
+    /// Sends a chunk once the queue has room for it. Returns false if the receiving end was dropped.
+    pub async fn send(&self, bytes: Bytes) -> bool {
+        bytes.is_empty() || self.chunks.send(Chunk::Bytes(bytes)).await.is_ok()
     }
 
-    /// The answer is whole. Dropped without this, it has broken off.
-    pub async fn end(&self) -> bool {
-        self.parts.send(Part::End).await.is_ok()
+    /// Marks the body as complete. If the sender is dropped without this call, the reader gets
+    /// [`IncompleteResponse`].
+    pub async fn finish(&self) -> bool {
+        self.chunks.send(Chunk::End).await.is_ok()
     }
 
-    /// Resolves when nobody reads any more.
-    pub async fn unread(&self) {
-        self.parts.closed().await;
+    /// Resolves when the receiving end was dropped.
+    pub async fn wait_until_reader_dropped(&self) {
+        self.chunks.closed().await;
     }
 }
 
 impl ResponseBody {
-    /// Keeps something until the answer has gone on, or its client has.
-    pub fn keep(&mut self, what: impl Any) {
-        self.kept.push(Box::new(what));
+    /// Keeps `value` until the body is dropped.
+    pub fn keep(&mut self, value: impl Any) {
+        self.kept_values.push(Box::new(value));
     }
 
-    /// Has somebody told how it ended: whether all of it went on.
-    pub fn when_ended(&mut self, told: impl FnOnce(bool) + 'static) {
-        self.ended = Some(Box::new(told));
+    /// Sets the callback for the end of the body. Its argument is true if the whole body was read.
+    pub fn when_ended(&mut self, on_end: impl FnOnce(bool) + 'static) {
+        self.on_end = Some(Box::new(on_end));
     }
 
-    fn ends(&mut self, whole: bool) {
-        self.ended.take().into_iter().for_each(|told| told(whole));
+    fn notify_end(&mut self, complete: bool) {
+        self.on_end.take().into_iter().for_each(|on_end| on_end(complete));
     }
 }
 
 impl MessageBody for ResponseBody {
-    type Error = Broken;
+    type Error = IncompleteResponse;
 
     fn size(&self) -> BodySize {
         self.length.map_or(BodySize::Stream, BodySize::Sized)
     }
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
-        match ready!(self.parts.poll_recv(cx)) {
-            Some(Part::Bytes(bytes)) => Poll::Ready(Some(Ok(bytes))),
-            Some(Part::End) => {
-                self.ends(true);
+    fn poll_next(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
+        match ready!(self.chunks.poll_recv(cx)) {
+            Some(Chunk::Bytes(bytes)) => Poll::Ready(Some(Ok(bytes))),
+            Some(Chunk::End) => {
+                self.notify_end(true);
                 Poll::Ready(None)
             }
             None => {
-                self.ends(false);
-                Poll::Ready(Some(Err(Broken)))
+                self.notify_end(false);
+                Poll::Ready(Some(Err(IncompleteResponse)))
             }
         }
     }
@@ -100,7 +108,7 @@
 
 impl Drop for ResponseBody {
     fn drop(&mut self) {
-        self.ends(false);
+        self.notify_end(false);
     }
 }
 
--- a/crates/proxy/src/call.rs
+++ b/crates/proxy/src/call.rs
@@ -1,6 +1,7 @@
-//! A call on its way between a front and the decisions, and the end that it comes to.
+//! A client's request in the form that is independent of the listener's protocol, and the verdict that ends
+//! it.
 
-use crate::bodies::{BodyMemoryReservation, Broken, RequestBody, ResponseBody};
+use crate::bodies::{BodyMemoryReservation, IncompleteResponse, RequestBody, ResponseBody};
 use actix_http::body::{BodySize, MessageBody};
 use actix_http::header::{HeaderMap, HeaderValue};
 use actix_http::{Method, StatusCode};
@@ -13,7 +14,7 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// What goes to a backend as it came.
+/// The part of a request that is forwarded to an endpoint unchanged.
 pub struct Payload {
     /// The method.
     pub method: Method,
@@ -27,42 +28,42 @@
 
 /// A request's body.
 pub enum Body {
-    /// All of it, with its share of the memory if it is long.
-    Whole {
-        /// The bytes as they came.
+    /// A body that is buffered whole. A long one has a memory reservation.
+    Buffered {
+        /// The bytes as they were received.
         bytes: Bytes,
-        /// Held with them.
-        _share: Option<BodyMemoryReservation>,
+        /// Released with the bytes.
+        _reservation: Option<BodyMemoryReservation>,
     },
-    /// It is still coming.
+    /// A long body that is still being received.
     Streamed(Rc<RequestBody>),
 }
 
-/// A request with all that the decisions need of it.
+/// A request with all fields that the balancer needs.
 pub struct Call {
-    /// What the client calls it.
+    /// The client's id for the request.
     pub id: HeaderValue,
-    /// Its class.
+    /// The class.
     pub class: ClassId,
-    /// Its tenant, if the settings know it.
+    /// The tenant, if the settings name it.
     pub tenant: Option<TenantId>,
-    /// The client marked a repeated try.
+    /// Whether the client marked the request as a retry.
     pub retry: bool,
-    /// When the client stops waiting; of a body that is still coming, if it ended now.
+    /// When the client stops waiting. For a streamed body, this assumes that the body ends now.
     pub deadline: Instant,
-    /// The authority, where the request's target names one; otherwise it is among the headers.
+    /// The authority in the request's target; `None` if it is only in the `Host` header.
     pub authority: Option<Authority>,
-    /// What is passed on.
+    /// What is forwarded.
     pub payload: Rc<Payload>,
 }
 
-/// What of a call rules look at.
+/// The attributes of a request that routing rules match.
 #[derive(Clone, Copy, Debug)]
-pub struct Traits<'a> {
-    /// The authority as the client gave it, with or without a port; empty if it gave none.
+pub struct RequestAttributes<'a> {
+    /// The authority as the client sent it, with or without a port; empty if it sent none.
     pub authority: &'a str,
-    /// The path as it came, without the query. It is not decoded and not normalised: a backend that reads
-    /// `/a/../b` as `/b` must not rely on rules to keep requests apart.
+    /// The path as it was received, without the query. It is neither decoded nor normalised: if a backend
+    /// reads `/a/../b` as `/b`, routing rules can't be relied on to keep requests apart.
     pub path: &'a str,
     /// The method.
     pub method: &'a str,
@@ -70,16 +71,16 @@
     pub class: ClassId,
 }
 
-/// Why a call is not put to its cluster: it is not there.
+/// The cluster that a call is routed to is not available.
 #[derive(Debug, PartialEq)]
-pub struct Absent {
-    /// The cluster.
+pub struct ClusterUnavailable {
+    /// The name of the cluster.
     pub cluster: Rc<str>,
-    /// It was there; otherwise it is awaited.
+    /// Whether the cluster was removed; otherwise no source has announced it yet.
     pub removed: bool,
 }
 
-impl fmt::Display for Absent {
+impl fmt::Display for ClusterUnavailable {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
@@ -90,61 +91,64 @@
     }
 }
 
-/// A backend's answer.
-pub struct Answer {
-    /// Its status.
+/// An endpoint's response.
+pub struct EndpointResponse {
+    /// The status.
     pub status: StatusCode,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// The body, as it came.
-    pub body: AnswerBody,
+    /// The body as it was received.
+    pub body: ResponseContent,
 }
 
-/// An answer's body.
+/// The body of a response, from an endpoint or from the proxy itself.
 #[derive(Debug)]
-pub enum AnswerBody {
-    /// All of it.
-    Whole(Bytes),
-    /// It is still coming.
+pub enum ResponseContent {
+    /// A body that is buffered whole.
+    Buffered(Bytes),
+    /// A long body that is still being received.
     Streamed(ResponseBody),
 }
 
-impl From<Bytes> for AnswerBody {
-    fn from(whole: Bytes) -> AnswerBody {
-        AnswerBody::Whole(whole)
+impl From<Bytes> for ResponseContent {
+    fn from(bytes: Bytes) -> ResponseContent {
+        ResponseContent::Buffered(bytes)
     }
 }
 
-impl MessageBody for AnswerBody {
-    type Error = Broken;
+impl MessageBody for ResponseContent {
+    type Error = IncompleteResponse;
 
     fn size(&self) -> BodySize {
         match self {
-            AnswerBody::Whole(bytes) => BodySize::Sized(bytes.len() as u64),
-            AnswerBody::Streamed(download) => download.size(),
+            ResponseContent::Buffered(bytes) => BodySize::Sized(bytes.len() as u64),
+            ResponseContent::Streamed(download) => download.size(),
         }
     }
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_next(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, IncompleteResponse>>> {
         match &mut *self {
-            AnswerBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            AnswerBody::Whole(bytes) => Poll::Ready(Some(Ok(std::mem::take(bytes)))),
-            AnswerBody::Streamed(download) => Pin::new(download).poll_next(cx),
+            ResponseContent::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseContent::Buffered(bytes) => Poll::Ready(Some(Ok(std::mem::take(bytes)))),
+            ResponseContent::Streamed(download) => Pin::new(download).poll_next(cx),
         }
     }
 }
 
-/// How a request ended.
+/// The result of a request.
 pub enum Verdict {
-    /// With a backend's answer: it did what was asked, or will have none of it.
-    Served(Answer),
-    /// Trying again is harmless.
+    /// An endpoint's final response: a success, or a client error.
+    Served(EndpointResponse),
+    /// The request was refused, and a retry is safe.
     Refused {
-        /// When to come back; zero: nothing was said.
-        come_back: Duration,
+        /// When the client should retry; zero if the balancer did not say.
+        retry_after: Duration,
     },
-    /// Nothing is promised.
+    /// The request may or may not have been executed.
     Failed,
-    /// The decisions did not end it in time.
+    /// The balancer gave no verdict in time.
     Overdue,
 }
--- a/crates/proxy/src/cluster_config/rules.rs
+++ b/crates/proxy/src/cluster_config/rules.rs
@@ -6,7 +6,7 @@
 //! class (given before not). Two rules that fit the same request and are equal in all of these give exactly the
 //! same; such a pair is an error when the file is read, so that the order of rules in it never matters.
 
-use crate::call::Traits;
+use crate::call::RequestAttributes;
 use olivecart_decisions::ClassId;
 use std::cmp::Reverse;
 
@@ -31,7 +31,7 @@
         (authority, path, self.method.is_some(), self.class.is_some())
     }
 
-    fn fit(&self, request: &Traits) -> bool {
+    fn fit(&self, request: &RequestAttributes) -> bool {
         self.class.is_none_or(|class| class == request.class)
             && self.method.as_deref().is_none_or(|method| method == request.method)
             && self.path.as_deref().is_none_or(|prefix| below(request.path, prefix))
@@ -77,7 +77,7 @@
 
     /// Where the most specific rule leads that fits; none if none does. Looks at each rule, and allocates
     /// nothing.
-    pub fn find(&self, request: &Traits) -> Option<&T> {
+    pub fn find(&self, request: &RequestAttributes) -> Option<&T> {
         self.0.iter().find(|(criteria, _)| criteria.fit(request)).map(|(_, target)| target)
     }
 
--- a/crates/proxy/src/cluster_config/rules/tests.rs
+++ b/crates/proxy/src/cluster_config/rules/tests.rs
@@ -14,9 +14,9 @@
     (criteria, text.to_owned())
 }
 
-fn traits(text: &str) -> Traits<'_> {
+fn traits(text: &str) -> RequestAttributes<'_> {
     let [authority, path, method, class] = text.split(' ').collect::<Vec<_>>()[..] else { panic!("{text}") };
-    Traits { authority, path, method, class: ClassId(class.parse().expect("a number")) }
+    RequestAttributes { authority, path, method, class: ClassId(class.parse().expect("a number")) }
 }
 
 #[test]
@@ -30,8 +30,8 @@
     ] {
         let (criteria, _) = rule(criterion);
         let fits = |value: &str| match criterion.starts_with('p') {
-            true => criteria.fit(&Traits { path: value, ..traits("h / GET 0") }),
-            false => criteria.fit(&Traits { authority: value, ..traits("h / GET 0") }),
+            true => criteria.fit(&RequestAttributes { path: value, ..traits("h / GET 0") }),
+            false => criteria.fit(&RequestAttributes { authority: value, ..traits("h / GET 0") }),
         };
         fitting.split_whitespace().for_each(|value| assert!(fits(value), "{criterion} {value}"));
         others.split_whitespace().for_each(|value| assert!(!fits(value), "{criterion} {value}"));
--- a/crates/proxy/src/cluster_config/tests.rs
+++ b/crates/proxy/src/cluster_config/tests.rs
@@ -1,7 +1,7 @@
 //! Whole files, and files with one thing wrong.
 
 use super::*;
-use crate::call::Traits;
+use crate::call::RequestAttributes;
 use olivecart_decisions::ClassId;
 use std::path::Path;
 
@@ -64,7 +64,8 @@
         ["cart", "book", "registry"]
     );
     assert_eq!((read.policy.hold, read.policy.most_gone), (Duration::from_secs(1), 0.5));
-    let request = |authority, path, class| Traits { authority, path, method: "GET", class: ClassId(class) };
+    let request =
+        |authority, path, class| RequestAttributes { authority, path, method: "GET", class: ClassId(class) };
     let found = |request| read.rules.find(&request).map(ClusterName::as_str);
     assert_eq!(found(request("h", "/book", 1)), Some("book"));
     assert_eq!(found(request("h", "/book", 0)), None);
--- a/crates/proxy/src/cluster_runtime/actions.rs
+++ b/crates/proxy/src/cluster_runtime/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the balancer's actions, each by the part of the proxy that it concerns.
+//! Carries out the balancer's actions by calling the stages, the timers, discovery and the connection pool.
 
 use super::ClusterRuntime;
 use crate::call::Verdict;
@@ -26,7 +26,7 @@
             Action::WatchEndpoints(enabled) => self.set_watch(enabled),
             Action::RefreshEndpoints => self.discovery.iter().for_each(Discovery::refresh),
             Action::CloseIdleConnections(endpoint) => self.context.backends.close_idle(endpoint),
-            Action::Publish { .. } => check_invariant(false, "copies have no way to talk to each other"),
+            Action::Publish { .. } => check_invariant(false, "replicas exchange no messages"),
             Action::Log(note) => info!(self.log, "decision note logged"; "note" => note),
         }
     }
@@ -36,12 +36,12 @@
     }
 
     fn shed(&self, request: RequestId, retry_after: Nanos) {
-        let come_back = Duration::from_nanos(retry_after);
-        self.finish(request, Verdict::Refused { come_back });
+        let retry_after = Duration::from_nanos(retry_after);
+        self.finish(request, Verdict::Refused { retry_after });
     }
 
     fn finish(&self, request: RequestId, verdict: Verdict) {
         let is_first_verdict = self.context.request_table.finish(request, verdict);
-        check_invariant(is_first_verdict, "one verdict a request");
+        check_invariant(is_first_verdict, "each request has only one verdict");
     }
 }
--- a/crates/proxy/src/cluster_runtime/endpoint_list.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoint list of a cluster as this process holds it: the listed endpoints, operators' overrides, start times and
-//! the list's version.
+//! The endpoint list of a cluster as this process holds it: the listed endpoints, operators' overrides, start
+//! times and the list's version.
 //!
-//! [`super::ClusterRuntime`] owns one and passes every listed endpoint through it before the balancer sees it. No I/O
-//! and no clock here.
+//! [`super::ClusterRuntime`] owns it and passes every listed endpoint through it before it reports the
+//! endpoint to the balancer. This module does no I/O and reads no clock.
 
 use super::InheritedEndpoints;
 use crate::admin_overrides::{AddressedEntry, AdminOverrides, UnknownEndpoint};
@@ -15,23 +15,23 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
-/// What is known of a cluster's endpoints besides the balancer's statistics.
+/// The listed endpoints of a cluster, without the balancer's statistics.
 pub struct EndpointList {
     overrides: RefCell<AdminOverrides>,
     start_times: RefCell<StartTimes>,
     version: Cell<u64>,
 }
 
-/// The overrides that operators made, for the next process.
+/// The overrides that operators made, in the form that is handed over to the successor.
 pub struct ManualOverrides {
-    /// Endpoints that are detached.
+    /// The names of detached endpoints.
     pub detached: Vec<String>,
-    /// When others were attached again.
+    /// When other endpoints were attached again.
     pub attached_at: Vec<(String, Nanos)>,
 }
 
 impl EndpointList {
-    /// An empty list with what an earlier process knew.
+    /// Creates an empty list with the overrides and start times of an earlier process.
     pub fn restored(inherited: &InheritedEndpoints) -> EndpointList {
         let overrides = AdminOverrides::restored(&inherited.detached, &inherited.attached_at);
         let start_times = StartTimes::restored(inherited.list_complete_at, &inherited.start_times);
@@ -42,28 +42,28 @@
         }
     }
 
-    /// Begins a whole list: endpoints that it does not name are removed.
+    /// Begins a snapshot: endpoints that it does not contain are removed.
     pub fn begin_snapshot(&self) {
         self.overrides.borrow_mut().begin_snapshot();
     }
 
-    /// Records the version that the list was brought to.
+    /// Records the version of the list.
     pub fn set_version(&self, version: u64) {
         self.version.set(version);
     }
 
-    /// Records that the list is complete at this moment.
+    /// Records that the list is complete at `now`.
     pub fn set_complete(&self, now: Nanos) {
         self.start_times.borrow_mut().list_is_complete(now);
     }
 
-    /// Records a listed endpoint, and returns it with the start time and state that count.
+    /// Records a listed endpoint, and returns it with its effective start time and state.
     pub fn apply(&self, entry: EndpointEntry, address: Option<SocketAddr>, now: Nanos) -> EndpointEntry {
         let started = self.start_times.borrow_mut().effective(&entry.name, entry.started, now);
         self.overrides.borrow_mut().apply(EndpointEntry { started, ..entry }, address)
     }
 
-    /// Drops start times of unlisted endpoints where there are too many.
+    /// Drops start times of unlisted endpoints if there are too many.
     pub fn limit_start_times(&self) {
         let overrides = self.overrides.borrow();
         self.start_times.borrow_mut().bound(|name| overrides.is_listed(name));
@@ -77,7 +77,7 @@
         self.overrides.borrow_mut().detach(name)
     }
 
-    /// Detaches an endpoint that only another process lists yet.
+    /// Detaches an endpoint that is not listed here yet, but is in another process.
     pub fn detach_unlisted(&self, name: &str) {
         self.overrides.borrow_mut().detach_unlisted(name);
     }
@@ -95,12 +95,12 @@
         self.overrides.borrow().detaches_all_ready()
     }
 
-    /// The size of the list, and how many of its endpoints take no requests.
+    /// The number of listed endpoints, and how many of them are avoided.
     pub fn pool(&self, is_avoided: impl Fn(EndpointId) -> bool) -> Pool {
         self.overrides.borrow().pool(is_avoided)
     }
 
-    /// The list in discovery's form.
+    /// The list in the format of discovery.
     pub fn serialized(&self, site: &Site) -> String {
         let overrides = self.overrides.borrow();
         let start_times = self.start_times.borrow();
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Endpoints that count as started at another time than the list says.
+    /// Endpoints whose effective start time differs from the listed one.
     pub fn amended_start_times(&self) -> Vec<(String, StartTime)> {
         self.start_times.borrow().amended().collect()
     }
@@ -129,7 +129,7 @@
     }
 }
 
-/// A listed endpoint as the balancer knows it; new names get the next numbers.
+/// Converts a listed endpoint for the balancer, which knows names by number. New names get the next numbers.
 pub fn numbered(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
     site.entry(&olivecart_settings::ListedEndpoint {
         name: &endpoint.name,
@@ -142,7 +142,7 @@
     })
 }
 
-/// The reverse of [`numbered`], with the start time that the list gave.
+/// The reverse of [`numbered`], with the listed start time.
 fn named(site: &Site, start_times: &StartTimes, (entry, address): &AddressedEntry) -> Endpoint<'static> {
     let zone = site.zones.name(entry.zone.0.into());
     let kind = site.kinds.name(entry.kind.0.into());
--- a/crates/proxy/src/cluster_runtime/endpoint_updates.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_updates.rs
@@ -1,11 +1,12 @@
-//! Changes of the endpoint list: from discovery, from the catalog and from operators. Each is recorded in the
-//! [`EndpointList`](super::endpoint_list::EndpointList), applied to the connections and then reported to the balancer.
+//! Applies changes of the endpoint list that come from discovery, from the catalog and from operators. Each
+//! change is recorded in the [`EndpointList`](super::endpoint_list::EndpointList), applied to the connections
+//! and then reported to the balancer.
 
 use super::ClusterRuntime;
 use super::endpoint_list::{ManualOverrides, numbered};
 use crate::admin_overrides::{AddressedEntry, UnknownEndpoint};
 use crate::membership::News;
-use crate::stages::context::Decisions;
+use crate::stages::context::EventSink;
 use crate::start_times::StartTime;
 use crate::stats::Pool;
 use crate::trace;
@@ -16,12 +17,14 @@
 use std::net::SocketAddr;
 
 impl ClusterRuntime {
-    /// Applies a list or a change of it; `update` says as which of these the balancer gets it.
+    /// Applies a snapshot or a delta of the list; `update` wraps the entries in the kind of update that the
+    /// balancer gets.
     pub(super) fn apply_news(&self, news: &News, update: impl Fn(Vec<EndpointEntry>) -> EndpointUpdate) {
         let endpoint_count = news.endpoints.len();
-        debug!(self.log, "list"; "version" => news.version, "full" => news.full, "entries" => endpoint_count);
+        debug!(self.log, "endpoint list received"; "version" => news.version, "full" => news.full,
+            "entries" => endpoint_count);
         if news.full {
-            self.context.backends.forget_all();
+            self.context.backends.mark_all_unready();
             self.endpoints.begin_snapshot();
         }
         self.endpoints.set_version(news.version);
@@ -40,7 +43,7 @@
         self.report_update(update(entries));
     }
 
-    /// Applies changed endpoints that the catalog has numbered.
+    /// Applies changed endpoints that the catalog has already numbered.
     pub fn apply_changes(&self, changes: impl Iterator<Item = AddressedEntry>) {
         let mut entries = Vec::new();
         for (entry, address) in changes {
@@ -52,25 +55,25 @@
         self.report_update(EndpointUpdate::Delta(entries));
     }
 
-    /// Detaches an endpoint by an operator's request; the balancer knows of it on return.
+    /// Detaches an endpoint at an operator's request. On return the balancer has processed the change.
     ///
     /// # Errors
-    /// The cluster has no such endpoint.
+    /// The cluster has no endpoint of that name.
     pub fn detach(&self, name: &str) -> Result<(), UnknownEndpoint> {
         let changed = self.endpoints.detach(name)?;
         self.apply_override(changed);
         Ok(())
     }
 
-    /// Detaches an endpoint that only another process lists yet.
+    /// Detaches an endpoint that is not listed here yet, but is in another process.
     pub fn detach_unlisted(&self, name: &str) {
         self.endpoints.detach_unlisted(name);
     }
 
-    /// Attaches an endpoint again by an operator's request, and checks its health at once.
+    /// Attaches an endpoint again at an operator's request, and checks its health at once.
     ///
     /// # Errors
-    /// The cluster has no such endpoint.
+    /// The cluster has no endpoint of that name.
     pub fn attach(&self, name: &str) -> Result<(), UnknownEndpoint> {
         let changed = self.endpoints.attach(name, self.shared.clock.now())?;
         let ready = changed.as_ref().filter(|(entry, _)| entry.state == EndpointState::Ready);
@@ -83,12 +86,12 @@
         Ok(())
     }
 
-    /// The size of the list, and how many of its endpoints are avoided now.
+    /// The number of listed endpoints, and how many of them are avoided now.
     pub fn pool(&self) -> Pool {
         self.endpoints.pool(|endpoint| self.is_avoided(endpoint))
     }
 
-    /// The list in discovery's form.
+    /// The list in the format of discovery.
     pub fn serialized_list(&self) -> String {
         self.endpoints.serialized(&self.shared.site.borrow())
     }
@@ -98,7 +101,7 @@
         self.endpoints.manual_overrides()
     }
 
-    /// Endpoints that count as started at another time than the list says.
+    /// Endpoints whose effective start time differs from the listed one.
     pub fn amended_start_times(&self) -> Vec<(String, StartTime)> {
         self.endpoints.amended_start_times()
     }
@@ -125,12 +128,12 @@
 
     fn update_backend(&self, entry: &EndpointEntry, address: Option<SocketAddr>) {
         let is_ready = entry.state == EndpointState::Ready;
-        self.context.backends.place(entry.id, address, entry.started, is_ready);
+        self.context.backends.update_endpoint(entry.id, address, entry.started, is_ready);
     }
 
-    /// Reports a change of the list to the balancer, once it is recorded here.
+    /// Reports a change of the list, already recorded here, to the balancer.
     fn report_update(&self, update: EndpointUpdate) {
-        self.context.set_all_out(self.endpoints.detaches_all_ready());
-        self.tell(Event::Endpoints(update));
+        self.context.set_all_detached(self.endpoints.detaches_all_ready());
+        self.report(Event::Endpoints(update));
     }
 }
--- a/crates/proxy/src/cluster_runtime/maintenance.rs
+++ b/crates/proxy/src/cluster_runtime/maintenance.rs
@@ -1,5 +1,5 @@
-//! The maintenance task of a cluster: closes idle connections, logs violated invariants, and ends the cluster's tasks
-//! once a removed cluster has no requests left.
+//! The maintenance task of a cluster: closes idle connections, logs violated invariants, and ends the tasks
+//! of a removed cluster once its last request has ended.
 
 use super::ClusterRuntime;
 use crate::invariant::take_violations;
@@ -14,7 +14,7 @@
 const REMOVED_CLUSTER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl ClusterRuntime {
-    /// Runs until the cluster is retired and drained, and then aborts the timers' task.
+    /// Runs until the cluster is retired and drained, and then aborts the timer task.
     pub(super) async fn run_maintenance(self: Rc<Self>, timers: JoinHandle<()>) {
         let mut ticks = interval(MAINTENANCE_INTERVAL);
         loop {
@@ -22,7 +22,7 @@
                 _ = ticks.tick() => {}
                 () = self.retired.notified() => break,
             }
-            self.context.backends.sweep();
+            self.context.backends.close_expired();
             self.log_violations();
         }
         self.wait_until_drained().await;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Requests, attempts and health checks each hold the context.
+    /// Waits until nothing else refers to the context, as each open request, attempt and health check does.
     async fn wait_until_drained(&self) {
         let mut ticks = interval(REMOVED_CLUSTER_POLL_INTERVAL);
         while Rc::strong_count(&self.context) > 1 {
--- a/crates/proxy/src/cluster_runtime/mod.rs
+++ b/crates/proxy/src/cluster_runtime/mod.rs
@@ -1,8 +1,9 @@
-//! Runs the balancer of one cluster: passes events to it in order, carries out its actions and keeps its timers.
+//! Runs the balancer of one cluster: passes events to it in order, carries out its actions and keeps its
+//! timers.
 //!
-//! [`crate::clusters`] starts one [`ClusterRuntime`] for each cluster. Discovery reaches it as its [`Subscriber`], and
-//! the stages of requests as their [`Decisions`]. It makes no load-balancing decision itself. What the runtimes of all
-//! clusters share is [`ProxyState`].
+//! [`crate::clusters`] starts one [`ClusterRuntime`] for each cluster. Discovery calls it as a
+//! [`Subscriber`], and the stages of requests as an [`EventSink`]. It makes no load-balancing decision
+//! itself. The runtimes of all clusters share a [`ProxyState`].
 
 mod actions;
 mod endpoint_list;
@@ -16,7 +17,7 @@
 use crate::descriptors::Descriptors;
 use crate::discovery::{Discovery, Subscriber};
 use crate::membership::News;
-use crate::stages::context::{Context, Decisions, Limits};
+use crate::stages::context::{Context, EventSink, Limits};
 use crate::stages::request_table::RequestTable;
 use crate::start_times::StartTime;
 use crate::stats::Stats;
@@ -39,48 +40,48 @@
 
 /// State that all clusters of the proxy share.
 pub struct ProxyState {
-    /// The clock of all balancers.
+    /// The clock that all balancers use.
     pub clock: Clock,
-    /// Settings, and the numbers of names.
+    /// The settings, and the numbering of names.
     pub site: Rc<RefCell<Site>>,
-    /// Open requests of all clusters; a request id is unique across them.
+    /// The open requests of all clusters; a request id is unique across clusters.
     pub request_table: Rc<RequestTable>,
-    /// The limit on connections.
+    /// The limit on connections to endpoints.
     pub descriptors: Rc<Descriptors>,
     /// The memory limit for long bodies.
-    pub budget: Rc<BodyMemoryLimit>,
-    /// Metrics; none if nothing reads them.
+    pub body_memory: Rc<BodyMemoryLimit>,
+    /// Metrics; `None` if nothing reads them.
     pub stats: Option<Arc<Stats>>,
-    /// What an earlier process knew about endpoints.
+    /// The endpoint state of an earlier process.
     pub inherited: InheritedEndpoints,
 }
 
-/// What an earlier process knew about endpoints, on the clock that this process continues.
+/// The endpoint state of an earlier process. Its times are on the clock that this process continues.
 #[derive(Default)]
 pub struct InheritedEndpoints {
-    /// Endpoints that operators detached.
+    /// The names of endpoints that operators detached.
     pub detached: BTreeSet<String>,
-    /// When operators attached others again.
+    /// When operators attached other endpoints again.
     pub attached_at: BTreeMap<String, Nanos>,
     /// When the list was last known to be complete.
     pub list_complete_at: Option<Nanos>,
-    /// Endpoints that count as started at another time than the list says.
+    /// Endpoints whose effective start time differs from the listed one.
     pub start_times: BTreeMap<String, StartTime>,
 }
 
-/// How one cluster is started.
+/// The configuration of one cluster's runtime.
 pub struct RuntimeConfig {
     /// The balancer's settings.
     pub settings: Settings,
-    /// Seeds all randomness of the cluster.
+    /// Seeds all random choices of the cluster.
     pub seed: u64,
-    /// Discovery's address; none if the cluster's endpoints come from the catalog.
+    /// The address of discovery; `None` if the cluster's endpoints come from the catalog.
     pub discovery: Option<SocketAddr>,
     /// The cluster's logger.
     pub log: Logger,
 }
 
-/// The balancer of one cluster and all that it acts on.
+/// The balancer of one cluster, with the cluster's connections, endpoint list and timers.
 pub struct ClusterRuntime {
     /// What the stages of the cluster's requests share.
     pub context: Rc<Context>,
@@ -110,14 +111,16 @@
         let connect_timeout = Duration::from_nanos(settings.limits.connect_timeout);
         let backends =
             Backends::new(connect_timeout, site.idle_close, shared.descriptors.clone(), log.clone());
-        let limits =
-            Limits { open_requests: site.max_open_requests, second_copies: settings.limits.hedging_enabled };
+        let limits = Limits {
+            max_open_requests: site.max_open_requests,
+            hedging_enabled: settings.limits.hedging_enabled,
+        };
         let context = Context::new(
             this.clone(),
             shared.request_table.clone(),
             backends,
             limits,
-            shared.budget.clone(),
+            shared.body_memory.clone(),
             shared.stats.clone(),
         );
         ClusterRuntime {
@@ -134,16 +137,16 @@
         }
     }
 
-    /// Applies the list that was stored by an earlier process, and follows discovery from there.
+    /// Applies the list that an earlier process stored, and watches discovery for changes.
     pub fn start_from_cached_list(&self, cached: &News) {
         self.apply_news(cached, EndpointUpdate::Cached);
         if self.shared.site.borrow().settings.discovery == DiscoveryMode::Automatic {
-            self.set_watch(true); // the balancer expects updates without asking for them
+            self.set_watch(true); // in this mode the balancer never asks for updates
         }
     }
 
-    /// Applies the list that the predecessor of a hot restart holds, restores what its balancer learned, and follows
-    /// discovery at once: the list is as current as one from discovery.
+    /// Applies the list of the predecessor of a hot restart, restores the learned state of its balancer, and
+    /// watches discovery at once: the list is as current as one from discovery.
     pub fn start_from_predecessor(&self, list: &News, learned_state: Option<&LearnedState>) {
         self.apply_news(list, EndpointUpdate::Snapshot);
         if let Some(learned_state) = learned_state {
@@ -152,23 +155,23 @@
         self.set_watch(true);
     }
 
-    /// What the balancer has learned.
+    /// The learned state of the balancer.
     pub fn learned_state(&self) -> LearnedState {
         self.balancer.borrow().learned_state()
     }
 
-    /// Changes discovery's address.
+    /// Changes the address of discovery.
     pub fn set_discovery_address(&self, address: SocketAddr) {
         if let Some(discovery) = &self.discovery {
             discovery.set_address(address);
         }
     }
 
-    /// Retires a removed cluster: nothing new goes to its endpoints. Admitted requests finish, or fail at their
-    /// deadlines; then the tasks end and the cluster is dropped.
+    /// Retires a removed cluster: no new attempt is sent to its endpoints. Admitted requests finish, or fail
+    /// at their deadlines; then the tasks end and the cluster is dropped.
     pub fn retire(&self) {
         self.context.backends.close();
-        self.tell(Event::Endpoints(EndpointUpdate::Snapshot(Vec::new())));
+        self.report(Event::Endpoints(EndpointUpdate::Snapshot(Vec::new())));
         self.retired.notify_one();
     }
 
@@ -183,7 +186,7 @@
         let mut actions = Vec::new();
         let handle = || self.balancer.borrow_mut().handle(self.shared.clock.now(), event, &mut actions);
         if catch_unwind(AssertUnwindSafe(handle)).is_err() {
-            // Requests are still answered at their deadline.
+            // Open requests still get a response at their deadline.
             error!(self.log, "balancer panicked");
         }
         for action in actions {
@@ -192,10 +195,10 @@
     }
 }
 
-impl Decisions for ClusterRuntime {
-    /// Passes an event to the balancer and carries out its actions. Events that these cause wait until all of them are
-    /// carried out: the balancer is never re-entered.
-    fn tell(&self, event: Event) {
+impl EventSink for ClusterRuntime {
+    /// Passes an event to the balancer and carries out the resulting actions. Events that these actions cause
+    /// are queued until all actions are carried out, so that the balancer is never re-entered.
+    fn report(&self, event: Event) {
         self.pending_events.borrow_mut().push_back(event);
         if self.handling_event.replace(true) {
             return;
--- a/crates/proxy/src/cluster_runtime/timers.rs
+++ b/crates/proxy/src/cluster_runtime/timers.rs
@@ -1,7 +1,8 @@
-//! The balancer's timers: a queue of them, and the task that reports each to the balancer when it is due.
+//! The balancer's timers: the timer queue, and the task that reports each timer to the balancer when it is
+//! due.
 
 use super::ClusterRuntime;
-use crate::stages::context::Decisions;
+use crate::stages::context::EventSink;
 use olivecart_decisions::{Event, Nanos, Timer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,17 +10,17 @@
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-/// Timers by due time; those due at the same time in the order in which they were set.
+/// Timers ordered by due time; timers with the same due time are ordered by when they were set.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: RefCell<BTreeMap<(Nanos, u64), Timer>>,
     next_sequence: Cell<u64>,
-    /// Notified when the first due time has changed to an earlier one.
+    /// Notified when a timer is set that is due before all others.
     due_earlier: Notify,
 }
 
 impl TimerQueue {
-    /// Sets a timer.
+    /// Adds a timer, and wakes the timer task if it is due before all others.
     pub fn insert(&self, due: Nanos, timer: Timer) {
         let is_first = self.next_due().is_none_or(|next| due < next);
         let sequence = self.next_sequence.get();
@@ -40,7 +41,7 @@
 }
 
 impl ClusterRuntime {
-    /// Reports timers when they are due, until the task is aborted.
+    /// Reports timers to the balancer when they are due, until the task is aborted.
     pub(super) async fn run_timers(self: Rc<Self>) {
         loop {
             match self.timers.next_due() {
@@ -53,7 +54,7 @@
                 }
                 Some(_) => {
                     if let Some(timer) = self.timers.pop_first() {
-                        self.tell(Event::TimerFired(timer));
+                        self.report(Event::TimerFired(timer));
                     }
                 }
             }
--- a/crates/proxy/src/clusters/catalog_steps.rs
+++ b/crates/proxy/src/clusters/catalog_steps.rs
@@ -100,14 +100,14 @@
     }
 
     fn serve(&self, cluster: ClusterName, runtime: Rc<ClusterRuntime>) {
-        if let Some(route) = self.routes.place(cluster.as_str()) {
+        if let Some(route) = self.routes.get(cluster.as_str()) {
             route.serve(runtime.context.clone());
         }
         self.catalog_clusters.borrow_mut().insert(cluster, runtime);
     }
 
     fn remove(&self, cluster: &ClusterName) {
-        if let Some(route) = self.routes.place(cluster.as_str()) {
+        if let Some(route) = self.routes.get(cluster.as_str()) {
             route.remove();
         }
         let runtime = self.catalog_clusters.borrow_mut().remove(cluster);
--- a/crates/proxy/src/clusters/limits.rs
+++ b/crates/proxy/src/clusters/limits.rs
@@ -37,8 +37,8 @@
         let limits = self.overrides.get(cluster).copied().unwrap_or_default().over(from_source);
         let default_timeout = Duration::from_nanos(self.shared.site.borrow().settings.limits.connect_timeout);
         let connect_timeout = limits.connect_timeout.unwrap_or(default_timeout);
-        runtime.context.backends.adopt(connect_timeout, count_or_unlimited(limits.max_connections));
-        runtime.context.adopt(count_or_unlimited(limits.max_requests));
+        runtime.context.backends.set_limits(connect_timeout, count_or_unlimited(limits.max_connections));
+        runtime.context.set_max_open_requests(count_or_unlimited(limits.max_requests));
         if limits.max_pending_requests.is_some() || limits.max_retries.is_some() {
             info!(self.log, "cluster limits ignored"; "cluster" => %cluster,
                 "limits" => "max_pending_requests, max_retries",
--- a/crates/proxy/src/clusters/report.rs
+++ b/crates/proxy/src/clusters/report.rs
@@ -23,7 +23,7 @@
     }
 
     fn log_traffic(&self) {
-        for route in self.routes.places() {
+        for route in self.routes.all() {
             let context = route.context();
             let requests = context.as_ref().map_or(0, |context| context.open_requests());
             let connections = context.as_ref().map_or(0, |context| context.backends.connections());
--- a/crates/proxy/src/clusters/start.rs
+++ b/crates/proxy/src/clusters/start.rs
@@ -66,7 +66,7 @@
             site: config.site,
             request_table: Rc::default(),
             descriptors: config.descriptors,
-            budget: config.budget,
+            body_memory: config.budget,
             stats: config.stats,
             inherited: InheritedEndpoints {
                 detached: inherited.detached,
@@ -98,7 +98,7 @@
 
     /// Starts the platform's own cluster, if any rule leads to it.
     fn start_platform_cluster(&self, first_list: &FirstList) -> Option<Rc<ClusterRuntime>> {
-        let route = self.routes.place(REGISTRY)?;
+        let route = self.routes.get(REGISTRY)?;
         let name = REGISTRY.into();
         let config = RuntimeConfig {
             settings: self.settings(&name, &ClusterSettings::default()),
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -6,12 +6,12 @@
 
 use crate::accept::{Accept, Acceptor};
 use crate::bodies::{BodyMemoryLimit, ResponseBody};
-use crate::call::{AnswerBody, Body, Call, Verdict};
+use crate::call::{Body, Call, ResponseContent, Verdict};
 use crate::clients::{Client, Clients, Connection, RequestBody, Stream};
 use crate::config::Sockets;
 use crate::latency::LatencyEstimate;
 use crate::platform::client;
-use crate::stages::admission::{self, NotAdmitted};
+use crate::stages::admission::{self, AdmissionError};
 use crate::stages::cluster_selection::Routes;
 use crate::stages::{parse, response};
 use crate::stats::{Ended, Stats, Taken};
@@ -255,7 +255,10 @@
     }
 }
 
-async fn handle(control: Rc<AcceptControl>, request: Request) -> Result<Response<AnswerBody>, Infallible> {
+async fn handle(
+    control: Rc<AcceptControl>,
+    request: Request,
+) -> Result<Response<ResponseContent>, Infallible> {
     let Some(client) = request.conn_data::<Rc<Client>>().cloned() else {
         return Ok(client::buffered(client::refusal(Duration::ZERO))); // on_connect_ext leaves none without
     };
@@ -290,7 +293,7 @@
     control: &AcceptControl,
     request: Request,
     client: &Rc<Client>,
-) -> Result<Response<AnswerBody>, client::Reject> {
+) -> Result<Response<ResponseContent>, client::Reject> {
     client.on_head_received();
     let call = parse::parse(request, &control.site, &control.budget).await?;
     let taken = control.stats.as_ref().map(|stats| stats.take(usize::from(call.class.0)));
@@ -302,7 +305,7 @@
 }
 
 /// Counts a request by its response, once the whole of that was sent.
-fn count_response(answer: Response<AnswerBody>, mut taken: Taken) -> Response<AnswerBody> {
+fn count_response(answer: Response<ResponseContent>, mut taken: Taken) -> Response<ResponseContent> {
     let ended = match answer.status().as_u16() {
         200 => Ended::Ok,
         429 | 503 => Ended::Shed,
@@ -317,7 +320,7 @@
 }
 
 /// Keeps something until the last byte of the response, if that is streamed, or until now.
-fn keep_until_sent(answer: Response<AnswerBody>, what: impl Any) -> Response<AnswerBody> {
+fn keep_until_sent(answer: Response<ResponseContent>, what: impl Any) -> Response<ResponseContent> {
     with_body(answer, |download| {
         if let Some(download) = download {
             download.keep(what);
@@ -327,13 +330,13 @@
 
 /// Does something with the body of a response, if it is streamed, or with none.
 fn with_body(
-    response: Response<AnswerBody>,
+    response: Response<ResponseContent>,
     action: impl FnOnce(Option<&mut ResponseBody>),
-) -> Response<AnswerBody> {
+) -> Response<ResponseContent> {
     response.map_body(|_, mut body| {
         match &mut body {
-            AnswerBody::Whole(_) => action(None),
-            AnswerBody::Streamed(download) => action(Some(download)),
+            ResponseContent::Buffered(_) => action(None),
+            ResponseContent::Streamed(download) => action(Some(download)),
         }
         body
     })
@@ -353,28 +356,28 @@
     control: &AcceptControl,
     client: &Rc<Client>,
     mut call: Call,
-) -> Result<Response<AnswerBody>, client::Reject> {
+) -> Result<Response<ResponseContent>, client::Reject> {
     // Danger: a shutdown that ends before the response, which is then lost.
     call.deadline = control.answer_by.get().map_or(call.deadline, |by| call.deadline.min(by));
     client.on_request_taken(match call.payload.body {
-        Body::Whole { .. } => RequestBody::Complete,
+        Body::Buffered { .. } => RequestBody::Complete,
         Body::Streamed(_) => RequestBody::Streaming,
     });
     if control.clients.in_flight() > control.sockets.get().clients {
         return Ok(client::buffered(client::overloaded()));
     }
     if client.has_closed() {
-        return Ok(client::answer(Verdict::Failed)); // nobody reads it
+        return Ok(client::verdict_response(Verdict::Failed)); // nobody reads it
     }
-    let context = match control.routes.choose(|| client::traits(&call)) {
+    let context = match control.routes.choose(|| client::attributes(&call)) {
         Ok(context) => context,
-        Err(absent) => return Ok(client::buffered(client::absent(&absent))),
+        Err(absent) => return Ok(client::buffered(client::cluster_unavailable(&absent))),
     };
     let mut held = match admission::admit(&context, call) {
         Ok(held) => held,
-        Err(NotAdmitted::Full) => return Ok(client::buffered(client::overloaded())),
-        Err(NotAdmitted::AllOut) => return Ok(client::buffered(client::refusal(Duration::ZERO))),
-        Err(NotAdmitted::Twice) => return Err(client::Reject::Open),
+        Err(AdmissionError::LimitReached) => return Ok(client::buffered(client::overloaded())),
+        Err(AdmissionError::AllDetached) => return Ok(client::buffered(client::refusal(Duration::ZERO))),
+        Err(AdmissionError::DuplicateId) => return Err(client::Reject::DuplicateId),
     };
     let taken_at = Instant::now();
     control.last_request_at.set(taken_at);
@@ -385,6 +388,6 @@
         control.latency.set(latency);
     }
     // Nobody reads the answer to a client that has gone.
-    let answer = client::answer(verdict.unwrap_or(Verdict::Failed));
+    let answer = client::verdict_response(verdict.unwrap_or(Verdict::Failed));
     Ok(keep_until_sent(answer, held))
 }
--- a/crates/proxy/src/platform/backend.rs
+++ b/crates/proxy/src/platform/backend.rs
@@ -1,4 +1,5 @@
-//! What backends are sent and what comes back.
+//! The endpoints' side of this platform's protocol: the requests sent to endpoints and the meaning of their
+//! responses.
 
 use super::{client, end_to_end, names};
 use crate::call::Payload;
@@ -10,54 +11,55 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const PROBE: &str = "/health/live";
+const HEALTH_CHECK_PATH: &str = "/health/live";
 
-/// A request as a backend gets it. awc's own redirects and decompression would change what passes through.
-pub fn request(client: &Client, to: SocketAddr, payload: &Payload, left: Duration) -> ClientRequest {
+/// Builds a request to an endpoint. Redirects and decompression by awc would change what is passed through,
+/// so both are off.
+pub fn request(client: &Client, addr: SocketAddr, payload: &Payload, time_left: Duration) -> ClientRequest {
     let target = payload.target.as_ref().map_or("/", |t| t.as_str());
-    let mut request = client.request(payload.method.clone(), uri(to, target));
+    let mut request = client.request(payload.method.clone(), uri(addr, target));
     *request.headers_mut() = payload.headers.clone();
-    request.insert_header((names::DEADLINE, client::deadline_text(left))).no_decompress()
+    request.insert_header((names::DEADLINE, client::format_deadline(time_left))).no_decompress()
 }
 
-/// A probe: it tells whether the process answers, beside its queue.
-pub fn probe(client: &Client, to: SocketAddr) -> ClientRequest {
-    client.request(Method::GET, uri(to, PROBE)).no_decompress()
+/// Builds a health check. Endpoints respond to it without queueing it.
+pub fn health_check(client: &Client, addr: SocketAddr) -> ClientRequest {
+    client.request(Method::GET, uri(addr, HEALTH_CHECK_PATH)).no_decompress()
 }
 
-fn uri(to: SocketAddr, target: &str) -> Uri {
-    let uri = Uri::builder().scheme("http").authority(to.to_string()).path_and_query(target);
+fn uri(addr: SocketAddr, target: &str) -> Uri {
+    let uri = Uri::builder().scheme("http").authority(addr.to_string()).path_and_query(target);
     uri.build().unwrap_or_default()
 }
 
-/// What an answer that came whole means for an attempt.
+/// Returns the outcome of an attempt that received a complete response.
 pub fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let not_run = || headers.get(&names::NOT_RUN).is_some_and(|v| v.as_bytes() == b"1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        // The request is at fault and would be anywhere: nothing is held against the backend, which did not run
-        // it, and nothing is gained by asking another.
+        // The request is invalid at every endpoint: the endpoint did not execute it and is not at fault, and
+        // a retry at another endpoint would not help.
         status if status.is_client_error() => Outcome::Cancelled,
-        // Without the mark it may have run, whatever the status suggests.
+        // Without the header the request may have been executed, whatever the status suggests.
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::Overloaded,
         _ => Outcome::Error,
     }
 }
 
-/// Whether an answer goes to the client: the one made for its request, be it that the request is no good.
+/// Whether a response is forwarded to the client: a success, or a client error.
 pub fn is_final(status: StatusCode) -> bool {
     status == StatusCode::OK || status.is_client_error()
 }
 
-/// The headers of an answer that the client gets too: the load report is for the proxy alone.
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = end_to_end(headers);
-    kept.remove(&names::LOAD);
-    kept
+/// Returns the headers of a response that are forwarded to the client. The load report is for the proxy only.
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = end_to_end(headers);
+    forwarded.remove(&names::LOAD);
+    forwarded
 }
 
-/// The load report of an answer, if it carries a readable one.
-pub fn load(headers: &HeaderMap) -> Option<LoadReport> {
+/// Returns the load report of a response, if it has a readable one.
+pub fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(&names::LOAD)?.to_str().ok()?;
     let mut load = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|part| part.split_once('=')) {
@@ -74,7 +76,7 @@
     use actix_http::header::HeaderValue;
 
     #[test]
-    fn only_the_mark_proves_that_a_call_never_ran() {
+    fn only_the_not_run_header_makes_an_error_status_an_overload() {
         let mut headers = HeaderMap::new();
         assert_eq!(outcome(StatusCode::SERVICE_UNAVAILABLE, &headers), Outcome::Error);
         headers.insert(names::NOT_RUN, HeaderValue::from_static("1"));
@@ -85,10 +87,10 @@
     }
 
     #[test]
-    fn a_load_report_is_read_by_names_and_rubbish_is_skipped() {
+    fn load_report_fields_are_read_by_name_and_invalid_ones_are_skipped() {
         let mut headers = HeaderMap::new();
         headers.insert(names::LOAD, HeaderValue::from_static("inflight=7,util=0.61,new=1,qps=inf,=,x"));
-        let load = load(&headers).expect("a report");
+        let load = load_report(&headers).expect("a report");
         assert_eq!((load.active, load.cpu, load.rate), (Some(7.0), Some(0.61), None));
     }
 }
--- a/crates/proxy/src/platform/mod.rs
+++ b/crates/proxy/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! This platform's protocol: header names, statuses, and the form of discovery's answers. Nothing outside
-//! this folder knows a header's name; another front or another kind of backend is a sibling of it.
+//! The platform's protocol: header names, status codes, and the format of discovery. No module outside this
+//! directory knows a header's name. Support for another protocol would be a sibling of this module.
 
 pub mod backend;
 pub mod client;
@@ -7,7 +7,7 @@
 
 use actix_http::header::{self, HeaderMap, HeaderName};
 
-/// The headers that mean something here.
+/// The names of the headers that the proxy interprets.
 mod names {
     use actix_http::header::HeaderName;
 
@@ -20,7 +20,7 @@
     pub const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
 }
 
-/// Headers of one connection, and those that the body's framing makes anew.
+/// Headers that apply to one connection only, and those that the HTTP library sets for the body's framing.
 const HOP_BY_HOP: [HeaderName; 10] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -34,13 +34,13 @@
     header::EXPECT,
 ];
 
-/// The headers that go on as they came: all but those of the connection, and what it names as its own.
+/// Returns the headers that are forwarded: all but the hop-by-hop headers and those that `Connection` lists.
 fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
+    let mut forwarded = headers.clone();
     let listed = headers.get_all(header::CONNECTION).filter_map(|v| v.to_str().ok());
     for name in listed.flat_map(|v| v.split(',')).filter_map(|name| name.trim().parse::<HeaderName>().ok()) {
-        kept.remove(&name);
+        forwarded.remove(&name);
     }
-    HOP_BY_HOP.iter().for_each(|name| _ = kept.remove(name));
-    kept
+    HOP_BY_HOP.iter().for_each(|name| _ = forwarded.remove(name));
+    forwarded
 }
--- a/crates/proxy/src/platform/registry.rs
+++ b/crates/proxy/src/platform/registry.rs
@@ -1,21 +1,21 @@
-//! Discovery's form: the paths asked and the lists that come back.
+//! The format of discovery: the request paths, and the endpoint lists in the responses.
 
 use crate::membership::{Endpoint, News};
 use olivecart_decisions::EndpointState;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// The path of the whole list.
+/// The path of the endpoint list.
 pub const LIST: &str = "/registry/instances";
 
-/// The path of a watch on what changes after a version.
+/// Returns the path of a watch for changes after a version.
 pub fn watch(after: u64) -> String {
     format!("{LIST}?watch=1&after={after}")
 }
 
-/// Writes what [`read`] reads.
+/// Serializes an update in the format that [`read`] parses.
 pub fn write(news: &News) -> String {
-    let servers = news.endpoints.iter().map(|e| Written {
+    let servers = news.endpoints.iter().map(|e| SerializedServer {
         id: &e.name,
         addr: e.addr.map(|addr| addr.to_string()).unwrap_or_default(),
         zone: &e.zone,
@@ -29,12 +29,12 @@
         weight: e.size,
         started_ms: e.started.unwrap_or(0) / 1_000_000,
     });
-    let servers: Vec<Written> = servers.collect();
+    let servers: Vec<SerializedServer> = servers.collect();
     serde_json::json!({ "version": news.version, "full": news.full, "servers": servers }).to_string()
 }
 
 #[derive(Serialize)]
-struct Written<'a> {
+struct SerializedServer<'a> {
     id: &'a str,
     addr: String,
     zone: &'a str,
@@ -45,7 +45,7 @@
     started_ms: u64,
 }
 
-/// One object of discovery's.
+/// A response of discovery: a snapshot or a delta.
 #[derive(Deserialize)]
 struct Document<'a> {
     version: u64,
@@ -69,17 +69,18 @@
     cell: u64,
     #[serde(borrow)]
     state: Cow<'a, str>,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     started_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Reads one object. A state never heard of counts as draining: known, and not to be sent anything.
+/// Parses a response of discovery. An unknown state counts as draining: the endpoint stays listed and takes
+/// no requests.
 pub fn read(text: &[u8]) -> Result<News<'_>, serde_json::Error> {
     let document: Document = serde_json::from_slice(text)?;
     let endpoints = document.servers.into_iter().map(endpoint).collect();
@@ -110,11 +111,11 @@
     use super::*;
 
     #[test]
-    fn a_change_is_read_with_its_addresses_and_start_times() {
+    fn delta_is_read_with_addresses_and_start_times() {
         let text =
             br#"{"version":43,"servers":[{"id":"s","addr":"127.0.0.9:1","state":"ready","started_ms":7},
             {"id":"t","state":"resting","addr":"127.0.0.9:2"},{"id":"s","state":"gone"}],"more":1}"#;
-        let news = read(text).expect("a change");
+        let news = read(text).expect("a delta");
         assert_eq!((news.version, news.full), (43, false));
         let states: Vec<_> = news.endpoints.iter().map(|e| (&*e.name, e.state, e.addr.is_some())).collect();
         assert_eq!(
@@ -130,18 +131,18 @@
     }
 
     #[test]
-    fn a_list_is_read_in_its_own_words_and_what_it_leaves_out_has_a_default() {
+    fn snapshot_is_read_with_defaults_for_missing_fields_and_written_back_unchanged() {
         let text = br#"{"version":1,"full":true,"servers":[{"id":"a\u00e9","addr":"[::1]:9","state":"ready",
             "zone":"z","kind":"k","cell":4,"weight":2.5},{"id":"b","state":"ready","addr":"nowhere"}]}"#;
-        let news = read(text).expect("a list");
+        let news = read(text).expect("a snapshot");
         assert!(news.full);
         let [a, b] = &news.endpoints[..] else { panic!("{} endpoints", news.endpoints.len()) };
         assert_eq!((&*a.name, &*a.zone, &*a.kind, a.cell, a.size), ("aé", "z", "k", 4, 2.5));
         assert_eq!((&*b.zone, &*b.kind, b.cell, b.size), ("", "", 0, 1.0));
-        assert_eq!((b.state, b.addr), (EndpointState::Draining, None), "ready, but nobody can reach it");
+        assert_eq!((b.state, b.addr), (EndpointState::Draining, None), "ready, but without a valid address");
         assert!(read(br#"{"version":1,"servers":[{"id":"a"}]}"#).is_err(), "no state");
         let text = write(&news);
-        let again = read(text.as_bytes()).expect("what was written");
+        let again = read(text.as_bytes()).expect("valid");
         assert_eq!(write(&again), text);
         assert_eq!((again.full, &*again.endpoints[0].name, again.endpoints[0].addr), (true, "aé", a.addr));
     }
--- a/crates/proxy/src/response_monitor.rs
+++ b/crates/proxy/src/response_monitor.rs
@@ -1,9 +1,10 @@
-//! Monitors what comes on a connection to an endpoint or to discovery: one response for each request written.
+//! Monitors the bytes received on a connection to an endpoint or to discovery: one response for each request
+//! written.
 //!
-//! The bytes of the answer go on to awc as they came. Interim (1xx) answers ahead of it do not; an answer that
-//! cannot be read or keeps coming ends the reading with an error; and whatever comes behind an answer is kept
-//! from ever being read as the next one's: such a connection is not fit to be used again. The heads and
-//! bodies are told apart by actix-http's own codec, so that awc never sees another border than this.
+//! The bytes of the final response are passed on to awc unchanged. Interim (1xx) responses are removed. A
+//! response that is malformed or too long fails the read. Bytes after the end of a response are dropped, so
+//! that they are never read as the start of the next one, and the connection is not used again. Heads and
+//! bodies are split with actix-http's codec, so that awc splits them in the same places.
 
 use crate::stats::Stats;
 use crate::wire::{Socket, StreamObserver, uninterrupted};
@@ -23,65 +24,64 @@
 use tokio::time::sleep_until;
 use tokio_util::codec::Decoder;
 
-/// Largest head of an answer, with the interim ones ahead of it.
-const HEAD_LIMIT: usize = 16 * 1024;
-/// An answer that has begun and brings nothing for so long does not end at all.
-const STILL: Duration = Duration::from_millis(1000);
+/// The maximum length of a response's head, together with the interim responses before it.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// A response that has started is given up if no byte is received for this time.
+const RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
 const HTTP_1_0: &[u8] = b"HTTP/1.0";
-/// Bytes read at a time.
-const READ: usize = 8 * 1024;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Says whether the first byte of a request may be written.
-pub type Gate = Box<dyn Fn() -> io::Result<()>>;
+/// Checks whether the first byte of a request may be written.
+pub type WriteCheckFn = Box<dyn Fn() -> io::Result<()>>;
 
-/// What is known of a connection to an endpoint, or to discovery. Owned by its lease; [`Wire`](crate::wire::Wire) reads
-/// and writes through it. It never decides whether a request is retried.
+/// The state of a connection to an endpoint or to discovery, and of the exchange on it. Owned by the
+/// connection's lease; [`Wire`](crate::wire::Wire) reads and writes through it. It never decides whether a
+/// request is retried.
 pub struct ResponseMonitor {
-    /// It came up, now or for an earlier request: bytes of this one may have been written.
+    /// Whether a connection was established, for this request or an earlier one.
     pub connected: Cell<bool>,
-    /// The peer ended its sending, or the stream broke.
+    /// Whether the peer closed its side of the connection, or the stream failed.
     pub peer_closed: Cell<bool>,
-    /// What came is not an answer.
+    /// Whether the received bytes are not a valid response.
     pub malformed: Cell<bool>,
-    /// The request allows no body in its answer, whatever the head says.
+    /// Whether the response has no body, whatever its head says.
     pub expects_no_body: Cell<bool>,
-    /// The connection kept for this request had ended, and another came up in its place.
+    /// Whether the connection kept for this request was closed, and another was established in its place.
     pub reconnected: Cell<bool>,
-    /// Where it counts that a request was written, once it was.
+    /// The metrics that count the attempt once its request is written.
     pub attempt_stats: RefCell<Option<Arc<Stats>>>,
-    /// Something of this request was written: it may run.
+    /// Whether any byte of this request was written, so that the request may be executed.
     written: Cell<bool>,
-    /// This request was not let through to the connection: it never runs.
-    withheld: Cell<bool>,
-    /// Asked once, before the first byte of this request.
-    gate: RefCell<Option<Gate>>,
-    /// Largest body.
-    limit: usize,
-    /// More came than belongs to the answer.
+    /// Whether the write check rejected this request, so that it is never executed.
+    write_rejected: Cell<bool>,
+    /// Runs once, before the first byte of this request.
+    write_check: RefCell<Option<WriteCheckFn>>,
+    max_body_bytes: usize,
+    /// Whether bytes were received after the end of the response.
     has_excess_bytes: Cell<bool>,
-    /// When some of the answer came last, since it began.
-    begun: Cell<Option<Instant>>,
-    began: Notify,
+    /// When bytes of the current response were last received; `None` before its first byte and after its end.
+    last_received_at: Cell<Option<Instant>>,
+    response_started: Notify,
     reading: RefCell<Reading>,
 }
 
 #[derive(Default)]
 struct Reading {
     phase: Phase,
-    /// Came and is not yet told apart.
+    /// Received bytes that are not decoded yet.
     raw: BytesMut,
-    /// Is awc's.
-    out: BytesMut,
-    /// Bytes of this answer so far: of heads, then of the body.
+    /// Bytes for awc to read.
+    decoded: BytesMut,
+    /// The length of this response so far: of its heads, then of its body.
     length: usize,
 }
 
-/// What comes next.
+/// The part of a response that is expected next.
 #[derive(Default)]
 enum Phase {
-    /// Nothing: no request is out.
+    /// No part: no request was written, or its response is complete.
     #[default]
-    Nothing,
+    Idle,
     Head,
     Body(ClientPayloadCodec),
 }
@@ -93,8 +93,8 @@
 }
 
 impl ResponseMonitor {
-    /// Nothing is known yet; bodies over a limit are not read to their end.
-    pub fn new(limit: usize) -> ResponseMonitor {
+    /// Creates a monitor without a connection. Longer bodies than `max_body_bytes` count as malformed.
+    pub fn new(max_body_bytes: usize) -> ResponseMonitor {
         let flag = || Cell::new(false);
         ResponseMonitor {
             connected: flag(),
@@ -104,74 +104,77 @@
             reconnected: flag(),
             attempt_stats: RefCell::default(),
             written: flag(),
-            withheld: flag(),
-            gate: RefCell::default(),
-            limit,
+            write_rejected: flag(),
+            write_check: RefCell::default(),
+            max_body_bytes,
             has_excess_bytes: flag(),
-            begun: Cell::new(None),
-            began: Notify::new(),
+            last_received_at: Cell::new(None),
+            response_started: Notify::new(),
             reading: RefCell::default(),
         }
     }
 
-    /// A request follows; its first byte asks the gate.
-    pub fn begin(&self, gate: Option<Gate>) {
-        [&self.written, &self.withheld].iter().for_each(|flag| flag.set(false));
-        self.gate.replace(gate);
+    /// Prepares for the next request. `write_check` runs before its first byte is written.
+    pub fn begin_request(&self, write_check: Option<WriteCheckFn>) {
+        [&self.written, &self.write_rejected].iter().for_each(|flag| flag.set(false));
+        self.write_check.replace(write_check);
     }
 
-    /// Whether something of the request was written.
-    pub fn written(&self) -> bool {
+    /// Whether any byte of the request was written.
+    pub fn is_written(&self) -> bool {
         self.written.get()
     }
 
-    /// Whether the request was not let through.
-    pub fn withheld(&self) -> bool {
-        self.withheld.get()
+    /// Whether the write check rejected the request.
+    pub fn is_write_rejected(&self) -> bool {
+        self.write_rejected.get()
     }
 
-    /// A connection has just come up.
+    /// Resets the state for a connection that was just established.
     pub fn on_connected(&self) {
-        // A second time: the one kept for this request had been ended.
+        // If there was a connection before, it was closed.
         self.reconnected.set(self.connected.replace(true));
         [&self.peer_closed, &self.malformed, &self.has_excess_bytes].iter().for_each(|flag| flag.set(false));
-        self.begun.set(None);
+        self.last_received_at.set(None);
         *self.reading.borrow_mut() = Reading::default();
     }
 
-    /// Whether an answer came to its end.
-    pub fn whole(&self) -> bool {
-        matches!(self.reading.borrow().phase, Phase::Nothing)
+    /// Whether the response was received to its end.
+    pub fn is_response_complete(&self) -> bool {
+        matches!(self.reading.borrow().phase, Phase::Idle)
     }
 
-    /// Whether another request may be written: the answer has come whole, nothing came behind it, and the
-    /// peer has not ended the connection.
-    pub fn reusable(&self) -> bool {
-        self.whole() && !self.peer_closed.get() && !self.malformed.get() && !self.has_excess_bytes.get()
+    /// Whether another request may be written: the response is complete, no bytes were received after it, and
+    /// the peer has not closed the connection.
+    pub fn is_reusable(&self) -> bool {
+        self.is_response_complete()
+            && !self.peer_closed.get()
+            && !self.malformed.get()
+            && !self.has_excess_bytes.get()
     }
 
-    /// Resolves when an answer has begun, is not whole, and brings nothing more.
-    pub async fn stalled(&self) {
+    /// Resolves when a response has started, is not complete, and no byte was received for the idle timeout.
+    pub async fn wait_until_stalled(&self) {
         loop {
-            let Some(begun) = self.begun.get() else {
-                self.began.notified().await;
+            let Some(last_received_at) = self.last_received_at.get() else {
+                self.response_started.notified().await;
                 continue;
             };
-            sleep_until((begun + STILL).into()).await;
-            if self.begun.get() == Some(begun) {
+            sleep_until((last_received_at + RESPONSE_IDLE_TIMEOUT).into()).await;
+            if self.last_received_at.get() == Some(last_received_at) {
                 return;
             }
         }
     }
 
-    /// Splits what came into heads and bodies. Err: it is not a response.
+    /// Splits the received bytes into heads and bodies. Fails if they are not a valid response.
     fn split_messages(&self, reading: &mut Reading) -> Result<(), ()> {
         while !reading.raw.is_empty() {
-            // Decoded from a copy: what goes on is the bytes that came.
+            // Decoded from a copy, since the bytes are passed on as they were received.
             let mut rest = reading.raw.clone();
-            let mut interim = false;
+            let mut is_interim = false;
             match &mut reading.phase {
-                Phase::Nothing => {
+                Phase::Idle => {
                     self.has_excess_bytes.set(true);
                     reading.raw.clear();
                     return Ok(());
@@ -179,61 +182,62 @@
                 Phase::Head => {
                     let mut codec = ClientCodec::default();
                     let Some(mut head) = codec.decode(&mut rest).map_err(drop)? else {
-                        let too_long = reading.length + reading.raw.len() > HEAD_LIMIT;
+                        let too_long = reading.length + reading.raw.len() > MAX_HEAD_BYTES;
                         return if too_long { Err(()) } else { Ok(()) };
                     };
                     if self.ends_with_connection(&codec, &head) {
-                        // The libraries read on to the end of a connection in HTTP/1.0 only.
+                        // actix-http and awc read a body to the end of the connection for HTTP/1.0 only, so
+                        // that the head is passed on with this version.
                         reading.raw[..HTTP_1_0.len()].copy_from_slice(HTTP_1_0);
                         (codec, rest) = (ClientCodec::default(), reading.raw.clone());
                         head = codec.decode(&mut rest).map_err(drop)?.ok_or(())?;
                     }
-                    interim = head.status.is_informational() && head.status.as_u16() != 101;
+                    is_interim = head.status.is_informational() && head.status.as_u16() != 101;
                     reading.length += reading.raw.len() - rest.len();
-                    if interim && reading.length > HEAD_LIMIT {
+                    if is_interim && reading.length > MAX_HEAD_BYTES {
                         return Err(());
                     }
-                    if !interim {
-                        let none =
+                    if !is_interim {
+                        let has_no_body =
                             self.expects_no_body.get() || matches!(codec.message_type(), MessageType::None);
                         let body = || Phase::Body(codec.into_payload_codec());
-                        (reading.phase, reading.length) = (if none { Phase::Nothing } else { body() }, 0);
+                        (reading.phase, reading.length) = (if has_no_body { Phase::Idle } else { body() }, 0);
                     }
                 }
                 Phase::Body(codec) => loop {
                     match codec.decode(&mut rest).map_err(drop)? {
-                        Some(Some(part)) => reading.length += part.len(),
+                        Some(Some(chunk)) => reading.length += chunk.len(),
                         Some(None) => {
-                            reading.phase = Phase::Nothing;
+                            reading.phase = Phase::Idle;
                             break;
                         }
                         None => break,
                     }
-                    if reading.length > self.limit {
+                    if reading.length > self.max_body_bytes {
                         return Err(());
                     }
                 },
             }
-            let used = reading.raw.len() - rest.len();
-            let bytes = reading.raw.split_to(used);
-            if !interim {
-                reading.out.extend_from_slice(&bytes);
+            let consumed = reading.raw.len() - rest.len();
+            let bytes = reading.raw.split_to(consumed);
+            if !is_interim {
+                reading.decoded.extend_from_slice(&bytes);
             }
-            if used == 0 && matches!(reading.phase, Phase::Body(_)) {
-                return Ok(()); // it takes more to tell apart
+            if consumed == 0 && matches!(reading.phase, Phase::Body(_)) {
+                return Ok(()); // the next chunk is not complete yet
             }
         }
         if !matches!(reading.phase, Phase::Body(_)) {
-            self.begun.set(None); // it is whole, or after interim ones still to come
+            self.last_received_at.set(None); // complete, or only interim responses were received so far
         }
         Ok(())
     }
 
-    /// Whether a head says that its body goes on to the end of the connection.
+    /// Whether the head announces a body that ends with the connection.
     fn ends_with_connection(&self, codec: &ClientCodec, head: &ResponseHead) -> bool {
         let closes = || {
-            let said = head.headers.get_all(CONNECTION).filter_map(|v| v.to_str().ok());
-            said.flat_map(|v| v.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
+            let values = head.headers.get_all(CONNECTION).filter_map(|v| v.to_str().ok());
+            values.flat_map(|v| v.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
         };
         head.version == Version::HTTP_11
             && matches!(codec.message_type(), MessageType::None)
@@ -245,13 +249,14 @@
             && closes()
     }
 
-    fn broken() -> Poll<io::Result<()>> {
-        Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "not an answer")))
+    fn malformed_response_error() -> Poll<io::Result<()>> {
+        Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "malformed HTTP response")))
     }
 }
 
-/// Whether something has come, or the end, that the runtime has not heard of yet. Danger: a peer that closes
-/// right after its answer, and a request written to what it closed: it may have run, and can't be repeated.
+/// Whether bytes or the end of the stream were received that the runtime has not reported yet. Without this
+/// check, a request could be written to a connection that the peer closed right after its response: such a
+/// request may have been executed, and can't be retried.
 fn has_unread_bytes(stream: &dyn Socket) -> bool {
     match uninterrupted(|| Poll::Ready(stream.peek_byte())) {
         Poll::Ready(Err(e)) => e.kind() != io::ErrorKind::WouldBlock,
@@ -269,60 +274,63 @@
         let mut reading = self.reading.borrow_mut();
         loop {
             if self.malformed.get() {
-                return ResponseMonitor::broken();
+                return ResponseMonitor::malformed_response_error();
             }
-            // The end of an answer is read past before the answer goes on: what came with it is then known.
-            let whole = matches!(reading.phase, Phase::Nothing);
-            if !reading.out.is_empty() && (!whole || self.peer_closed.get() || self.has_excess_bytes.get()) {
+            // The end of a response is passed on only after another read, which shows whether excess bytes or
+            // a close follow it.
+            let is_complete = matches!(reading.phase, Phase::Idle);
+            if !reading.decoded.is_empty()
+                && (!is_complete || self.peer_closed.get() || self.has_excess_bytes.get())
+            {
                 break;
             }
-            let mut space = [0; READ];
-            let mut came = ReadBuf::new(&mut space);
-            let read = match uninterrupted(|| stream.as_mut().poll_read(cx, &mut came)) {
-                Poll::Pending if !reading.out.is_empty() => break,
-                Poll::Pending if whole && has_unread_bytes(&*stream) => {
+            let mut space = [0; READ_BUFFER_BYTES];
+            let mut received = ReadBuf::new(&mut space);
+            let read = match uninterrupted(|| stream.as_mut().poll_read(cx, &mut received)) {
+                Poll::Pending if !reading.decoded.is_empty() => break,
+                Poll::Pending if is_complete && has_unread_bytes(&*stream) => {
                     self.peer_closed.set(true);
                     return Poll::Ready(Ok(()));
                 }
                 read => ready!(read),
             };
-            if read.is_err() || came.filled().is_empty() {
+            if read.is_err() || received.filled().is_empty() {
                 self.peer_closed.set(true);
-                if !reading.out.is_empty() {
+                if !reading.decoded.is_empty() {
                     break;
                 }
                 return Poll::Ready(read);
             }
-            if !whole && self.begun.replace(Some(Instant::now())).is_none() {
-                self.began.notify_one();
+            if !is_complete && self.last_received_at.replace(Some(Instant::now())).is_none() {
+                self.response_started.notify_one();
             }
-            reading.raw.extend_from_slice(came.filled());
+            reading.raw.extend_from_slice(received.filled());
             if self.split_messages(&mut reading).is_err() {
                 self.malformed.set(true);
-            } else if self.has_excess_bytes.get() && reading.out.is_empty() {
-                self.peer_closed.set(true); // for awc, which is asked to take nothing more from it
+            } else if self.has_excess_bytes.get() && reading.decoded.is_empty() {
+                self.peer_closed.set(true); // makes awc drop the connection
                 return Poll::Ready(Ok(()));
             }
         }
-        let part = reading.out.len().min(buf.remaining());
-        buf.put_slice(&reading.out.split_to(part));
+        let length = reading.decoded.len().min(buf.remaining());
+        buf.put_slice(&reading.decoded.split_to(length));
         Poll::Ready(Ok(()))
     }
 
     fn on_write(&self) -> io::Result<()> {
-        if let Some(gate) = self.gate.take()
-            && let Err(closed) = gate()
+        if let Some(write_check) = self.write_check.take()
+            && let Err(rejection) = write_check()
         {
-            self.withheld.set(true);
-            return Err(closed);
+            self.write_rejected.set(true);
+            return Err(rejection);
         }
         self.written.set(true);
         let mut reading = self.reading.borrow_mut();
-        if matches!(reading.phase, Phase::Nothing) && !self.has_excess_bytes.get() {
+        if matches!(reading.phase, Phase::Idle) && !self.has_excess_bytes.get() {
             (reading.phase, reading.length) = (Phase::Head, 0);
-            self.begun.set(None);
+            self.last_received_at.set(None);
         }
-        // A request that is not streamed goes out in one write, but for a few.
+        // Almost every request that is not streamed is sent in one write.
         self.attempt_stats.take().iter().for_each(|stats| stats.tried());
         Ok(())
     }
--- a/crates/proxy/src/response_monitor/tests.rs
+++ b/crates/proxy/src/response_monitor/tests.rs
@@ -1,43 +1,43 @@
 use super::*;
 
-fn closed() -> Gate {
-    Box::new(|| Err(io::Error::other("closed")))
+fn rejecting() -> WriteCheckFn {
+    Box::new(|| Err(io::Error::other("rejected")))
 }
 
 #[test]
 fn only_bytes_of_current_request_count_as_written_on_pooled_connection() {
-    let seen = ResponseMonitor::new(usize::MAX);
-    seen.on_connected();
-    seen.begin(None);
-    assert!(!seen.written());
-    assert!(seen.on_write().is_ok() && seen.written());
-    // The next request on it, which has not begun: were it called off now, it would never have run.
-    seen.begin(None);
-    assert!(!seen.written() && !seen.withheld());
+    let monitor = ResponseMonitor::new(usize::MAX);
+    monitor.on_connected();
+    monitor.begin_request(None);
+    assert!(!monitor.is_written());
+    assert!(monitor.on_write().is_ok() && monitor.is_written());
+    // The next request on the connection: if it is cancelled before its first byte, it was never executed.
+    monitor.begin_request(None);
+    assert!(!monitor.is_written() && !monitor.is_write_rejected());
 }
 
 #[test]
-fn write_gate_is_checked_before_first_byte_only_and_rejected_bytes_do_not_count_as_written() {
-    let seen = ResponseMonitor::new(usize::MAX);
-    seen.begin(Some(closed()));
-    assert!(seen.on_write().is_err());
-    assert!(seen.withheld() && !seen.written());
-    let asked = std::rc::Rc::new(Cell::new(0));
-    let counts = asked.clone();
-    seen.begin(Some(Box::new(move || {
-        counts.set(counts.get() + 1);
-        if counts.get() > 1 { Err(io::Error::other("closed by now")) } else { Ok(()) }
+fn write_check_runs_before_first_byte_only_and_rejected_bytes_do_not_count_as_written() {
+    let monitor = ResponseMonitor::new(usize::MAX);
+    monitor.begin_request(Some(rejecting()));
+    assert!(monitor.on_write().is_err());
+    assert!(monitor.is_write_rejected() && !monitor.is_written());
+    let checks = std::rc::Rc::new(Cell::new(0));
+    let counted = checks.clone();
+    monitor.begin_request(Some(Box::new(move || {
+        counted.set(counted.get() + 1);
+        if counted.get() > 1 { Err(io::Error::other("checked again")) } else { Ok(()) }
     })));
-    assert!(seen.on_write().is_ok() && seen.on_write().is_ok(), "the rest of what has begun goes on");
-    assert_eq!(asked.get(), 1);
-    assert!(seen.written() && !seen.withheld());
+    assert!(monitor.on_write().is_ok() && monitor.on_write().is_ok(), "the second write is not checked");
+    assert_eq!(checks.get(), 1);
+    assert!(monitor.is_written() && !monitor.is_write_rejected());
 }
 
 #[test]
-fn connection_established_in_place_of_pooled_one_checks_same_write_gate() {
-    let seen = ResponseMonitor::new(usize::MAX);
-    seen.on_connected();
-    seen.begin(Some(closed()));
-    seen.on_connected(); // the kept one had ended
-    assert!(seen.reconnected.get() && seen.on_write().is_err());
+fn connection_established_in_place_of_pooled_one_runs_same_write_check() {
+    let monitor = ResponseMonitor::new(usize::MAX);
+    monitor.on_connected();
+    monitor.begin_request(Some(rejecting()));
+    monitor.on_connected(); // the pooled connection was closed
+    assert!(monitor.reconnected.get() && monitor.on_write().is_err());
 }
--- a/crates/proxy/src/serving_process.rs
+++ b/crates/proxy/src/serving_process.rs
@@ -129,7 +129,7 @@
         let own_part = sockets.part(processes);
         self.control.set_limits(own_part);
         self.clusters.limit_connections(own_part.backends);
-        self.budget.adopt(body_bytes / processes.max(1) as usize);
+        self.budget.set_limit(body_bytes / processes.max(1) as usize);
     }
 
     fn apply(&self, change: &ManualChange) {
--- a/crates/proxy/src/sidecar/admin.rs
+++ b/crates/proxy/src/sidecar/admin.rs
@@ -77,7 +77,7 @@
     for Listener { name: listener, control, clusters } in &sidecar.listeners {
         // Writing to a string does not fail.
         let _ = writeln!(out, "listener {listener}: connections {}", control.connections());
-        for place in clusters.routes.places() {
+        for place in clusters.routes.all() {
             let _ = match place.context() {
                 Some(context) => writeln!(
                     out,
@@ -120,7 +120,7 @@
     for Listener { name: listener, control, clusters } in &sidecar.listeners {
         let label = |name: &str, value: &str| (name.to_owned(), value.to_owned());
         clients.get_or_create(&vec![label("listener", listener)]).set(control.connections() as i64);
-        for place in clusters.routes.places() {
+        for place in clusters.routes.all() {
             let labels = vec![label("listener", listener), label("cluster", &place.cluster)];
             let requests = place.context().map_or(0, |context| context.open_requests());
             open.get_or_create(&labels).set(requests as i64);
--- a/crates/proxy/src/sidecar/mod.rs
+++ b/crates/proxy/src/sidecar/mod.rs
@@ -340,8 +340,7 @@
     _report: tokio::sync::mpsc::Sender<()>,
 ) {
     while let Some(step) = steps.recv().await {
-        for clusters in all.iter().filter(|clusters| clusters.routes.place(step.cluster().as_str()).is_some())
-        {
+        for clusters in all.iter().filter(|clusters| clusters.routes.get(step.cluster().as_str()).is_some()) {
             clusters.apply(step.clone()).await;
         }
     }
--- a/crates/proxy/src/stages/admission.rs
+++ b/crates/proxy/src/stages/admission.rs
@@ -1,6 +1,8 @@
-//! Admits a call: opens its account and puts it to the decisions. The only admission of the proxy's own is
-//! the limits on open requests that the settings give, and the cluster's source or its operators; and that nothing
-//! waits for what operators took out.
+//! Admits a call: registers it as an open request and reports it to the balancer.
+//!
+//! The proxy itself rejects a call only if a limit on open requests is reached (from the settings, the
+//! cluster's source or its operators), if operators detached every endpoint that could take it, or if its id
+//! is already in use. All other admission control is the balancer's.
 
 use super::context::Context;
 use crate::bodies::RequestBody;
@@ -10,75 +12,81 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// The decisions and every attempt end this long before the client stops waiting, so that what they come to
-/// still reaches it in time.
-pub const MARGIN: Duration = Duration::from_millis(6);
+/// The balancer and every attempt end this long before the client's deadline, so that the result still
+/// reaches the client in time.
+pub const DEADLINE_MARGIN: Duration = Duration::from_millis(6);
 
-/// An open request. Dropped before its end, it tells the decisions that the client has gone.
-pub struct Held {
-    /// The time by which it must be answered, come what may.
+/// An open request. If it is dropped before the request has a verdict, the balancer is notified that the
+/// client aborted the request.
+pub struct AdmittedRequest {
+    /// When the client stops waiting for a response.
     pub deadline: Instant,
-    /// The body, if it was still coming.
+    /// The body, if it is streamed.
     pub upload: Option<Rc<RequestBody>>,
     verdict: oneshot::Receiver<Verdict>,
-    /// Closes the account when it is dropped.
-    _account: Account,
+    /// Closes the request when it is dropped.
+    _guard: OpenRequestGuard,
 }
 
-struct Account {
+struct OpenRequestGuard {
     context: Rc<Context>,
     request: RequestId,
 }
 
 /// Why a call is not admitted.
-pub enum NotAdmitted {
-    /// As many are open as the settings or the cluster's limits allow.
-    Full,
-    /// Administrators drained whatever could take it.
-    AllOut,
-    /// One with its id is open.
-    Twice,
+pub enum AdmissionError {
+    /// The limit on open requests of the settings or of the cluster is reached.
+    LimitReached,
+    /// Operators detached every endpoint that could take it.
+    AllDetached,
+    /// Another request with the same id is open.
+    DuplicateId,
 }
 
-/// Opens a call's account. Danger: a second request with the id of an open one is not that client's, and to a
-/// backend would be another copy of it.
-pub fn admit(context: &Rc<Context>, call: Call) -> Result<Held, NotAdmitted> {
-    if !context.has_room() {
-        return Err(NotAdmitted::Full);
+/// Opens a request. A second request with the id of an open one is rejected: a backend would take it for a
+/// repeat of the first, although it may come from another client.
+pub fn admit(context: &Rc<Context>, call: Call) -> Result<AdmittedRequest, AdmissionError> {
+    if !context.has_capacity() {
+        return Err(AdmissionError::LimitReached);
     }
-    // Danger: the decisions hold a request where news of the list may still save it; here there will be none.
-    if context.all_out() {
-        return Err(NotAdmitted::AllOut);
+    // The balancer would queue the request until an endpoint update brings a ready endpoint, but none will
+    // come while operators keep all endpoints detached.
+    if context.all_detached() {
+        return Err(AdmissionError::AllDetached);
     }
-    let until = call.deadline.checked_sub(MARGIN).unwrap_or(call.deadline);
+    let deadline = call.deadline.checked_sub(DEADLINE_MARGIN).unwrap_or(call.deadline);
     let upload = match &call.payload.body {
         Body::Streamed(upload) => Some(upload.clone()),
-        Body::Whole { .. } => None,
+        Body::Buffered { .. } => None,
     };
     let (request, verdict) =
-        context.request_table.open(call.id, call.payload, until).ok_or(NotAdmitted::Twice)?;
-    context.enter();
-    let account = Account { context: context.clone(), request };
-    context.tell(Event::RequestArrived(Request {
+        context.request_table.open(call.id, call.payload, deadline).ok_or(AdmissionError::DuplicateId)?;
+    context.on_request_opened();
+    let guard = OpenRequestGuard { context: context.clone(), request };
+    context.report(Event::RequestArrived(Request {
         tenant: call.tenant,
         is_retry: call.retry,
-        ..Request::new(request, call.class, until.saturating_duration_since(Instant::now()).as_nanos() as u64)
+        ..Request::new(
+            request,
+            call.class,
+            deadline.saturating_duration_since(Instant::now()).as_nanos() as u64,
+        )
     }));
-    Ok(Held { deadline: call.deadline, upload, verdict, _account: account })
+    Ok(AdmittedRequest { deadline: call.deadline, upload, verdict, _guard: guard })
 }
 
-impl Held {
-    /// Waits for the end that the decisions come to.
+impl AdmittedRequest {
+    /// Waits for the verdict on the request.
     pub async fn verdict(&mut self) -> Verdict {
         (&mut self.verdict).await.unwrap_or(Verdict::Failed)
     }
 }
 
-impl Drop for Account {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.context.leave();
+        self.context.on_request_closed();
         if self.context.request_table.abandon(self.request) {
-            self.context.tell(Event::RequestAborted(self.request));
+            self.context.report(Event::RequestAborted(self.request));
         }
     }
 }
@@ -89,34 +97,41 @@
     use crate::backends::Backends;
     use crate::call::{Body, Payload};
     use crate::descriptors::Descriptors;
-    use crate::stages::context::{Decisions, Limits};
+    use crate::stages::context::{EventSink, Limits};
     use actix_http::Method;
     use actix_http::header::{HeaderMap, HeaderValue};
     use bytes::Bytes;
     use olivecart_decisions::ClassId;
     use std::cell::RefCell;
 
-    /// Notes what it is told, and answers nothing.
+    /// Records the events that are reported to it.
     #[derive(Default)]
     struct Recorder(RefCell<Vec<Event>>);
 
-    impl Decisions for Recorder {
-        fn tell(&self, event: Event) {
+    impl EventSink for Recorder {
+        fn report(&self, event: Event) {
             self.0.borrow_mut().push(event);
         }
     }
 
-    fn context(decisions: &Rc<Recorder>, open_requests: usize) -> Rc<Context> {
-        let decisions: Rc<dyn Decisions> = decisions.clone();
+    fn context(recorder: &Rc<Recorder>, max_open_requests: usize) -> Rc<Context> {
+        let event_sink: Rc<dyn EventSink> = recorder.clone();
         let descriptors = Rc::new(Descriptors::new(1));
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let backends = Backends::new(Duration::from_secs(1), Duration::from_secs(1), descriptors, log);
-        let limits = Limits { open_requests, second_copies: false };
-        Rc::new(Context::new(Rc::downgrade(&decisions), Rc::default(), backends, limits, Rc::default(), None))
+        let limits = Limits { max_open_requests, hedging_enabled: false };
+        Rc::new(Context::new(
+            Rc::downgrade(&event_sink),
+            Rc::default(),
+            backends,
+            limits,
+            Rc::default(),
+            None,
+        ))
     }
 
     fn call(id: &'static str) -> Call {
-        let (headers, body) = (HeaderMap::new(), Body::Whole { bytes: Bytes::new(), _share: None });
+        let (headers, body) = (HeaderMap::new(), Body::Buffered { bytes: Bytes::new(), _reservation: None });
         Call {
             id: HeaderValue::from_static(id),
             class: ClassId(0),
@@ -129,38 +144,38 @@
     }
 
     #[test]
-    fn a_client_that_leaves_is_told_of_once_and_one_that_was_answered_not_at_all() {
-        let decisions = Rc::new(Recorder::default());
-        let context = context(&decisions, 2);
-        let left = admit(&context, call("left")).ok().expect("room");
-        let answered = admit(&context, call("answered")).ok().expect("room");
+    fn dropping_an_open_request_reports_one_abort_and_dropping_a_finished_one_reports_none() {
+        let recorder = Rc::new(Recorder::default());
+        let context = context(&recorder, 2);
+        let dropped = admit(&context, call("dropped")).ok().expect("admitted");
+        let finished = admit(&context, call("finished")).ok().expect("admitted");
         assert!(context.request_table.finish(RequestId(1), Verdict::Failed));
-        drop((left, answered));
-        let told = decisions.0.borrow();
-        let [Event::RequestArrived(left), Event::RequestArrived(answered), Event::RequestAborted(gone)] =
-            &told[..]
+        drop((dropped, finished));
+        let events = recorder.0.borrow();
+        let [Event::RequestArrived(dropped), Event::RequestArrived(ended), Event::RequestAborted(aborted)] =
+            &events[..]
         else {
-            panic!("{told:?}")
+            panic!("{events:?}")
         };
-        assert_eq!((left.id, answered.id, *gone), (RequestId(0), RequestId(1), RequestId(0)));
+        assert_eq!((dropped.id, ended.id, *aborted), (RequestId(0), RequestId(1), RequestId(0)));
     }
 
     #[test]
-    fn what_is_not_admitted_is_never_put_to_the_decisions() {
-        let decisions = Rc::new(Recorder::default());
-        let context = context(&decisions, 2);
-        let first = admit(&context, call("a")).ok().expect("room");
-        assert!(matches!(admit(&context, call("a")), Err(NotAdmitted::Twice)));
-        let _second = admit(&context, call("b")).ok().expect("room");
-        assert!(matches!(admit(&context, call("c")), Err(NotAdmitted::Full)));
-        assert_eq!(decisions.0.borrow().len(), 2);
+    fn rejected_calls_are_not_reported_to_the_balancer() {
+        let recorder = Rc::new(Recorder::default());
+        let context = context(&recorder, 2);
+        let first = admit(&context, call("a")).ok().expect("admitted");
+        assert!(matches!(admit(&context, call("a")), Err(AdmissionError::DuplicateId)));
+        let _second = admit(&context, call("b")).ok().expect("admitted");
+        assert!(matches!(admit(&context, call("c")), Err(AdmissionError::LimitReached)));
+        assert_eq!(recorder.0.borrow().len(), 2);
         drop(first);
-        context.adopt(1);
+        context.set_max_open_requests(1);
         assert!(
-            matches!(admit(&context, call("a")), Err(NotAdmitted::Full)),
-            "this cluster's limit is lower"
+            matches!(admit(&context, call("a")), Err(AdmissionError::LimitReached)),
+            "the cluster's limit is lower than that of the settings"
         );
-        context.adopt(2);
-        assert!(admit(&context, call("a")).is_ok(), "its id and its room are free again");
+        context.set_max_open_requests(2);
+        assert!(admit(&context, call("a")).is_ok(), "the first request released its id and its slot");
     }
 }
--- a/crates/proxy/src/stages/attempt.rs
+++ b/crates/proxy/src/stages/attempt.rs
@@ -1,15 +1,21 @@
-//! One attempt on one connection, and exactly one outcome for it.
+//! Runs one attempt of a request on one connection and reports exactly one outcome for it; also runs health
+//! checks.
+//!
+//! Whether a failed attempt is retried is decided by the balancer, not here.
 
-use super::admission::MARGIN;
+use super::admission::DEADLINE_MARGIN;
 use super::context::Context;
-use super::gate::WriteGate;
 use super::request_table::Attempt;
+use super::write_check::WriteCheck;
 use crate::backends::{Lease, LeaseError};
-use crate::bodies::{BodySender, BufferedBody, LONGEST, ON_THE_WAY, RequestBody, SHORT, feed};
-use crate::call::{Answer, AnswerBody, Body, Payload, Verdict};
+use crate::bodies::{
+    BodySender, BufferedBody, MAX_BODY_BYTES, MAX_BUFFERED_BYTES, MAX_IN_TRANSIT_BYTES, RequestBody,
+    body_channel,
+};
+use crate::call::{Body, EndpointResponse, Payload, ResponseContent, Verdict};
 use crate::connect::ConnectFailure;
 use crate::platform::backend;
-use crate::response_monitor::{Gate, ResponseMonitor};
+use crate::response_monitor::{ResponseMonitor, WriteCheckFn};
 use actix_http::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, TRANSFER_ENCODING};
 use actix_http::{Method, StatusCode, Version};
 use awc::error::{ConnectError, PayloadError, SendRequestError};
@@ -22,228 +28,245 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep_until, timeout};
 
-/// Longest wait for a probe's answer. A probe is answered beside the queue, so that one taking longer than
-/// any round trip tells of a machine that hangs.
-const PROBE_LIMIT: Duration = Duration::from_millis(400);
-/// An answer whose head says that it is long goes on this long after its head at the latest. Before, what is malformed
-/// can still be told from what is slow.
-const HELD_BACK: Duration = Duration::from_millis(250);
-/// Heads that are built for one attempt at most: for a connection that was kept, for one in its place, and once more
-/// where the process stood still.
-const MOST_HEADS: usize = 3;
-/// A long body of which nothing moves for so long has ended, whoever stands still.
-const STILL: Duration = Duration::from_secs(10);
-
-/// What an exchange came to.
-struct End {
+/// Endpoints answer health checks without queueing them, so a response that takes longer than any round trip
+/// means that the machine hangs.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+/// The longest time for which the start of a long response is buffered before it is forwarded. Until it is
+/// forwarded, a malformed response can still be distinguished from a slow one.
+const MAX_BUFFERING_TIME: Duration = Duration::from_millis(250);
+/// An attempt may need a head for a pooled connection, another for the connection that replaces it, and a
+/// third one if the process was suspended in between.
+const MAX_HEADS_PER_ATTEMPT: usize = 3;
+/// A long body is given up if neither side makes progress for this time.
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// The result of an attempt or a health check.
+struct AttemptResult {
     outcome: Outcome,
-    answer: Option<Answer>,
+    response: Option<EndpointResponse>,
     load: Option<LoadReport>,
-    /// The rest of an answer that has only begun.
-    rest: Option<Box<Rest>>,
+    /// The remainder of a response that is streamed.
+    remainder: Option<Box<ResponseRemainder>>,
 }
 
-/// An answer that has begun to go on.
-struct Rest {
-    feed: BodySender,
+/// The remainder of a response whose start was already forwarded.
+struct ResponseRemainder {
+    sender: BodySender,
     lease: Lease,
     response: ClientResponse,
-    closes: bool,
-    /// Bytes of the body so far.
-    came: u64,
+    closes_connection: bool,
+    /// Bytes of the body received so far.
+    received_bytes: u64,
 }
 
-impl From<Outcome> for End {
-    fn from(outcome: Outcome) -> End {
-        End { outcome, answer: None, load: None, rest: None }
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, response: None, load: None, remainder: None }
     }
 }
 
-/// Runs an attempt to its end and books it.
+/// Runs an attempt to its end and reports its outcome.
 pub async fn run(context: Rc<Context>, mut attempt: Attempt, endpoint: EndpointId) {
     let began = Instant::now();
     let lease = context.backends.lease(endpoint);
-    let seen = lease.as_ref().ok().map(|lease| lease.seen.clone());
-    let gate = lease.as_ref().ok().map(|lease| Rc::new(WriteGate::new(&context, &attempt, lease.target)));
-    if let Some(seen) = &seen {
-        seen.begin(None); // nothing of this request is written yet
+    let monitor = lease.as_ref().ok().map(|lease| lease.monitor.clone());
+    let write_check =
+        lease.as_ref().ok().map(|lease| Rc::new(WriteCheck::new(&context, &attempt, lease.target)));
+    if let Some(monitor) = &monitor {
+        monitor.begin_request(None); // resets the state of a pooled connection's previous request
     }
     let upload = match &attempt.payload.body {
         Body::Streamed(upload) => Some(upload.clone()),
-        Body::Whole { .. } => None,
+        Body::Buffered { .. } => None,
     };
-    let (mut lets_go, mut starts) = (upload.is_some(), began);
-    let mut end = {
-        let exchange = exchange(&context, lease, gate, &attempt.payload);
-        let expires = expires(upload.as_deref(), attempt.until);
-        tokio::pin!(exchange, expires);
+    let (mut awaits_release, mut started) = (upload.is_some(), began);
+    let mut result = {
+        let exchange = exchange(&context, lease, write_check, &attempt.payload);
+        let expired = wait_until_expired(upload.as_deref(), attempt.deadline);
+        tokio::pin!(exchange, expired);
         loop {
             tokio::select! {
                 biased;
-                _ = &mut attempt.cancelled => break match &seen {
-                    // Danger: taken for one that may have run, it is the last attempt of a request that must not run twice.
-                    Some(seen) if !seen.written() => Outcome::NotSent.into(),
+                _ = &mut attempt.cancelled => break match &monitor {
+                    // Reported as `Cancelled`, an attempt that was never sent would count as one that may
+                    // have run, and a request that must not run twice would have no other attempt.
+                    Some(monitor) if !monitor.is_written() => Outcome::NotSent.into(),
                     _ => Outcome::Cancelled.into(),
                 },
-                () = body_released(upload.as_deref()), if lets_go => {
-                    lets_go = false;
-                    begun(&context, &attempt);
+                () = wait_for_body_release(upload.as_deref()), if awaits_release => {
+                    awaits_release = false;
+                    report_response_started(&context, &attempt);
                 }
-                end = &mut exchange => break end,
-                () = &mut expires => break match &seen {
-                    // Time ran out before there was a connection to write to.
-                    Some(seen) if !seen.written() => Outcome::ConnectFailed.into(),
+                result = &mut exchange => break result,
+                () = &mut expired => break match &monitor {
+                    // The time was spent on establishing the connection.
+                    Some(monitor) if !monitor.is_written() => Outcome::ConnectFailed.into(),
                     _ => Outcome::Timeout.into(),
                 },
             }
         }
     };
-    // The exchange is dropped by now, and with it the connection of an attempt that was given up: only then
-    // may the decisions hear of it, since they may send the request elsewhere at once.
+    // The exchange was dropped above, and with it the connection of a cancelled attempt. The outcome must not
+    // be reported earlier, since the balancer may send the request to another endpoint at once.
     if let Some(upload) = &upload {
-        starts = upload.ended_at().unwrap_or(began); // a backend starts when the last byte is there
-        if end.answer.is_none() && upload.is_released() {
-            give_up(&context, &attempt, &end, upload);
+        started = upload.ended_at().unwrap_or(began); // an endpoint starts work once it has the last byte
+        if result.response.is_none() && upload.is_released() {
+            finish_without_retry(&context, &attempt, &result, upload);
         }
     }
-    let took = starts.elapsed();
-    // An answer that goes on has served its request. Danger: booked at its last byte, it keeps its place at the endpoint while
-    // somebody reads it, and ends with a second copy of its request that is called off.
-    let rest = end.rest.take();
-    record_outcome(&context, &attempt, endpoint, took, end);
-    let Some(rest) = rest else { return };
-    let outcome = pass_on(&context, *rest, &attempt.payload.method).await;
-    // Danger: an endpoint that dies meanwhile has counted as well just now.
+    let elapsed = started.elapsed();
+    // The attempt ends here even if its response is still being streamed. If it ended with the last byte, it
+    // would occupy its slot at the endpoint while a client reads slowly, and a hedged request would be sent
+    // and then cancelled.
+    let remainder = result.remainder.take();
+    record_outcome(&context, &attempt, endpoint, elapsed, result);
+    let Some(remainder) = remainder else { return };
+    let outcome = forward_remainder(&context, *remainder, &attempt.payload.method).await;
+    // The attempt was already counted as a success, although the endpoint may have failed during the
+    // response.
     if !matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
         health_check(context, endpoint).await;
     }
 }
 
-/// What of a request's body is not held any more can't be sent again: the decisions are not asked what to do, and the
-/// client is told at once. Without its last byte it never ran.
-fn give_up(context: &Context, attempt: &Attempt, end: &End, upload: &RequestBody) {
-    let never_ran = end.outcome.was_never_executed() || !upload.is_whole();
-    let verdict = if never_ran { Verdict::Refused { come_back: Duration::ZERO } } else { Verdict::Failed };
+/// Ends a request whose body can't be sent again, since a part of it is no longer buffered: the client gets
+/// its response at once, and the balancer is not asked for another attempt. An endpoint that did not receive
+/// the last byte never executed the request.
+fn finish_without_retry(context: &Context, attempt: &Attempt, result: &AttemptResult, upload: &RequestBody) {
+    let never_ran = result.outcome.was_never_executed() || !upload.is_complete();
+    let verdict = if never_ran { Verdict::Refused { retry_after: Duration::ZERO } } else { Verdict::Failed };
     context.request_table.finish(attempt.request, verdict);
 }
 
-/// Nothing else may be tried for the request from now on, and no timer runs for it.
-fn begun(context: &Context, attempt: &Attempt) {
-    context.tell(Event::ResponseStarted { request: attempt.request, attempt: attempt.number });
+/// Reports that the request is bound to this attempt: it is neither retried nor hedged from now on, and the
+/// balancer keeps no timer for it.
+fn report_response_started(context: &Context, attempt: &Attempt) {
+    context.report(Event::ResponseStarted { request: attempt.request, attempt: attempt.number });
 }
 
-async fn body_released(upload: Option<&RequestBody>) {
+async fn wait_for_body_release(upload: Option<&RequestBody>) {
     match upload {
-        Some(upload) => upload.released().await,
+        Some(upload) => upload.wait_until_released().await,
         None => std::future::pending().await,
     }
 }
 
-/// Resolves when an attempt's time is up. That of a body that is still coming runs from its last byte, and until then
-/// it must not stand still.
-async fn expires(upload: Option<&RequestBody>, until: Instant) {
-    let Some(upload) = upload else { return sleep_until(until.into()).await };
-    let last_byte = async {
-        let deadline = upload.ends().await;
-        sleep_until(deadline.checked_sub(MARGIN).unwrap_or(deadline).into()).await;
+/// Resolves when an attempt times out. The time of a streamed body runs from its last byte; before that, the
+/// attempt times out only if the body makes no progress.
+async fn wait_until_expired(upload: Option<&RequestBody>, deadline: Instant) {
+    let Some(upload) = upload else { return sleep_until(deadline.into()).await };
+    let after_last_byte = async {
+        let deadline = upload.wait_for_end().await;
+        sleep_until(deadline.checked_sub(DEADLINE_MARGIN).unwrap_or(deadline).into()).await;
     };
     tokio::select! {
-        () = last_byte => {}
-        () = upload.stalled(STILL) => {}
+        () = after_last_byte => {}
+        () = upload.wait_until_stalled(BODY_IDLE_TIMEOUT) => {}
     }
 }
 
-fn record_outcome(context: &Context, attempt: &Attempt, endpoint: EndpointId, took: Duration, end: End) {
-    let over = context.request_table.attempt_ended(attempt.request, end.answer);
-    context.tell(Event::AttemptEnded(AttemptEnd {
+fn record_outcome(
+    context: &Context,
+    attempt: &Attempt,
+    endpoint: EndpointId,
+    elapsed: Duration,
+    result: AttemptResult,
+) {
+    let completed = context.request_table.attempt_ended(attempt.request, result.response);
+    context.report(Event::AttemptEnded(AttemptEnd {
         request: attempt.request,
         attempt: attempt.number,
         endpoint,
-        outcome: end.outcome,
-        duration: took.as_nanos() as u64,
-        request_completed: over,
-        load: end.load,
+        outcome: result.outcome,
+        duration: elapsed.as_nanos() as u64,
+        request_completed: completed,
+        load: result.load,
     }));
 }
 
-/// Books the end of an attempt that never started.
-pub fn report_end(
+/// Records and reports the end of an attempt that was never sent.
+pub fn report_unsent(
     context: &Context,
     request: RequestId,
     number: u32,
     endpoint: EndpointId,
     outcome: Outcome,
 ) {
-    let over = context.request_table.attempt_ended(request, None);
+    let completed = context.request_table.attempt_ended(request, None);
     let end = AttemptEnd {
         request,
         attempt: number,
         endpoint,
         outcome,
         duration: 0,
-        request_completed: over,
+        request_completed: completed,
         load: None,
     };
-    context.tell(Event::AttemptEnded(end));
+    context.report(Event::AttemptEnded(end));
 }
 
-/// Danger: being out of descriptors is no fault of the backend's, and must not be held against it.
+/// Sends the request and receives the response, or the start of a long one. Without a connection the outcome
+/// is `NotSent`: a shortage of descriptors in this process says nothing about the endpoint.
 async fn exchange(
     context: &Context,
     lease: Result<Lease, LeaseError>,
-    gate: Option<Rc<WriteGate>>,
+    write_check: Option<Rc<WriteCheck>>,
     payload: &Payload,
-) -> End {
-    let (Ok(lease), Some(gate)) = (lease, gate) else { return Outcome::NotSent.into() };
+) -> AttemptResult {
+    let (Ok(lease), Some(write_check)) = (lease, write_check) else { return Outcome::NotSent.into() };
     let (endpoint, method) = (lease.target.endpoint, &payload.method);
-    lease.seen.expects_no_body.set(*method == Method::HEAD);
-    let (seen, kept) = (lease.seen.clone(), lease.kept);
-    let received = match sent(context, &lease, &gate, payload).await {
+    lease.monitor.expects_no_body.set(*method == Method::HEAD);
+    let (monitor, reused) = (lease.monitor.clone(), lease.reused);
+    let received = match send(context, &lease, &write_check, payload).await {
         Ok(response) => receive(context, lease, method, response).await,
         Err(outcome) => Err(outcome),
     };
-    let reconnected = seen.reconnected.take();
-    let broke = matches!(received, Err(Outcome::Reset)) && kept && !reconnected;
-    if broke || kept && reconnected {
-        context.backends.ended_one(endpoint);
+    let reconnected = monitor.reconnected.take();
+    let pooled_connection_broke = matches!(received, Err(Outcome::Reset)) && reused && !reconnected;
+    if pooled_connection_broke || reused && reconnected {
+        context.backends.on_pooled_connection_closed(endpoint);
     }
     match received {
-        Ok((head, body, rest)) => {
+        Ok((head, body, remainder)) => {
             let outcome = backend::outcome(head.status, &head.headers);
-            let load = backend::load(&head.headers);
-            let passed_on =
-                || Answer { status: head.status, headers: backend::passed_on(&head.headers), body };
-            let answer = backend::is_final(head.status).then(passed_on);
-            End { outcome, answer, load, rest }
+            let load = backend::load_report(&head.headers);
+            let forwarded = || EndpointResponse {
+                status: head.status,
+                headers: backend::forwarded_headers(&head.headers),
+                body,
+            };
+            let response = backend::is_final(head.status).then(forwarded);
+            AttemptResult { outcome, response, load, remainder }
         }
-        // That a kept connection broke tells of the connection, not of whether the backend is there.
-        Err(_) if broke => Outcome::Error.into(),
+        // A pooled connection that breaks does not mean that the endpoint is unreachable.
+        Err(_) if pooled_connection_broke => Outcome::Error.into(),
         Err(outcome) => outcome.into(),
     }
 }
 
-/// Sends an attempt's request, and waits for the head of its answer. Danger: a connection may take its whole time-out
-/// to come up. So the head, which tells the time that is left, is built when there is one, and built anew for another.
-async fn sent(
+/// Sends the request of an attempt and waits for the head of the response. The head of the request tells the
+/// time left, and a connection may take its whole timeout to be established: so the head is built once there
+/// is a connection, and built again for another connection.
+async fn send(
     context: &Context,
     lease: &Lease,
-    gate: &Rc<WriteGate>,
+    write_check: &Rc<WriteCheck>,
     payload: &Payload,
 ) -> Result<ClientResponse, Outcome> {
-    let mut needs_connection = !lease.kept;
-    for _ in 0..MOST_HEADS {
+    let mut needs_connection = !lease.reused;
+    for _ in 0..MAX_HEADS_PER_ATTEMPT {
         if needs_connection {
             connect(context, lease).await?;
-            if gate.wants_new_head() {
-                lease.seen.reconnected.set(false); // the endpoint had not ended it
+            if write_check.needs_new_head() {
+                lease.monitor.reconnected.set(false); // the endpoint had not closed the old connection
             }
         }
-        match awaited(&lease.seen, send_once(context, lease, gate, payload)).await? {
+        match wait_for_head(&lease.monitor, send_once(context, lease, write_check, payload)).await? {
             Ok(response) => return Ok(response),
-            Err(error) if !lacks_connection(&error) && !gate.wants_new_head() => {
-                return Err(failure(&error, &lease.seen));
+            Err(error) if !lacked_connection(&error) && !write_check.needs_new_head() => {
+                return Err(outcome_of_error(&error, &lease.monitor));
             }
-            Err(_) => needs_connection = true, // what was kept had ended, or was not to be written to
+            Err(_) => needs_connection = true, // the pooled connection was closed, or the head was outdated
         }
     }
     Err(Outcome::NotSent)
@@ -259,44 +282,50 @@
     })
 }
 
-/// Sends the request once, with the time that is left now, on the connection there is.
-fn send_once(context: &Context, lease: &Lease, gate: &Rc<WriteGate>, payload: &Payload) -> SendClientRequest {
+/// Sends the request once, on the current connection and with the time that is left now.
+fn send_once(
+    context: &Context,
+    lease: &Lease,
+    write_check: &Rc<WriteCheck>,
+    payload: &Payload,
+) -> SendClientRequest {
     let now = Instant::now();
-    let left = gate.time_left(now);
-    let request = backend::request(&lease.client, lease.target.addr, payload, left);
+    let time_left = write_check.time_left(now);
+    let request = backend::request(&lease.client, lease.target.addr, payload, time_left);
     let stats = context.stats.clone();
-    lease.seen.attempt_stats.replace(None);
+    lease.monitor.attempt_stats.replace(None);
     match &payload.body {
-        Body::Whole { bytes, .. } => {
-            gate.head_is_built(now);
-            lease.seen.begin(Some(asking(gate)));
-            lease.seen.attempt_stats.replace(stats);
+        Body::Buffered { bytes, .. } => {
+            write_check.on_head_built(now);
+            lease.monitor.begin_request(Some(write_check_fn(write_check)));
+            lease.monitor.attempt_stats.replace(stats);
             let without_body = bytes.is_empty() && matches!(payload.method, Method::GET | Method::HEAD);
             if without_body { request.send() } else { request.send_body(bytes.clone()) }
         }
-        // Its time runs from its last byte: what its head tells is as true however late that goes out.
+        // The time left runs from the last byte of the body, so the head can't become outdated.
         Body::Streamed(upload) => {
-            lease.seen.begin(Some(asking(gate)));
-            let counts = move || stats.iter().for_each(|stats| stats.tried()); // with its last byte
-            request.send_body(upload.body(counts))
+            lease.monitor.begin_request(Some(write_check_fn(write_check)));
+            let count_attempt = move || stats.iter().for_each(|stats| stats.tried()); // with the last byte
+            request.send_body(upload.stream(count_attempt))
         }
     }
 }
 
-fn asking(gate: &Rc<WriteGate>) -> Gate {
-    let gate = gate.clone();
-    Box::new(move || gate.check().map_err(std::io::Error::other))
+fn write_check_fn(write_check: &Rc<WriteCheck>) -> WriteCheckFn {
+    let write_check = write_check.clone();
+    Box::new(move || write_check.check().map_err(std::io::Error::other))
 }
 
-/// The head of an answer. Danger: one that begins and never ends holds the request until its deadline.
-async fn awaited(
-    seen: &ResponseMonitor,
+/// Waits for the head of a response. A head that starts to arrive and never ends would otherwise hold the
+/// request until its deadline.
+async fn wait_for_head(
+    monitor: &ResponseMonitor,
     sending: SendClientRequest,
 ) -> Result<Result<ClientResponse, SendRequestError>, Outcome> {
     tokio::select! {
         biased;
         response = sending => Ok(response),
-        () = seen.stalled() => Err(Outcome::Error),
+        () = monitor.wait_until_stalled() => Err(Outcome::Error),
     }
 }
 
@@ -310,209 +339,215 @@
         Head { status: response.status(), headers: response.headers().clone() }
     }
 
-    fn closes(&self) -> bool {
+    fn closes_connection(&self) -> bool {
         self.headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"))
     }
 
-    fn length(&self) -> Option<u64> {
+    fn content_length(&self) -> Option<u64> {
         self.headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse().ok())
     }
 }
 
-/// The whole answer with its connection given back, or the beginning of a long one; or what its lack means.
+/// Receives a whole response and returns its connection to the pool, or receives the start of a long
+/// response.
 async fn receive(
     context: &Context,
     lease: Lease,
     method: &Method,
     mut response: ClientResponse,
-) -> Result<(Head, AnswerBody, Option<Box<Rest>>), Outcome> {
-    let seen = lease.seen.clone();
+) -> Result<(Head, ResponseContent, Option<Box<ResponseRemainder>>), Outcome> {
+    let monitor = lease.monitor.clone();
     let received = async {
         let head = Head::of(&response);
-        let long =
-            if backend::is_final(head.status) && *method != Method::HEAD { head.length() } else { None };
-        if long.is_some_and(|length| length > LONGEST) {
+        let length = if backend::is_final(head.status) && *method != Method::HEAD {
+            head.content_length()
+        } else {
+            None
+        };
+        if length.is_some_and(|length| length > MAX_BODY_BYTES) {
             return Err(Outcome::Error);
         }
-        let (body, more) = beginning(&seen, &mut response, long.unwrap_or(0)).await?;
-        if !more {
-            is_whole(&seen, method, &response, body.len() as u64)?;
+        let (body, has_more) = buffer_start(&monitor, &mut response, length.unwrap_or(0)).await?;
+        if !has_more {
+            check_complete(&monitor, method, &response, body.len() as u64)?;
         } else if !backend::is_final(head.status) {
-            return Err(Outcome::Error); // a long error is of no use to anybody
+            return Err(Outcome::Error); // an error response is not forwarded, so its long body is not needed
         }
-        Ok((head, body, more.then_some(response)))
+        Ok((head, body, has_more.then_some(response)))
     };
     let (head, body, response) = tokio::select! {
         biased;
         received = received => received?,
-        () = seen.stalled() => return Err(Outcome::Error),
+        () = monitor.wait_until_stalled() => return Err(Outcome::Error),
     };
-    let closes = head.closes();
+    let closes_connection = head.closes_connection();
     let Some(response) = response else {
-        if !closes {
-            context.backends.give_back(lease);
+        if !closes_connection {
+            context.backends.release(lease);
         }
         return Ok((head, body.into(), None));
     };
-    // Where there is no memory the backend waits. Its time goes on.
-    let share = context.budget.wait(ON_THE_WAY).await;
-    let (feed, download) = feed(head.length(), share);
-    let came = body.len() as u64;
-    feed.put(body).await; // there is room for the first
-    let rest = Box::new(Rest { feed, lease, response, closes, came });
-    Ok((head, AnswerBody::Streamed(download), Some(rest)))
+    // While no memory is free, nothing is read from the endpoint. The time of the attempt continues to run.
+    let reservation = context.body_memory.reserve(MAX_IN_TRANSIT_BYTES).await;
+    let (sender, download) = body_channel(head.content_length(), reservation);
+    let received_bytes = body.len() as u64;
+    sender.send(body).await; // does not wait: the channel is empty
+    let remainder =
+        Box::new(ResponseRemainder { sender, lease, response, closes_connection, received_bytes });
+    Ok((head, ResponseContent::Streamed(download), Some(remainder)))
 }
 
-/// The body; or the beginning of one that is too long to be held, and whether there is more.
-async fn beginning(
-    seen: &ResponseMonitor,
+/// Buffers a short body whole, or the start of a long one. The flag is true if there is more to read.
+async fn buffer_start(
+    monitor: &ResponseMonitor,
     response: &mut ClientResponse,
     length: u64,
 ) -> Result<(Bytes, bool), Outcome> {
-    let held_back = Instant::now() + HELD_BACK;
-    let mut gathered = BufferedBody::default();
+    let forward_at = Instant::now() + MAX_BUFFERING_TIME;
+    let mut buffered = BufferedBody::default();
     loop {
-        let part = if length > SHORT as u64 && gathered.len() > 0 {
+        let chunk = if length > MAX_BUFFERED_BYTES as u64 && buffered.len() > 0 {
             tokio::select! {
                 biased;
-                part = response.next() => part,
-                () = sleep_until(held_back.into()) => break,
+                chunk = response.next() => chunk,
+                () = sleep_until(forward_at.into()) => break,
             }
         } else {
             response.next().await
         };
-        let Some(part) = part else { return Ok((gathered.bytes(), false)) };
-        gathered.push(part.map_err(|e| broken(&e, seen))?);
-        if gathered.len() > SHORT {
+        let Some(chunk) = chunk else { return Ok((buffered.bytes(), false)) };
+        buffered.push(chunk.map_err(|e| outcome_of_body_error(&e, monitor))?);
+        if buffered.len() > MAX_BUFFERED_BYTES {
             break;
         }
     }
-    Ok((gathered.bytes(), true))
+    Ok((buffered.bytes(), true))
 }
 
-/// Passes on the rest of an answer, at the pace of its reader.
-async fn pass_on(context: &Context, rest: Rest, method: &Method) -> Outcome {
-    let Rest { feed, lease, mut response, closes, mut came } = rest;
-    let seen = lease.seen.clone();
-    let passes = async {
+/// Forwards the remainder of a response as fast as the client reads it.
+async fn forward_remainder(context: &Context, remainder: ResponseRemainder, method: &Method) -> Outcome {
+    let ResponseRemainder { sender, lease, mut response, closes_connection, mut received_bytes } = remainder;
+    let monitor = lease.monitor.clone();
+    let forwarding = async {
         loop {
-            let part = match timeout(STILL, response.next()).await {
+            let chunk = match timeout(BODY_IDLE_TIMEOUT, response.next()).await {
                 Err(_) => return Outcome::Timeout,
-                Ok(Some(Err(e))) => return broken(&e, &seen),
-                Ok(Some(Ok(part))) => part,
+                Ok(Some(Err(e))) => return outcome_of_body_error(&e, &monitor),
+                Ok(Some(Ok(chunk))) => chunk,
                 Ok(None) => break,
             };
-            came += part.len() as u64;
-            if came > LONGEST {
+            received_bytes += chunk.len() as u64;
+            if received_bytes > MAX_BODY_BYTES {
                 return Outcome::Error;
             }
-            match timeout(STILL, feed.put(part)).await {
+            match timeout(BODY_IDLE_TIMEOUT, sender.send(chunk)).await {
                 Ok(true) => {}
-                Ok(false) | Err(_) => return Outcome::Cancelled, // its reader left, or stands still
+                Ok(false) | Err(_) => return Outcome::Cancelled, // disconnected, or stopped reading
             }
         }
-        if let Err(outcome) = is_whole(&seen, method, &response, came) {
+        if let Err(outcome) = check_complete(&monitor, method, &response, received_bytes) {
             return outcome;
         }
-        feed.end().await;
-        if !closes {
-            context.backends.give_back(lease);
+        sender.finish().await;
+        if !closes_connection {
+            context.backends.release(lease);
         }
         Outcome::Ok
     };
     tokio::select! {
         biased;
-        outcome = passes => outcome,
-        () = feed.unread() => Outcome::Cancelled, // its reader left while the backend was silent
+        outcome = forwarding => outcome,
+        () = sender.wait_until_reader_dropped() => Outcome::Cancelled, // the client disconnected
     }
 }
 
-/// Whether nothing was sent, since the connection that was kept had ended.
-fn lacks_connection(error: &SendRequestError) -> bool {
+/// Whether nothing was sent because the pooled connection had already been closed.
+fn lacked_connection(error: &SendRequestError) -> bool {
     matches!(error, SendRequestError::Connect(ConnectError::Io(_)))
 }
 
-/// What an attempt without an answer means, once there was a connection for it. awc says `Disconnected` of one that
-/// ended while the answer was awaited: the request was written by then, so that it may have run, as after any error of
-/// reading or writing. What came and was no answer tells no more of the backend than an error would: it is there, and
-/// does not cut calls off.
-fn failure(error: &SendRequestError, seen: &ResponseMonitor) -> Outcome {
+/// Returns the outcome of an attempt that had a connection but received no response. awc reports
+/// `Disconnected` if the connection ends while the response is awaited: the request was written by then, so
+/// it may have run, as after any error of reading or writing. A malformed response counts like an error
+/// response: the endpoint is reachable, and does not cut off requests.
+fn outcome_of_error(error: &SendRequestError, monitor: &ResponseMonitor) -> Outcome {
     match error {
-        _ if seen.malformed.get() => Outcome::Error,
-        _ if seen.withheld() => Outcome::NotSent,
+        _ if monitor.malformed.get() => Outcome::Error,
+        _ if monitor.is_write_rejected() => Outcome::NotSent,
         SendRequestError::Connect(ConnectError::Disconnected) => Outcome::Reset,
         SendRequestError::Connect(_) => Outcome::ConnectFailed,
-        SendRequestError::Body(_) => Outcome::Cancelled, // the client's body broke off, and the call with it
+        SendRequestError::Body(_) => Outcome::Cancelled, // the client's body failed, and the request with it
         _ => Outcome::Reset,
     }
 }
 
-/// What a body that can't be read further means.
-fn broken(_: &PayloadError, seen: &ResponseMonitor) -> Outcome {
-    if seen.malformed.get() { Outcome::Error } else { Outcome::Reset }
+/// Returns the outcome of an attempt whose response body can't be read to its end.
+fn outcome_of_body_error(_: &PayloadError, monitor: &ResponseMonitor) -> Outcome {
+    if monitor.malformed.get() { Outcome::Error } else { Outcome::Reset }
 }
 
-/// Whether a body that ended is whole. awc ends a body quietly where its connection ended in the middle of it, so
-/// the length is compared, and a chunked body is not whole if the stream ended before its last chunk. One without
-/// either is whole if the backend ended its connection after it, as its head has to say.
-fn is_whole(
-    seen: &ResponseMonitor,
+/// Checks that a body that ended is complete. awc reports no error if the connection ends in the middle of a
+/// body, so the length is compared, and a chunked body must have had its last chunk. A body with neither is
+/// complete if the head announced that the connection ends with it, and the endpoint closed the connection.
+fn check_complete(
+    monitor: &ResponseMonitor,
     method: &Method,
     response: &ClientResponse,
-    came: u64,
+    received_bytes: u64,
 ) -> Result<(), Outcome> {
     match response.headers().get(CONTENT_LENGTH) {
         _ if *method == Method::HEAD => Ok(()),
-        Some(length) if length.to_str().is_ok_and(|l| l.trim().parse() == Ok(came)) => Ok(()),
+        Some(length) if length.to_str().is_ok_and(|l| l.trim().parse() == Ok(received_bytes)) => Ok(()),
         None if !response.headers().contains_key(TRANSFER_ENCODING) => {
-            let ends = response.version() == Version::HTTP_10 && seen.peer_closed.get();
-            if ends { Ok(()) } else { Err(Outcome::Error) }
+            let is_closed = response.version() == Version::HTTP_10 && monitor.peer_closed.get();
+            if is_closed { Ok(()) } else { Err(Outcome::Error) }
         }
-        None if seen.whole() => Ok(()),
+        None if monitor.is_response_complete() => Ok(()),
         _ => Err(Outcome::Reset),
     }
 }
 
-/// Probes an endpoint and tells the decisions what came of it: nothing, where this machine could not ask.
+/// Checks the health of an endpoint and reports the result to the balancer. Reports nothing if the check
+/// could not be sent for want of local resources.
 pub async fn health_check(context: Rc<Context>, endpoint: EndpointId) {
     let began = Instant::now();
     let lease = context.backends.lease(endpoint);
-    let asked = async {
+    let check = async {
         match lease {
-            Ok(lease) => probed(&context, lease).await.unwrap_or_else(End::from),
+            Ok(lease) => run_health_check(&context, lease).await.unwrap_or_else(AttemptResult::from),
             Err(LeaseError::NoAddress(_)) => Outcome::ConnectFailed.into(),
             Err(LeaseError::AtLimit(_)) => Outcome::NotSent.into(),
         }
     };
-    let End { outcome, load, .. } =
-        timeout(PROBE_LIMIT, asked).await.unwrap_or_else(|_| Outcome::Timeout.into());
-    // Danger: taken for a failed one, a probe that was never sent takes a good endpoint out of service.
+    let AttemptResult { outcome, load, .. } =
+        timeout(HEALTH_CHECK_TIMEOUT, check).await.unwrap_or_else(|_| Outcome::Timeout.into());
+    // Reported as a failure, a check that was never sent would take a healthy endpoint out of service.
     if outcome != Outcome::NotSent {
         let duration = began.elapsed().as_nanos() as u64;
-        context.tell(Event::HealthCheckCompleted { endpoint, outcome, duration, load });
+        context.report(Event::HealthCheckCompleted { endpoint, outcome, duration, load });
     }
 }
 
-async fn probed(context: &Context, lease: Lease) -> Result<End, Outcome> {
-    let seen = lease.seen.clone();
-    seen.expects_no_body.set(false);
-    seen.attempt_stats.take(); // a probe is no attempt
-    seen.begin(None);
-    if !lease.kept {
+async fn run_health_check(context: &Context, lease: Lease) -> Result<AttemptResult, Outcome> {
+    let monitor = lease.monitor.clone();
+    monitor.expects_no_body.set(false);
+    monitor.attempt_stats.take(); // health checks are not counted as attempts
+    monitor.begin_request(None);
+    if !lease.reused {
         connect(context, &lease).await?;
     }
-    let send = || backend::probe(&lease.client, lease.target.addr).send();
-    let mut response = awaited(&seen, send()).await?;
-    if response.as_ref().is_err_and(lacks_connection) {
+    let send = || backend::health_check(&lease.client, lease.target.addr).send();
+    let mut response = wait_for_head(&monitor, send()).await?;
+    if response.as_ref().is_err_and(lacked_connection) {
         connect(context, &lease).await?;
-        response = awaited(&seen, send()).await?;
+        response = wait_for_head(&monitor, send()).await?;
     }
-    let response = response.map_err(|error| failure(&error, &seen))?;
+    let response = response.map_err(|error| outcome_of_error(&error, &monitor))?;
     match receive(context, lease, &Method::GET, response).await? {
-        (_, _, Some(_)) => Err(Outcome::Error), // no probe has so long an answer
+        (_, _, Some(_)) => Err(Outcome::Error), // too long for a health check's response
         (head, ..) => {
             let outcome = backend::outcome(head.status, &head.headers);
-            Ok(End { load: backend::load(&head.headers), ..outcome.into() })
+            Ok(AttemptResult { load: backend::load_report(&head.headers), ..outcome.into() })
         }
     }
 }
--- a/crates/proxy/src/stages/attempt/tests.rs
+++ b/crates/proxy/src/stages/attempt/tests.rs
@@ -2,7 +2,7 @@
 use crate::backends::Backends;
 use crate::connect::{Connect, Connecting};
 use crate::descriptors::Descriptors;
-use crate::stages::context::{Decisions, Limits};
+use crate::stages::context::{EventSink, Limits};
 use actix_http::error::ParseError;
 use actix_http::header::HeaderValue;
 use olivecart_decisions::RequestId;
@@ -15,91 +15,92 @@
 use tokio::time::sleep;
 
 const ENDPOINT: EndpointId = EndpointId(0);
-const FAR: Duration = Duration::from_secs(600);
-/// Longer than anything takes on any machine; a test that gets here has failed.
-const NEVER: Duration = Duration::from_secs(60);
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const LONG: Duration = Duration::from_secs(600);
+/// A test that waits for this time has failed, however slow the machine is.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Notes what it is told, and answers nothing.
+/// Records the events that are reported to it.
 #[derive(Default)]
 struct Recorder(RefCell<Vec<Event>>);
 
-impl Decisions for Recorder {
-    fn tell(&self, event: Event) {
+impl EventSink for Recorder {
+    fn report(&self, event: Event) {
         self.0.borrow_mut().push(event);
     }
 }
 
-/// Fails each `connect` alike.
-struct Failing(Errno);
+/// Fails each `connect` with the same error.
+struct FailingConnect(Errno);
 
-impl Connect for Failing {
+impl Connect for FailingConnect {
     fn connect(&self, _: SocketAddr) -> Connecting {
         Box::pin(std::future::ready(Err(self.0.into())))
     }
 }
 
-/// Lets each connection come up late, and counts them.
+/// Establishes each connection after a delay, and counts the connections.
 #[derive(Default)]
-struct Late {
-    by: Duration,
+struct DelayedConnect {
+    delay: Duration,
     connections: Cell<usize>,
 }
 
-impl Connect for Late {
+impl Connect for DelayedConnect {
     fn connect(&self, addr: SocketAddr) -> Connecting {
         self.connections.set(self.connections.get() + 1);
-        let by = self.by;
+        let delay = self.delay;
         Box::pin(async move {
-            sleep(by).await;
+            sleep(delay).await;
             TcpStream::connect(addr).await
         })
     }
 }
 
-struct Stage {
+struct Harness {
     context: Rc<Context>,
-    told: Rc<Recorder>,
+    recorder: Rc<Recorder>,
 }
 
-impl Stage {
-    fn new(at: SocketAddr, connect: Rc<dyn Connect>) -> Stage {
+impl Harness {
+    fn new(addr: SocketAddr, connect: Rc<dyn Connect>) -> Harness {
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let descriptors = Rc::new(Descriptors::new(9));
-        let backends = Backends::new(FAR, FAR, descriptors, log).connecting_through(connect);
-        backends.place(ENDPOINT, Some(at), None, true);
-        let told = Rc::new(Recorder::default());
-        let decisions: Rc<dyn Decisions> = told.clone();
-        let limits = Limits { open_requests: 9, second_copies: false };
+        let backends = Backends::new(LONG, LONG, descriptors, log).with_connect(connect);
+        backends.update_endpoint(ENDPOINT, Some(addr), None, true);
+        let recorder = Rc::new(Recorder::default());
+        let event_sink: Rc<dyn EventSink> = recorder.clone();
+        let limits = Limits { max_open_requests: 9, hedging_enabled: false };
         let context =
-            Context::new(Rc::downgrade(&decisions), Rc::default(), backends, limits, Rc::default(), None);
-        Stage { context: Rc::new(context), told }
+            Context::new(Rc::downgrade(&event_sink), Rc::default(), backends, limits, Rc::default(), None);
+        Harness { context: Rc::new(context), recorder }
     }
 
-    /// Opens a request with so much time left, and an attempt for it.
-    fn attempt(&self, id: &'static str, left: Duration) -> Attempt {
-        let body = Body::Whole { bytes: Bytes::new(), _share: None };
+    /// Opens a request that has `time_left`, and an attempt for it.
+    fn start_attempt(&self, id: &'static str, time_left: Duration) -> Attempt {
+        let body = Body::Buffered { bytes: Bytes::new(), _reservation: None };
         let payload = Rc::new(Payload { method: Method::GET, target: None, headers: HeaderMap::new(), body });
-        let until = Instant::now() + left;
+        let deadline = Instant::now() + time_left;
         let (request, _) =
-            self.context.request_table.open(HeaderValue::from_static(id), payload, until).expect("opened");
-        let (attempt, _) = self.context.request_table.attempt(request, until);
-        attempt.unwrap_or_else(|_| panic!("it is open"))
+            self.context.request_table.open(HeaderValue::from_static(id), payload, deadline).expect("opened");
+        let (attempt, _) = self.context.request_table.start_attempt(request, deadline);
+        attempt.unwrap_or_else(|_| panic!("the request is open"))
     }
 
-    /// Runs an attempt to its end.
-    async fn outcome(&self, id: &'static str, left: Duration) -> Outcome {
-        let attempt = self.attempt(id, left);
+    /// Runs an attempt to its end and returns the outcome that it reports.
+    async fn run_attempt(&self, id: &'static str, time_left: Duration) -> Outcome {
+        let attempt = self.start_attempt(id, time_left);
         super::run(self.context.clone(), attempt, ENDPOINT).await;
-        match self.told.0.borrow_mut().pop() {
+        match self.recorder.0.borrow_mut().pop() {
             Some(Event::AttemptEnded(end)) => end.outcome,
             other => panic!("{other:?}"),
         }
     }
 
-    async fn checked(&self) -> Option<Outcome> {
+    /// Runs a health check and returns the outcome that it reports, if any.
+    async fn run_health_check(&self) -> Option<Outcome> {
         health_check(self.context.clone(), ENDPOINT).await;
-        match self.told.0.borrow_mut().pop() {
+        match self.recorder.0.borrow_mut().pop() {
             Some(Event::HealthCheckCompleted { outcome, .. }) => Some(outcome),
             None => None,
             other => panic!("{other:?}"),
@@ -107,7 +108,7 @@
     }
 }
 
-fn nowhere() -> SocketAddr {
+fn unused_addr() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
@@ -117,22 +118,22 @@
     (listener, addr)
 }
 
-/// Answers one request, and says what deadline it told.
-async fn answered(stream: &mut BufReader<TcpStream>) -> Duration {
-    let mut told = None;
+/// Responds to one request and returns the deadline in its head.
+async fn respond(stream: &mut BufReader<TcpStream>) -> Duration {
+    let mut deadline = None;
     let mut line = String::new();
     while stream.read_line(&mut line).await.expect("a line") > 2 {
         if let Some(value) = line.to_lowercase().strip_prefix("x-deadline: ") {
-            told = value.trim().strip_suffix('u').and_then(|value| value.parse().ok());
+            deadline = value.trim().strip_suffix('u').and_then(|value| value.parse().ok());
         }
         line.clear();
     }
-    stream.get_mut().write_all(ANSWER).await.expect("answered");
-    Duration::from_micros(told.expect("a deadline"))
+    stream.get_mut().write_all(RESPONSE).await.expect("written");
+    Duration::from_micros(deadline.expect("a deadline"))
 }
 
 #[test]
-fn what_this_machine_has_no_means_for_is_held_against_no_endpoint_and_fails_no_health_check() {
+fn local_connect_errors_do_not_count_against_the_endpoint_and_fail_no_health_check() {
     for errno in [
         Errno::ADDRNOTAVAIL,
         Errno::NOBUFS,
@@ -143,98 +144,103 @@
         Errno::INTR,
     ] {
         actix_rt::System::new().block_on(async {
-            let stage = Stage::new(nowhere(), Rc::new(Failing(errno)));
-            assert_eq!(stage.outcome("a", FAR).await, Outcome::NotSent, "{errno}");
-            assert_eq!(stage.checked().await, None, "{errno}");
+            let harness = Harness::new(unused_addr(), Rc::new(FailingConnect(errno)));
+            assert_eq!(harness.run_attempt("a", LONG).await, Outcome::NotSent, "{errno}");
+            assert_eq!(harness.run_health_check().await, None, "{errno}");
         });
     }
 }
 
 #[test]
-fn an_endpoint_that_is_not_reached_is_told_of_by_attempts_and_by_health_checks() {
+fn attempts_and_health_checks_report_an_unreachable_endpoint() {
     for errno in [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNREFUSED] {
         actix_rt::System::new().block_on(async {
-            let stage = Stage::new(nowhere(), Rc::new(Failing(errno)));
-            assert_eq!(stage.outcome("a", FAR).await, Outcome::ConnectFailed, "{errno}");
-            assert_eq!(stage.checked().await, Some(Outcome::ConnectFailed), "{errno}");
+            let harness = Harness::new(unused_addr(), Rc::new(FailingConnect(errno)));
+            assert_eq!(harness.run_attempt("a", LONG).await, Outcome::ConnectFailed, "{errno}");
+            assert_eq!(harness.run_health_check().await, Some(Outcome::ConnectFailed), "{errno}");
         });
     }
 }
 
 #[test]
-fn a_health_check_that_finds_no_descriptor_left_is_no_failed_one() {
+fn health_check_without_a_free_descriptor_is_not_reported() {
     actix_rt::System::new().block_on(async {
-        let stage = Stage::new(nowhere(), Rc::new(Failing(Errno::CONNREFUSED)));
-        stage.context.backends.adopt(FAR, 0);
-        assert_eq!(stage.checked().await, None);
-        assert_eq!(stage.outcome("a", FAR).await, Outcome::NotSent);
+        let harness = Harness::new(unused_addr(), Rc::new(FailingConnect(Errno::CONNREFUSED)));
+        harness.context.backends.set_limits(LONG, 0);
+        assert_eq!(harness.run_health_check().await, None);
+        assert_eq!(harness.run_attempt("a", LONG).await, Outcome::NotSent);
     });
 }
 
 #[test]
-fn a_connection_that_breaks_after_something_was_written_may_have_run_its_request() {
-    let seen = ResponseMonitor::new(0);
+fn connection_that_breaks_after_the_write_is_reported_as_reset() {
+    let monitor = ResponseMonitor::new(0);
     for errno in [Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::NETUNREACH, Errno::NOBUFS, Errno::CONNRESET] {
         let error = || io::Error::from(errno);
-        assert_eq!(failure(&SendRequestError::Send(error()), &seen), Outcome::Reset, "{errno}");
+        assert_eq!(outcome_of_error(&SendRequestError::Send(error()), &monitor), Outcome::Reset, "{errno}");
         let reading = SendRequestError::Response(ParseError::Io(error()));
-        assert_eq!(failure(&reading, &seen), Outcome::Reset, "{errno}");
-        assert!(!lacks_connection(&SendRequestError::Send(error())) && !lacks_connection(&reading));
+        assert_eq!(outcome_of_error(&reading, &monitor), Outcome::Reset, "{errno}");
+        assert!(!lacked_connection(&SendRequestError::Send(error())) && !lacked_connection(&reading));
     }
-    let ended = SendRequestError::Connect(ConnectError::Disconnected);
-    assert_eq!(failure(&ended, &seen), Outcome::Reset);
+    let disconnected = SendRequestError::Connect(ConnectError::Disconnected);
+    assert_eq!(outcome_of_error(&disconnected, &monitor), Outcome::Reset);
 }
 
 #[test]
-fn in_the_place_of_a_connection_that_had_ended_another_tells_the_time_that_is_left_by_then() {
-    const LEFT: Duration = Duration::from_secs(60);
-    let late = Rc::new(Late { by: Duration::from_millis(300), ..Late::default() });
+fn request_on_a_replacement_connection_tells_the_time_left_once_it_is_established() {
+    const TIME_LEFT: Duration = Duration::from_secs(60);
+    let connect = Rc::new(DelayedConnect { delay: Duration::from_millis(300), ..DelayedConnect::default() });
     actix_rt::System::new().block_on(async {
         let (listener, addr) = listener().await;
-        let stage = Stage::new(addr, late.clone());
+        let harness = Harness::new(addr, connect.clone());
         let peer = actix_rt::spawn(async move {
             let (stream, _) = listener.accept().await.expect("the first");
             let mut stream = BufReader::new(stream);
-            answered(&mut stream).await;
+            respond(&mut stream).await;
             let mut end = [0; 1];
-            stream.get_mut().shutdown().await.expect("ended");
-            assert_eq!(stream.read(&mut end).await.ok(), Some(0), "it is left alone");
+            stream.get_mut().shutdown().await.expect("shut down");
+            assert_eq!(stream.read(&mut end).await.ok(), Some(0), "nothing is written to it");
             let (stream, _) = listener.accept().await.expect("the second");
-            answered(&mut BufReader::new(stream)).await
+            respond(&mut BufReader::new(stream)).await
         });
-        assert_eq!(stage.outcome("a", LEFT).await, Outcome::Ok);
+        assert_eq!(harness.run_attempt("a", TIME_LEFT).await, Outcome::Ok);
         let began = Instant::now();
-        assert_eq!(stage.outcome("b", LEFT).await, Outcome::Ok);
-        let told = peer.await.expect("it answered");
-        assert_eq!(late.connections.get(), 2);
-        assert!(began.elapsed() >= late.by && told <= LEFT - late.by, "told {told:?}");
+        assert_eq!(harness.run_attempt("b", TIME_LEFT).await, Outcome::Ok);
+        let deadline = peer.await.expect("it responded");
+        assert_eq!(connect.connections.get(), 2);
+        assert!(
+            began.elapsed() >= connect.delay && deadline <= TIME_LEFT - connect.delay,
+            "deadline {deadline:?}"
+        );
     });
 }
 
-/// Has a process stand still between the build of a head and its write, once.
+/// Simulates a process that is suspended between building a head and writing it.
 #[test]
-fn a_head_that_was_built_too_long_before_its_first_byte_is_not_written_but_another_is() {
+fn outdated_head_is_not_written_and_a_new_one_is_sent_on_another_connection() {
     actix_rt::System::new().block_on(async {
         let (listener, addr) = listener().await;
-        let connects = Rc::new(Late::default());
-        let stage = Stage::new(addr, connects.clone());
-        let attempt = stage.attempt("a", FAR);
-        let lease = stage.context.backends.lease(ENDPOINT).expect("it is listed");
-        let gate = Rc::new(WriteGate::new(&stage.context, &attempt, lease.target));
-        connect(&stage.context, &lease).await.expect("connected");
-        let sending = send_once(&stage.context, &lease, &gate, &attempt.payload);
-        gate.head_is_built(Instant::now() - Duration::from_millis(150));
-        let failed = timeout(NEVER, awaited(&lease.seen, sending)).await.expect("it waits for no answer");
-        let failed = failed.expect("no answer").expect_err("not written");
-        assert!(gate.wants_new_head() && !lease.seen.written(), "{failed}");
+        let connects = Rc::new(DelayedConnect::default());
+        let harness = Harness::new(addr, connects.clone());
+        let attempt = harness.start_attempt("a", LONG);
+        let lease = harness.context.backends.lease(ENDPOINT).expect("the endpoint is listed");
+        let check = Rc::new(WriteCheck::new(&harness.context, &attempt, lease.target));
+        connect(&harness.context, &lease).await.expect("connected");
+        let sending = send_once(&harness.context, &lease, &check, &attempt.payload);
+        check.on_head_built(Instant::now() - Duration::from_millis(150));
+        let failed = timeout(TEST_TIMEOUT, wait_for_head(&lease.monitor, sending))
+            .await
+            .expect("no wait for a response");
+        let failed = failed.expect("no response").expect_err("not written");
+        assert!(check.needs_new_head() && !lease.monitor.is_written(), "{failed}");
         let peer = actix_rt::spawn(async move {
             let (mut first, _) = listener.accept().await.expect("the first");
             assert_eq!(first.read(&mut [0; 1]).await.ok(), Some(0), "nothing is written");
             let (stream, _) = listener.accept().await.expect("the second");
-            answered(&mut BufReader::new(stream)).await
+            respond(&mut BufReader::new(stream)).await
         });
-        assert!(sent(&stage.context, &lease, &gate, &attempt.payload).await.is_ok());
-        assert!(peer.await.expect("answered") <= FAR);
+        assert!(send(&harness.context, &lease, &check, &attempt.payload).await.is_ok());
+        assert!(peer.await.expect("it responded") <= LONG);
         assert_eq!(connects.connections.get(), 2);
         assert_eq!(attempt.request, RequestId(0));
     });
