--- a/crates/proxy/src/stages/cluster_selection.rs
+++ b/crates/proxy/src/stages/cluster_selection.rs
@@ -1,21 +1,21 @@
-//! Puts a call to a cluster: what the rules say, and whether it is there.
+//! Selects the cluster of a call by the routing rules, and rejects the call if that cluster is not available.
 
 use super::context::Context;
-use crate::call::{Absent, Traits};
+use crate::call::{ClusterUnavailable, RequestAttributes};
 use crate::cluster_config::Rules;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The clusters that requests can be put to, and the rules.
+/// The clusters that requests can be routed to, and the routing rules.
 pub struct Routes {
     rules: Rules<usize>,
-    /// The first one takes what no rule fits.
-    places: Vec<Place>,
+    /// The first route is the default for calls that no rule matches.
+    routes: Vec<Route>,
 }
 
-/// The place of one cluster.
-pub struct Place {
-    /// Its name.
+/// The route to one cluster.
+pub struct Route {
+    /// The name of the cluster.
     pub cluster: Rc<str>,
     state: RefCell<State>,
     refused: Cell<u64>,
@@ -23,76 +23,80 @@
 
 enum State {
     Serving(Rc<Context>),
-    /// No source has brought it yet.
+    /// No source has announced the cluster yet.
     Awaited,
-    /// It was there.
+    /// The cluster was removed.
     Removed,
 }
 
 impl Routes {
-    /// None of the clusters is there yet; rules lead to them by their place in the list.
+    /// Creates routes to clusters that are not available yet. The rules refer to clusters by their index.
     pub fn new(clusters: impl IntoIterator<Item = Rc<str>>, rules: Rules<usize>) -> Routes {
-        let place = |cluster| Place { cluster, state: RefCell::new(State::Awaited), refused: Cell::new(0) };
-        Routes { rules, places: clusters.into_iter().map(place).collect() }
+        let route = |cluster| Route { cluster, state: RefCell::new(State::Awaited), refused: Cell::new(0) };
+        Routes { rules, routes: clusters.into_iter().map(route).collect() }
     }
 
-    /// The cluster for a call. Without rules nobody looks at the call.
+    /// Returns the context of the cluster for a call. Without rules the attributes of the call are not
+    /// evaluated.
     ///
     /// # Errors
-    /// It is not there.
-    pub fn choose<'a>(&self, traits: impl FnOnce() -> Traits<'a>) -> Result<Rc<Context>, Absent> {
-        let at = if self.rules.is_empty() { None } else { self.rules.find(&traits()).copied() };
-        let Some(place) = self.places.get(at.unwrap_or(0)) else {
-            return Err(Absent { cluster: "".into(), removed: false }); // there is always a default
+    /// The cluster is not available.
+    pub fn choose<'a>(
+        &self,
+        attributes: impl FnOnce() -> RequestAttributes<'a>,
+    ) -> Result<Rc<Context>, ClusterUnavailable> {
+        let index = if self.rules.is_empty() { None } else { self.rules.find(&attributes()).copied() };
+        let Some(route) = self.routes.get(index.unwrap_or(0)) else {
+            return Err(ClusterUnavailable { cluster: "".into(), removed: false }); // unreachable
         };
-        match &*place.state.borrow() {
+        match &*route.state.borrow() {
             State::Serving(context) => Ok(context.clone()),
-            absent => {
-                place.refused.set(place.refused.get() + 1);
-                let removed = matches!(absent, State::Removed);
-                Err(Absent { cluster: place.cluster.clone(), removed })
+            unavailable => {
+                route.refused.set(route.refused.get() + 1);
+                let removed = matches!(unavailable, State::Removed);
+                Err(ClusterUnavailable { cluster: route.cluster.clone(), removed })
             }
         }
     }
 
-    /// The place of a cluster; none if nothing leads to it.
-    pub fn place(&self, cluster: &str) -> Option<&Place> {
-        self.places.iter().find(|place| *place.cluster == *cluster)
+    /// Returns the route to a cluster, or `None` if no rule refers to it.
+    pub fn get(&self, cluster: &str) -> Option<&Route> {
+        self.routes.iter().find(|route| *route.cluster == *cluster)
     }
 
-    /// All of them.
-    pub fn places(&self) -> impl Iterator<Item = &Place> {
-        self.places.iter()
+    /// All routes, the default first.
+    pub fn all(&self) -> impl Iterator<Item = &Route> {
+        self.routes.iter()
     }
 
-    /// Whether any cluster has an endpoint that takes requests. Danger: with "all" in place of "any" one
-    /// empty cluster among many would take the whole proxy out of service.
+    /// Whether any cluster has an endpoint that takes requests. If all clusters were required to have one, a
+    /// single empty cluster would take the whole proxy out of service.
     pub fn any_takes_requests(&self) -> bool {
-        let takes = |place: &Place| match &*place.state.borrow() {
+        let takes = |route: &Route| match &*route.state.borrow() {
             State::Serving(context) => context.backends.any_takes_requests(),
             _ => false,
         };
-        self.places.iter().any(takes)
+        self.routes.iter().any(takes)
     }
 }
 
-impl Place {
-    /// The cluster is there, whatever was there before.
+impl Route {
+    /// Marks the cluster as available, replacing any earlier context.
     pub fn serve(&self, context: Rc<Context>) {
         *self.state.borrow_mut() = State::Serving(context);
     }
 
-    /// The cluster is no more.
+    /// Marks the cluster as removed.
     pub fn remove(&self) {
         *self.state.borrow_mut() = State::Removed;
     }
 
-    /// What the stages share of it, if it is there.
+    /// Returns the context of the cluster, if it is available.
     pub fn context(&self) -> Option<Rc<Context>> {
         if let State::Serving(context) = &*self.state.borrow() { Some(context.clone()) } else { None }
     }
 
-    /// Requests refused because it was not there.
+    /// The number of requests that were refused because the cluster was not available.
     pub fn refused(&self) -> u64 {
         self.refused.get()
     }
--- a/crates/proxy/src/stages/context.rs
+++ b/crates/proxy/src/stages/context.rs
@@ -1,4 +1,5 @@
-//! What the stages share, and all that they may ask of whoever runs the decisions.
+//! What the stages of all requests to a cluster share, and the [`EventSink`] through which they report events
+//! to the balancer.
 
 use super::request_table::RequestTable;
 use crate::backends::Backends;
@@ -9,96 +10,109 @@
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
 
-/// Whoever runs the decisions.
-pub trait Decisions {
-    /// Puts an event to them and does what they answer, before it returns; or, for an event that such an
-    /// answer brings about, as soon as that answer is done.
-    fn tell(&self, event: Event);
+/// Receives the balancer's events; implemented by the runtime of a cluster.
+pub trait EventSink {
+    /// Passes an event to the balancer and carries out the resulting actions before it returns. An event that
+    /// is caused by such an action is processed once all actions of the current event have been carried out.
+    fn report(&self, event: Event);
 }
 
-/// Limits that the stages keep to.
+/// Limits from the settings that the stages enforce.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Open requests at a time, at most.
-    pub open_requests: usize,
-    /// Two attempts of a request may be out at once.
-    pub second_copies: bool,
+    /// The maximum number of open requests, over all clusters.
+    pub max_open_requests: usize,
+    /// Whether two attempts of a request may be in flight at the same time.
+    pub hedging_enabled: bool,
 }
 
 /// What the stages of all requests to a cluster share.
 pub struct Context {
-    /// Accounts of the open requests of all clusters.
+    /// The open requests of all clusters.
     pub request_table: Rc<RequestTable>,
-    /// Endpoints and connections.
+    /// The cluster's endpoints and the connections to them.
     pub backends: Backends,
     /// Limits from the settings.
     pub limits: Limits,
-    /// The memory for long bodies.
-    pub budget: Rc<BodyMemoryLimit>,
-    /// The figures, where anybody reads them.
+    /// The memory limit for long bodies.
+    pub body_memory: Rc<BodyMemoryLimit>,
+    /// Metrics; `None` if nothing reads them.
     pub stats: Option<Arc<Stats>>,
-    /// Requests that are open here, and the most.
-    open: Cell<usize>,
-    most: Cell<usize>,
-    /// Administrators drained whatever could take requests.
-    all_out: Cell<bool>,
-    /// Not owned: it owns this.
-    decisions: Weak<dyn Decisions>,
+    /// The number of open requests of this cluster, and its limit.
+    open_requests: Cell<usize>,
+    max_open_requests: Cell<usize>,
+    /// Whether operators detached every endpoint that could take requests.
+    all_detached: Cell<bool>,
+    /// A weak reference, since the event sink owns this context.
+    event_sink: Weak<dyn EventSink>,
 }
 
 impl Context {
-    /// No request is open here yet.
+    /// Creates a context without open requests and without a limit of the cluster's own.
     pub fn new(
-        decisions: Weak<dyn Decisions>,
+        event_sink: Weak<dyn EventSink>,
         request_table: Rc<RequestTable>,
         backends: Backends,
         limits: Limits,
-        budget: Rc<BodyMemoryLimit>,
+        body_memory: Rc<BodyMemoryLimit>,
         stats: Option<Arc<Stats>>,
     ) -> Context {
-        let (open, most, all_out) = (Cell::new(0), Cell::new(usize::MAX), Cell::new(false));
-        Context { request_table, backends, limits, budget, stats, open, most, all_out, decisions }
+        let (open_requests, max_open_requests, all_detached) =
+            (Cell::new(0), Cell::new(usize::MAX), Cell::new(false));
+        Context {
+            request_table,
+            backends,
+            limits,
+            body_memory,
+            stats,
+            open_requests,
+            max_open_requests,
+            all_detached,
+            event_sink,
+        }
     }
 
-    /// Another limit to the requests that are open here holds from now on.
-    pub fn adopt(&self, most: usize) {
-        self.most.set(most);
+    /// Sets the limit on open requests of this cluster.
+    pub fn set_max_open_requests(&self, max_open_requests: usize) {
+        self.max_open_requests.set(max_open_requests);
     }
 
-    /// Administrators drained whatever could take requests, or no longer.
-    pub fn set_all_out(&self, all_out: bool) {
-        self.all_out.set(all_out);
+    /// Records whether operators detached every endpoint that could take requests.
+    pub fn set_all_detached(&self, all_detached: bool) {
+        self.all_detached.set(all_detached);
     }
 
-    /// Whether they did.
-    pub fn all_out(&self) -> bool {
-        self.all_out.get()
+    /// Whether operators detached every endpoint that could take requests.
+    pub fn all_detached(&self) -> bool {
+        self.all_detached.get()
     }
 
-    /// Requests that are open here.
+    /// The number of open requests of this cluster.
     pub fn open_requests(&self) -> usize {
-        self.open.get()
+        self.open_requests.get()
     }
 
-    /// Whether there is room for one more here, and in the proxy.
-    pub fn has_room(&self) -> bool {
-        self.open.get() < self.most.get() && self.request_table.open_requests() < self.limits.open_requests
+    /// Whether another request may be opened under the limits of the cluster and of the whole proxy.
+    pub fn has_capacity(&self) -> bool {
+        self.open_requests.get() < self.max_open_requests.get()
+            && self.request_table.open_requests() < self.limits.max_open_requests
     }
 
-    /// One more is open here.
-    pub fn enter(&self) {
-        self.open.set(self.open.get() + 1);
+    /// Counts a request that was opened.
+    pub fn on_request_opened(&self) {
+        self.open_requests.set(self.open_requests.get() + 1);
     }
 
-    /// One less is.
-    pub fn leave(&self) {
-        self.open.set(self.open.get() - 1);
+    /// Counts a request that was closed.
+    pub fn on_request_closed(&self) {
+        self.open_requests.set(self.open_requests.get() - 1);
     }
 
-    /// Tells the decisions; nobody, once they have been dropped at the end of the program.
-    pub fn tell(&self, event: Event) {
-        if let Some(decisions) = self.decisions.upgrade() {
-            decisions.tell(event);
+    /// Reports an event to the balancer. Does nothing once the event sink was dropped at the end of the
+    /// process.
+    pub fn report(&self, event: Event) {
+        if let Some(event_sink) = self.event_sink.upgrade() {
+            event_sink.report(event);
         }
     }
 }
--- a/crates/proxy/src/stages/parse.rs
+++ b/crates/proxy/src/stages/parse.rs
@@ -1,7 +1,10 @@
-//! Takes a request in: reads its body to the end, or the beginning of a long one, and the few fields that the decisions
-//! need.
+//! Parses a client's request: reads the fields that the balancer needs, and the body (whole, or the start of
+//! a long one).
 
-use crate::bodies::{BodyMemoryLimit, BodyMemoryReservation, BufferedBody, ON_THE_WAY, RequestBody, SHORT};
+use crate::bodies::{
+    BodyMemoryLimit, BodyMemoryReservation, BufferedBody, MAX_BUFFERED_BYTES, MAX_IN_TRANSIT_BYTES,
+    RequestBody,
+};
 use crate::call::{Body, Call};
 use crate::platform::client::{self, Reject};
 use actix_http::Request;
@@ -13,54 +16,62 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// So much of a long body is read before a backend is chosen. Danger: a client that sends slowly holds one of a backend's
-/// few connections from then on.
-const AHEAD: usize = 256 * 1024;
-/// A long body waits so long for memory. Until then its client is not read from, and waits too.
-const ROOM: Duration = Duration::from_millis(1500);
+/// The bytes of a long body that are buffered before an endpoint is chosen. From then on, a client that sends
+/// slowly occupies one of the endpoint's few connections.
+const READ_AHEAD_BYTES: usize = 256 * 1024;
+/// How long a long body waits for memory. Until it has some, nothing more is read from its client.
+const MEMORY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The request as a call, or why it is not one. Its time runs from its last byte.
+/// Parses a request. The time that the client waits for a response runs from the request's last byte.
 pub async fn parse(
     mut request: Request,
     site: &RefCell<Site>,
-    budget: &Rc<BodyMemoryLimit>,
+    body_memory: &Rc<BodyMemoryLimit>,
 ) -> Result<Call, Reject> {
     let fields = client::fields(request.head())?;
-    let (class, left) = {
+    let (class, time_left) = {
         let site = site.borrow();
         let class = site.classes.get(&fields.class).ok_or_else(client::unknown_class)?;
-        let whole = || Duration::from_nanos(site.settings.classes[class as usize].client_deadline);
-        (ClassId(class as u16), fields.left.unwrap_or_else(whole))
+        let class_deadline = || Duration::from_nanos(site.settings.classes[class as usize].client_deadline);
+        (ClassId(class as u16), fields.time_left.unwrap_or_else(class_deadline))
     };
-    let body = body(&mut request, fields.length, left, budget).await?;
-    let deadline = Instant::now() + left;
+    let body = body(&mut request, fields.length, time_left, body_memory).await?;
+    let deadline = Instant::now() + time_left;
     let tenant = fields.tenant.and_then(|t| site.borrow().tenants.get(&t)).map(|t| TenantId(t as u16));
     let payload = Rc::new(client::payload(request.head(), body));
-    let authority = request.head().uri.authority().cloned(); // few have one: nothing is copied for the others
+    let authority = request.head().uri.authority().cloned(); // None for most requests
     Ok(Call { id: fields.id, class, tenant, retry: fields.retry, deadline, authority, payload })
 }
 
 async fn body(
     request: &mut Request,
     length: Option<u64>,
-    patience: Duration,
-    budget: &Rc<BodyMemoryLimit>,
+    client_timeout: Duration,
+    body_memory: &Rc<BodyMemoryLimit>,
 ) -> Result<Body, Reject> {
     let mut stream = request.take_payload();
-    let (mut gathered, mut share): (BufferedBody, Option<BodyMemoryReservation>) = Default::default();
-    while let Some(part) = stream.next().await {
-        gathered.push(part.map_err(|_| Reject::Broken)?);
-        let came = gathered.len();
-        if came > SHORT && share.is_none() {
-            let room = timeout(ROOM, budget.wait(AHEAD + ON_THE_WAY)).await;
-            share = Some(room.map_err(|_| Reject::NoRoom)?);
+    let (mut buffered, mut reservation): (BufferedBody, Option<BodyMemoryReservation>) = Default::default();
+    while let Some(chunk) = stream.next().await {
+        buffered.push(chunk.map_err(|_| Reject::Broken)?);
+        let received_bytes = buffered.len();
+        if received_bytes > MAX_BUFFERED_BYTES && reservation.is_none() {
+            let reserved =
+                timeout(MEMORY_TIMEOUT, body_memory.reserve(READ_AHEAD_BYTES + MAX_IN_TRANSIT_BYTES)).await;
+            reservation = Some(reserved.map_err(|_| Reject::NoRoom)?);
         }
-        // One that will not fit goes on at once.
-        let long = came > AHEAD || length.is_some_and(|length| length > AHEAD as u64);
-        if let Some(share) = share.take_if(|_| long) {
-            let held = vec![gathered.bytes()];
-            return Ok(Body::Streamed(Rc::new(RequestBody::new(length, held, stream, patience, share))));
+        // A body that is known to exceed the read-ahead is streamed at once.
+        let is_long = received_bytes > READ_AHEAD_BYTES
+            || length.is_some_and(|length| length > READ_AHEAD_BYTES as u64);
+        if let Some(reservation) = reservation.take_if(|_| is_long) {
+            let buffered = vec![buffered.bytes()];
+            return Ok(Body::Streamed(Rc::new(RequestBody::new(
+                length,
+                buffered,
+                stream,
+                client_timeout,
+                reservation,
+            ))));
         }
     }
-    Ok(Body::Whole { bytes: gathered.bytes(), _share: share })
+    Ok(Body::Buffered { bytes: buffered.bytes(), _reservation: reservation })
 }
--- a/crates/proxy/src/stages/request_table.rs
+++ b/crates/proxy/src/stages/request_table.rs
@@ -1,6 +1,6 @@
-//! The accounts of open requests: one final verdict each, one outcome for each attempt.
+//! The open requests: one verdict for each request, one outcome for each attempt.
 
-use crate::call::{Answer, Payload, Verdict};
+use crate::call::{EndpointResponse, Payload, Verdict};
 use crate::invariant::check_invariant;
 use actix_http::header::HeaderValue;
 use olivecart_decisions::RequestId;
@@ -10,130 +10,131 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// One attempt as it is started.
+/// An attempt that is about to start.
 pub struct Attempt {
     /// The request.
     pub request: RequestId,
-    /// Its number among the request's attempts.
+    /// The number of the attempt among the request's attempts, from 0.
     pub number: u32,
-    /// What is sent.
+    /// What is sent to the endpoint.
     pub payload: Rc<Payload>,
-    /// When it times out.
-    pub until: Instant,
-    /// Its first byte is written before then, or never.
+    /// When the attempt times out.
+    pub deadline: Instant,
+    /// The first byte must be written before this time, or not at all.
     pub start_by: Instant,
-    /// Resolves when the decisions call it off.
+    /// Resolves when the balancer cancels the attempt.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-struct Account {
+struct Entry {
     id: HeaderValue,
     payload: Rc<Payload>,
-    until: Instant,
+    deadline: Instant,
     /// Taken when the verdict is given.
     verdict: Option<oneshot::Sender<Verdict>>,
     attempts: Vec<Option<oneshot::Sender<()>>>,
-    out: u32,
+    in_flight: u32,
 }
 
-/// All accounts. One stays until the request has ended and nothing of it is out.
+/// All requests. An entry is kept until the request has a verdict and none of its attempts is in flight.
 #[derive(Default)]
 pub struct RequestTable {
-    accounts: RefCell<FxHashMap<RequestId, Account>>,
-    /// Those of the requests without a verdict.
-    ids: RefCell<FxHashSet<HeaderValue>>,
-    next: Cell<u64>,
+    entries: RefCell<FxHashMap<RequestId, Entry>>,
+    /// The ids of the requests without a verdict.
+    open_ids: RefCell<FxHashSet<HeaderValue>>,
+    next_id: Cell<u64>,
 }
 
 impl RequestTable {
-    /// Requests without a verdict.
+    /// The number of requests without a verdict.
     pub fn open_requests(&self) -> usize {
-        self.ids.borrow().len()
+        self.open_ids.borrow().len()
     }
 
-    /// Opens an account; none where one of that name has no verdict yet.
+    /// Opens a request. Returns `None` if a request with the same id has no verdict yet.
     pub fn open(
         &self,
         id: HeaderValue,
         payload: Rc<Payload>,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<(RequestId, oneshot::Receiver<Verdict>)> {
-        if !self.ids.borrow_mut().insert(id.clone()) {
+        if !self.open_ids.borrow_mut().insert(id.clone()) {
             return None;
         }
         let (sender, verdict) = oneshot::channel();
-        let request = RequestId(self.next.replace(self.next.get() + 1));
-        let account = Account { id, payload, until, verdict: Some(sender), attempts: Vec::new(), out: 0 };
-        self.accounts.borrow_mut().insert(request, account);
+        let request = RequestId(self.next_id.replace(self.next_id.get() + 1));
+        let entry =
+            Entry { id, payload, deadline, verdict: Some(sender), attempts: Vec::new(), in_flight: 0 };
+        self.entries.borrow_mut().insert(request, entry);
         Some((request, verdict))
     }
 
-    /// Enters an attempt; the number it would have had where the request has ended. Also says whether it is
-    /// the only one out.
-    pub fn attempt(&self, request: RequestId, start_by: Instant) -> (Result<Attempt, u32>, bool) {
-        let mut accounts = self.accounts.borrow_mut();
-        let Some(account) = accounts.get_mut(&request) else { return (Err(0), true) };
-        let (number, lone) = (account.attempts.len() as u32, account.out == 0);
+    /// Records an attempt and returns it, or only its number if the request has ended. The flag is true if no
+    /// other attempt of the request is in flight.
+    pub fn start_attempt(&self, request: RequestId, start_by: Instant) -> (Result<Attempt, u32>, bool) {
+        let mut entries = self.entries.borrow_mut();
+        let Some(entry) = entries.get_mut(&request) else { return (Err(0), true) };
+        let (number, is_only) = (entry.attempts.len() as u32, entry.in_flight == 0);
         let (cancel, cancelled) = oneshot::channel();
-        account.attempts.push(Some(cancel));
-        account.out += 1;
-        if account.verdict.is_none() {
-            return (Err(number), lone);
+        entry.attempts.push(Some(cancel));
+        entry.in_flight += 1;
+        if entry.verdict.is_none() {
+            return (Err(number), is_only);
         }
-        let (payload, until) = (account.payload.clone(), account.until);
-        (Ok(Attempt { request, number, payload, until, start_by, cancelled }), lone)
+        let (payload, deadline) = (entry.payload.clone(), entry.deadline);
+        (Ok(Attempt { request, number, payload, deadline, start_by, cancelled }), is_only)
     }
 
-    /// Whether a request has no verdict yet: its client waits.
+    /// Whether a request has no verdict yet, so that its client waits for a response.
     pub fn is_open(&self, request: RequestId) -> bool {
-        self.accounts.borrow().get(&request).is_some_and(|account| account.verdict.is_some())
+        self.entries.borrow().get(&request).is_some_and(|entry| entry.verdict.is_some())
     }
 
-    /// Calls an attempt off.
+    /// Cancels an attempt.
     pub fn cancel(&self, request: RequestId, number: u32) {
-        if let Some(account) = self.accounts.borrow_mut().get_mut(&request)
-            && let Some(cancel) = account.attempts.get_mut(number as usize).and_then(Option::take)
+        if let Some(entry) = self.entries.borrow_mut().get_mut(&request)
+            && let Some(cancel) = entry.attempts.get_mut(number as usize).and_then(Option::take)
         {
-            let _ = cancel.send(()); // ended meanwhile; its outcome is under way
+            let _ = cancel.send(()); // fails if the attempt has just ended; its outcome is reported then
         }
     }
 
-    /// Enters the end of an attempt, with the answer if it was served, and says whether the request has
-    /// ended.
-    pub fn attempt_ended(&self, request: RequestId, answer: Option<Answer>) -> bool {
-        let mut accounts = self.accounts.borrow_mut();
-        let Some(account) = accounts.get_mut(&request) else { return true };
-        check_invariant(account.out > 0, "an attempt ends once");
-        account.out = account.out.saturating_sub(1);
-        drop(accounts);
-        match answer {
-            Some(answer) => _ = self.finish(request, Verdict::Served(answer)),
-            None => self.settle(request),
+    /// Records the end of an attempt, with its response if there is one for the client. Returns whether the
+    /// request has ended.
+    pub fn attempt_ended(&self, request: RequestId, response: Option<EndpointResponse>) -> bool {
+        let mut entries = self.entries.borrow_mut();
+        let Some(entry) = entries.get_mut(&request) else { return true };
+        check_invariant(entry.in_flight > 0, "each attempt ends only once");
+        entry.in_flight = entry.in_flight.saturating_sub(1);
+        drop(entries);
+        match response {
+            Some(response) => _ = self.finish(request, Verdict::Served(response)),
+            None => self.remove_if_done(request),
         }
-        self.accounts.borrow().get(&request).is_none_or(|a| a.verdict.is_none())
+        self.entries.borrow().get(&request).is_none_or(|entry| entry.verdict.is_none())
     }
 
-    /// Gives the verdict. False: there was one already.
+    /// Gives the verdict on a request. Returns false if it already had one.
     pub fn finish(&self, request: RequestId, verdict: Verdict) -> bool {
-        let mut accounts = self.accounts.borrow_mut();
-        let account = accounts.get_mut(&request);
-        let Some((sender, id)) = account.and_then(|a| Some((a.verdict.take()?, &a.id))) else { return false };
-        self.ids.borrow_mut().remove(id);
-        drop(accounts);
-        let _ = sender.send(verdict); // the client has gone
-        self.settle(request);
+        let mut entries = self.entries.borrow_mut();
+        let entry = entries.get_mut(&request);
+        let Some((sender, id)) = entry.and_then(|e| Some((e.verdict.take()?, &e.id))) else { return false };
+        self.open_ids.borrow_mut().remove(id);
+        drop(entries);
+        let _ = sender.send(verdict); // fails if the client has disconnected
+        self.remove_if_done(request);
         true
     }
 
-    /// The client does not wait any more. False: the request had ended.
+    /// Ends a request whose client no longer waits. Returns false if the request had already ended.
     pub fn abandon(&self, request: RequestId) -> bool {
         self.finish(request, Verdict::Failed)
     }
 
-    fn settle(&self, request: RequestId) {
-        let mut accounts = self.accounts.borrow_mut();
-        if accounts.get(&request).is_some_and(|a| a.verdict.is_none() && a.out == 0) {
-            accounts.remove(&request);
+    fn remove_if_done(&self, request: RequestId) {
+        let mut entries = self.entries.borrow_mut();
+        if entries.get(&request).is_some_and(|entry| entry.verdict.is_none() && entry.in_flight == 0) {
+            entries.remove(&request);
         }
     }
 }
--- a/crates/proxy/src/wire/tests.rs
+++ b/crates/proxy/src/wire/tests.rs
@@ -87,7 +87,7 @@
     const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
     actix_rt::System::new().block_on(async {
         let (mut wire, mut peer) = connection().await;
-        wire.observer.begin(None);
+        wire.observer.begin_request(None);
         wire.write_all(REQUEST).await.expect("written");
         let mut got = [0; REQUEST.len()];
         peer.read_exact(&mut got).await.expect("it came");
@@ -95,7 +95,7 @@
         let mut got = [0; ANSWER.len()];
         wire.read_exact(&mut got).await.expect("it came");
         assert_eq!(got, ANSWER);
-        assert!(wire.observer.reusable());
+        assert!(wire.observer.is_reusable());
     });
 }
 
@@ -108,7 +108,7 @@
             Poll::Ready(Pin::new(&mut wire).poll_read(cx, &mut ReadBuf::new(&mut space)))
         });
         assert!(nothing.await.is_pending(), "nothing has come on it");
-        assert!(wire.observer.reusable(), "it can carry a request");
+        assert!(wire.observer.is_reusable(), "it can carry a request");
         drop(peer);
     });
 }
