--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -329,7 +329,7 @@
         let monitor = Rc::new(ResponseMonitor::new(MAX_BODY_BYTES as usize));
         let established = Established::default();
         Lease {
-            client: client_of(&established, &monitor),
+            client: client_for(&established, &monitor),
             target,
             monitor,
             reused: false,
@@ -343,7 +343,7 @@
 
 /// Creates a client that uses the connection established for it. If its pooled connection was closed and none
 /// is established, a request fails with `ConnectError::Io` and nothing is sent.
-fn client_of(established: &Established, monitor: &Rc<ResponseMonitor>) -> Client {
+fn client_for(established: &Established, monitor: &Rc<ResponseMonitor>) -> Client {
     let (established, monitor) = (established.clone(), monitor.clone());
     plain_client(HANDOVER_TIMEOUT, move || {
         let connection = established.take().map(|stream| Wire { stream, observer: monitor.clone() });
--- a/crates/proxy/src/cluster_runtime/endpoint_list.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_list.rs
@@ -104,7 +104,7 @@
     pub fn serialized(&self, site: &Site) -> String {
         let overrides = self.overrides.borrow();
         let start_times = self.start_times.borrow();
-        let endpoints = overrides.listed().map(|listed| named(site, &start_times, listed)).collect();
+        let endpoints = overrides.listed().map(|listed| to_endpoint(site, &start_times, listed)).collect();
         registry::write(&News { version: self.version.get(), full: true, endpoints })
     }
 
@@ -130,7 +130,7 @@
 }
 
 /// Converts a listed endpoint for the balancer, which knows names by number. New names get the next numbers.
-pub fn numbered(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
+pub fn to_entry(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
     site.entry(&olivecart_settings::ListedEndpoint {
         name: &endpoint.name,
         state: endpoint.state,
@@ -142,8 +142,12 @@
     })
 }
 
-/// The reverse of [`numbered`], with the listed start time.
-fn named(site: &Site, start_times: &StartTimes, (entry, address): &AddressedEntry) -> Endpoint<'static> {
+/// The reverse of [`to_entry`], with the listed start time.
+fn to_endpoint(
+    site: &Site,
+    start_times: &StartTimes,
+    (entry, address): &AddressedEntry,
+) -> Endpoint<'static> {
     let zone = site.zones.name(entry.zone.0.into());
     let kind = site.kinds.name(entry.kind.0.into());
     Endpoint {
--- a/crates/proxy/src/cluster_runtime/endpoint_updates.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_updates.rs
@@ -3,7 +3,7 @@
 //! and then reported to the balancer.
 
 use super::ClusterRuntime;
-use super::endpoint_list::{ManualOverrides, numbered};
+use super::endpoint_list::{ManualOverrides, to_entry};
 use crate::admin_overrides::{AddressedEntry, UnknownEndpoint};
 use crate::membership::News;
 use crate::stages::context::EventSink;
@@ -33,7 +33,7 @@
         }
         let mut entries = Vec::with_capacity(endpoint_count);
         for endpoint in &news.endpoints {
-            let entry = numbered(&mut self.shared.site.borrow_mut(), endpoint);
+            let entry = to_entry(&mut self.shared.site.borrow_mut(), endpoint);
             let entry = self.endpoints.apply(entry, endpoint.addr, self.shared.clock.now());
             trace::listed(&self.log, &entry);
             self.update_backend(&entry, endpoint.addr);
--- a/crates/proxy/src/stages/parse.rs
+++ b/crates/proxy/src/stages/parse.rs
@@ -35,7 +35,7 @@
         let class_deadline = || Duration::from_nanos(site.settings.classes[class as usize].client_deadline);
         (ClassId(class as u16), fields.time_left.unwrap_or_else(class_deadline))
     };
-    let body = body(&mut request, fields.length, time_left, body_memory).await?;
+    let body = read_body(&mut request, fields.length, time_left, body_memory).await?;
     let deadline = Instant::now() + time_left;
     let tenant = fields.tenant.and_then(|t| site.borrow().tenants.get(&t)).map(|t| TenantId(t as u16));
     let payload = Rc::new(client::payload(request.head(), body));
@@ -43,7 +43,7 @@
     Ok(Call { id: fields.id, class, tenant, retry: fields.retry, deadline, authority, payload })
 }
 
-async fn body(
+async fn read_body(
     request: &mut Request,
     length: Option<u64>,
     client_timeout: Duration,
