--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -1,12 +1,14 @@
-//! The table of client connections: their states, their timeouts, and which one is evicted under descriptor pressure.
+//! The table of client connections: their states, their timeouts, and the eviction order under descriptor
+//! pressure.
 //!
-//! [`Clients`] owns the queues, and each connection's [`Client`] its state. `listen.rs` registers connections and tells
-//! what becomes of their requests; [`stream`] tells what is read and written. Nothing here does I/O.
+//! [`Clients`] owns the queues and each [`Client`] the state of one connection. `listen.rs` registers
+//! connections and reports the progress of their requests; [`stream`] reports reads and writes. This module
+//! does no I/O.
 //!
-//! A connection has a request in flight; or waits for a request head, its first or one that has begun; or receives a
-//! body; or lies idle between two requests; or is being closed (`closing.rs`). One with a request in flight is never
-//! evicted. The others are kept in queues in the order in which they entered their state, so that no operation looks at
-//! all connections.
+//! A connection has a request in flight, or waits for the first or the remaining bytes of a request head, or
+//! receives a body, or is idle between two requests, or is being closed (`closing.rs`). A connection with a
+//! request in flight is never evicted. All others are in queues ordered by the time they entered their state,
+//! so that no operation scans all connections.
 
 pub mod stream;
 
@@ -19,60 +21,63 @@
 pub use stream::{Connection, Stream};
 use tokio::sync::Notify;
 
-/// A request head is complete this long after its first byte, and the first one after the connection was accepted.
-/// Danger: clients that connect and send nothing, or a byte at a time, and so hold what others need. One may take 2 s.
+/// Maximum time from the first byte of a request head to its end. For the first request on a connection, the
+/// time starts at accept. Without this limit, clients that send nothing, or one byte at a time, would occupy
+/// connections that other clients need. Clients are allowed to take 2 s for a request head.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A body may take longer, but some of it has to come this often.
+/// Maximum time between two reads of a request body. The whole body may take longer.
 const BODY_PROGRESS_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection is kept this long between two requests.
+/// Maximum idle time between two requests on a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Under descriptor pressure, a connection that has sent nothing is evicted before an idle one after this long; and
-/// where all connections are to end it is closed then.
+/// Age from which, under descriptor pressure, a connection that has sent nothing is evicted before an idle
+/// one. While idle connections are being closed, such a connection is closed at this age.
 const SILENT_EVICTION_AGE: Duration = Duration::from_millis(250);
-/// No connection without a request is evicted before this: what an ordinary client sends is on its way.
+/// Minimum age for evicting a silent, partial or closing connection: the first bytes of a normal client may
+/// still be in transit.
 const EVICTION_GRACE: Duration = Duration::from_millis(20);
-/// Where idle connections are protected, one of whose request nothing more has come for this long is evicted before
-/// them: a client that writes a whole head within 2 s pauses for less.
+/// While idle connections are protected, a connection whose request head has made no progress for this long
+/// is evicted before them. A client that writes its head within 2 s pauses for less.
 const STALLED_EVICTION_AGE: Duration = Duration::from_secs(1);
 
-/// When a connection entered its queue, and a number that tells those of one instant apart.
+/// The time at which a connection entered its queue, and a sequence number that distinguishes equal times.
 type QueueKey = (Instant, u64);
 type Queue = RefCell<BTreeMap<QueueKey, Rc<Client>>>;
 
-/// All connections from clients.
+/// All client connections of one listener.
 #[derive(Default)]
 pub struct Clients {
-    /// Those without a complete request head, by when it began.
+    /// Connections without a complete request head, by the time at which the wait for it began.
     awaiting_head: Queue,
-    /// Those of them that have sent nothing, by the same.
+    /// The subset of `awaiting_head` that has sent nothing, by the same time.
     silent: Queue,
-    /// The others of them, by when some of it came last.
+    /// The rest of `awaiting_head`, by the time of the last read.
     partial: Queue,
-    /// Those whose request body is being read, by when some of it came last.
+    /// Connections whose request body is being read, by the time of the last read.
     uploading: Queue,
-    /// Idle ones that have sent a request.
+    /// Idle connections that have sent at least one request other than a health check.
     idle: Queue,
-    /// Idle ones that have only asked for health.
+    /// Idle connections that have sent only health checks.
     idle_unused: Queue,
-    /// Those that are being closed, by when their client last took some of what is written for it.
+    /// Connections that are being closed, by the time of the last progress: a write that the client accepted,
+    /// or the half-close.
     closing: Queue,
     next_sequence: Cell<u64>,
     open: Cell<usize>,
     in_flight: Cell<usize>,
-    /// Idle connections are closed.
-    retiring: Cell<bool>,
-    /// Idle connections are evicted last.
+    /// Whether idle connections are closed instead of kept.
+    closes_idle: Cell<bool>,
+    /// Whether idle connections are evicted last.
     protects_idle: Cell<bool>,
     connection_closed: Notify,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Since when it waits for the first byte of a request.
+    /// Waits for the first byte of its first request since the given key.
     Silent(QueueKey),
-    /// Since when it waits for the rest of a request head, and when some of it came last.
+    /// Waits for the rest of a request head: the key of the start of the wait, and the key of the last read.
     Partial(QueueKey, QueueKey),
-    /// When some of the request body came last.
+    /// Receives a request body: the key of the last read.
     Uploading(QueueKey),
     InFlight,
     Idle(QueueKey),
@@ -80,60 +85,62 @@
     Closed,
 }
 
-/// Whether a connection is to be closed.
+/// Whether and on what condition a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseIntent {
-    /// It stays open.
+    /// The connection stays open.
     KeepOpen,
-    /// Unless a request has come on it that is not read yet. Danger: it would be lost to a client that may not send it
-    /// again. With when the request that is awaited was due to begin, if one is.
+    /// The connection is closed unless an unread request has arrived on it. Closing would lose that request,
+    /// which the client may be unable to repeat. Carries the key from which the head timeout of an awaited
+    /// first request runs.
     UnlessRequestArrives(Option<QueueKey>),
-    /// Nothing more of it is read as a request: to the HTTP library it looks as if its client had closed it.
+    /// No further bytes are read as a request: reads by the HTTP library return end of stream.
     Now,
 }
 
-/// How much of the body of a request has been read when it is taken.
+/// How much of a request body has been read when the request is dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestBody {
-    /// All: what comes next belongs to another request.
+    /// All of it: the next bytes belong to another request.
     Complete,
-    /// The rest is read at the pace of a backend.
+    /// The rest is read as fast as a backend accepts it.
     Streaming,
 }
 
-/// The state of one connection from a client.
+/// The state of one client connection.
 pub struct Client {
-    all: Rc<Clients>,
+    clients: Rc<Clients>,
     state: Cell<State>,
     has_sent_request: Cell<bool>,
-    /// The request in flight has come whole: what comes next is another's.
+    /// Whether the request in flight was received completely, so that the next bytes belong to another
+    /// request.
     request_is_complete: Cell<bool>,
-    /// The client has closed, or the stream broke.
+    /// Whether the client has closed the connection or the stream failed.
     peer_closed: Cell<bool>,
     peer_closed_notify: Notify,
     close_intent: Cell<CloseIntent>,
-    /// How far its close has come, once it is being closed.
+    /// The state of the close, once it has begun.
     close_state: Cell<Option<Closing>>,
-    /// The task that serves it.
+    /// Wakes the task that serves the connection.
     task: RefCell<Option<Waker>>,
 }
 
 impl Clients {
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Connections with a request in flight.
+    /// The number of connections with a request in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Adds a new connection, which waits for its first request.
+    /// Adds a new connection that waits for its first request.
     pub fn register(self: &Rc<Self>) -> Rc<Client> {
         self.open.set(self.open.get() + 1);
         let client = Rc::new(Client {
-            all: self.clone(),
+            clients: self.clone(),
             state: Cell::new(State::Closed),
             has_sent_request: Cell::new(false),
             request_is_complete: Cell::new(false),
@@ -147,7 +154,7 @@
         client
     }
 
-    /// Removes a connection whose descriptor is closed.
+    /// Removes a connection after its descriptor was closed.
     pub fn unregister(&self, client: &Rc<Client>) {
         client.set_state(State::Closed);
         client.task.take();
@@ -155,19 +162,20 @@
         self.connection_closed.notify_one();
     }
 
-    /// Resolves when a connection is removed.
+    /// Waits until a connection is removed.
     pub async fn wait_for_closed_connection(&self) {
         self.connection_closed.notified().await;
     }
 
-    /// Closes the connections whose timeout is over.
-    pub fn expire(&self) {
-        self.expire_at(Instant::now());
+    /// Closes the connections whose timeout has expired.
+    pub fn close_expired(&self) {
+        self.close_expired_at(Instant::now());
     }
 
-    fn expire_at(&self, now: Instant) {
-        // Where all are to end, an ordinary client's first request is still waited for.
-        let silent = if self.retiring.get() { SILENT_EVICTION_AGE } else { REQUEST_HEAD_TIMEOUT };
+    fn close_expired_at(&self, now: Instant) {
+        // While idle connections are being closed, a new connection still gets enough time for a normal first
+        // request.
+        let silent = if self.closes_idle.get() { SILENT_EVICTION_AGE } else { REQUEST_HEAD_TIMEOUT };
         let timeouts = [
             (&self.silent, silent),
             (&self.awaiting_head, REQUEST_HEAD_TIMEOUT),
@@ -176,59 +184,62 @@
             (&self.idle_unused, IDLE_TIMEOUT),
         ];
         for (queue, timeout) in timeouts {
-            while Clients::first_since(queue).is_some_and(|since| now - since >= timeout) {
-                Clients::close_first(queue);
+            while Clients::oldest_entry_time(queue).is_some_and(|since| now - since >= timeout) {
+                Clients::close_oldest(queue);
             }
         }
-        let is_over = |client: &Rc<Client>| client.next_step(now) == Step::Close;
-        while let Some(client) = Clients::first_client(&self.closing).filter(&is_over) {
+        let has_expired = |client: &Rc<Client>| client.next_step(now) == Step::Close;
+        while let Some(client) = Clients::oldest_client(&self.closing).filter(&has_expired) {
             client.abandon();
         }
     }
 
-    /// Evicts the connection that can best be spared, if any can: one that is being closed and whose client has had time
-    /// to read its response; or that was accepted a while ago and has sent nothing; or else an idle one, since its client
-    /// opens another when it needs one; or else the one of whose request nothing has come for longest.
-    /// Danger: an honest client may take 2 s for its request, while thousands come and send none.
-    pub fn make_room(&self) {
-        self.make_room_at(Instant::now());
+    /// Evicts at most one connection, in this order of preference: a closing connection whose client had time
+    /// to read its response; a connection that was accepted some time ago and has sent nothing; an idle one,
+    /// since its client can open another; the one whose request head has made no progress for the longest
+    /// time. A legitimate client may take 2 s for its request head, so it must not be evicted for thousands
+    /// of new connections that send nothing.
+    pub fn evict_one(&self) {
+        self.evict_one_at(Instant::now());
     }
 
-    fn make_room_at(&self, now: Instant) {
-        let has_age = |queue, age| Clients::first_since(queue).is_some_and(|since| now - since >= age);
+    fn evict_one_at(&self, now: Instant) {
+        let has_age = |queue, age| Clients::oldest_entry_time(queue).is_some_and(|since| now - since >= age);
         if has_age(&self.closing, EVICTION_GRACE) {
-            if let Some(client) = Clients::first_client(&self.closing) {
+            if let Some(client) = Clients::oldest_client(&self.closing) {
                 client.abandon();
             }
             return;
         }
         let idle = (&self.idle, Duration::ZERO);
-        let third = if self.protects_idle.get() { (&self.partial, STALLED_EVICTION_AGE) } else { idle };
+        let stalled_or_idle =
+            if self.protects_idle.get() { (&self.partial, STALLED_EVICTION_AGE) } else { idle };
         let mut order = vec![
             (&self.silent, SILENT_EVICTION_AGE),
             (&self.idle_unused, Duration::ZERO),
-            third,
+            stalled_or_idle,
             (&self.silent, EVICTION_GRACE),
         ];
-        // Danger: one that sends slowly, or that is protected, evicted in a moment in which all that send nothing have
-        // just come.
+        // Slow senders and protected idle connections are evicted only if there is no silent connection.
+        // Otherwise they would be evicted whenever all silent connections are still younger than
+        // `EVICTION_GRACE`.
         if self.silent.borrow().is_empty() {
             order.extend([idle, (&self.partial, EVICTION_GRACE)]);
         }
         if let Some((queue, _)) = order.into_iter().find(|(queue, age)| has_age(queue, *age)) {
-            Clients::close_first(queue);
+            Clients::close_oldest(queue);
         }
     }
 
-    /// From now on clients with an idle connection may find no other proxy, and keep it for as long as any other can be
-    /// evicted. Danger: many clients that go on connecting take them from the clients of a proxy that is shutting down.
+    /// Evicts idle connections last from now on. During a shutdown their clients may find no other proxy, and
+    /// many new clients that keep connecting would otherwise displace them.
     pub fn protect_idle(&self) {
         self.protects_idle.set(true);
     }
 
-    /// Idle connections are closed from now on, unless a request has just come on them.
+    /// Closes idle connections from now on, unless an unread request has arrived on them.
     pub fn close_idle(&self) {
-        self.retiring.set(true);
+        self.closes_idle.set(true);
         for idle in [&self.idle, &self.idle_unused] {
             idle.borrow().values().for_each(|client| client.wake());
         }
@@ -238,19 +249,19 @@
         (Instant::now(), self.next_sequence.replace(self.next_sequence.get() + 1))
     }
 
-    /// Since when the first of a queue has been in it.
-    fn first_since(queue: &Queue) -> Option<Instant> {
+    /// Returns the time at which the oldest entry of a queue was added.
+    fn oldest_entry_time(queue: &Queue) -> Option<Instant> {
         queue.borrow().first_key_value().map(|((since, _), _)| *since)
     }
 
-    fn first_client(queue: &Queue) -> Option<Rc<Client>> {
+    fn oldest_client(queue: &Queue) -> Option<Rc<Client>> {
         queue.borrow().first_key_value().map(|(_, client)| client.clone())
     }
 
-    fn close_first(queue: &Queue) {
-        if let Some(client) = Clients::first_client(queue) {
-            // Danger: a client that sends a byte now and then would be looked at, found to have sent one, and kept for
-            // ever.
+    fn close_oldest(queue: &Queue) {
+        if let Some(client) = Clients::oldest_client(queue) {
+            // A partial or uploading connection is closed without a check for unread bytes. Otherwise a
+            // client that sends a byte from time to time would never be closed.
             client.begin_close(match client.state.get() {
                 State::Silent(since) => CloseIntent::UnlessRequestArrives(Some(since)),
                 State::Idle(_) => CloseIntent::UnlessRequestArrives(None),
@@ -262,148 +273,150 @@
 }
 
 impl Client {
-    /// The head of a request is complete, and its body is read.
+    /// Records that a request head is complete and that its body is being read.
     pub fn on_head_received(self: &Rc<Self>) {
-        self.set_state(State::Uploading(self.all.next_key()));
+        self.set_state(State::Uploading(self.clients.next_key()));
         self.has_sent_request.set(true);
     }
 
-    /// Its request is in flight.
-    pub fn on_request_taken(self: &Rc<Self>, body: RequestBody) {
+    /// Records that the request is in flight.
+    pub fn on_request_dispatched(self: &Rc<Self>, body: RequestBody) {
         self.set_state(State::InFlight);
         self.request_is_complete.set(body == RequestBody::Complete);
     }
 
-    /// Some bytes were read, which may belong to a request.
+    /// Records that bytes were read that may belong to a request.
     fn on_bytes_received(self: &Rc<Self>) {
-        let place = self.all.next_key();
-        if let CloseIntent::UnlessRequestArrives(owed) = self.close_intent.get() {
+        let key = self.clients.next_key();
+        if let CloseIntent::UnlessRequestArrives(awaited_since) = self.close_intent.get() {
             self.close_intent.set(CloseIntent::KeepOpen);
             self.close_state.set(None);
-            return self.set_state(State::Partial(owed.unwrap_or(place), place));
+            return self.set_state(State::Partial(awaited_since.unwrap_or(key), key));
         }
         match self.state.get() {
-            State::Idle(_) => self.set_state(State::Partial(place, place)),
-            State::Silent(since) | State::Partial(since, _) => self.set_state(State::Partial(since, place)),
-            State::Uploading(_) => self.set_state(State::Uploading(place)),
+            State::Idle(_) => self.set_state(State::Partial(key, key)),
+            State::Silent(since) | State::Partial(since, _) => self.set_state(State::Partial(since, key)),
+            State::Uploading(_) => self.set_state(State::Uploading(key)),
             State::InFlight | State::Closing(_) | State::Closed => {}
         }
     }
 
-    /// The response to its request is sent.
+    /// Records that the response has been sent.
     pub fn on_response_sent(self: &Rc<Self>) {
         match (self.state.get(), self.close_intent.get()) {
             (State::Closed, _) => {}
             (_, CloseIntent::Now) => self.begin_close(CloseIntent::Now),
-            _ => self.set_state(State::Idle(self.all.next_key())),
+            _ => self.set_state(State::Idle(self.clients.next_key())),
         }
     }
 
-    /// The connection is closed after the response. What its client goes on to send is not read as a request.
-    pub fn end_after_response(&self) {
+    /// Closes the connection after the response. Bytes that the client sends from now on are not read as a
+    /// request.
+    pub fn close_after_response(&self) {
         self.close_intent.set(CloseIntent::Now);
     }
 
-    /// Its request was rejected, and the connection is closed after the response.
+    /// Records that the request was rejected. The connection is closed after the response.
     pub fn on_request_rejected(self: &Rc<Self>) {
         self.begin_close(CloseIntent::Now);
     }
 
-    /// Whether nothing more of it is read as a request.
-    pub fn is_ending(&self) -> bool {
+    /// Whether no further bytes are read as a request.
+    pub fn is_closing(&self) -> bool {
         self.close_intent.get() == CloseIntent::Now
     }
 
-    /// Whether the client has closed, or the stream broke.
-    pub fn has_closed(&self) -> bool {
+    /// Whether the client has closed the connection or the stream failed.
+    pub fn has_peer_closed(&self) -> bool {
         self.peer_closed.get()
     }
 
-    /// Resolves when the client has closed, or the stream broke.
-    pub async fn wait_for_close(&self) {
+    /// Waits until the client closes the connection or the stream fails.
+    pub async fn wait_for_peer_close(&self) {
         while !self.peer_closed.get() {
             self.peer_closed_notify.notified().await;
         }
     }
 
-    /// Begins its close.
-    fn begin_close(self: &Rc<Self>, how: CloseIntent) {
-        self.close_intent.set(how);
-        let place = self.all.next_key();
+    /// Starts closing the connection.
+    fn begin_close(self: &Rc<Self>, intent: CloseIntent) {
+        self.close_intent.set(intent);
+        let key = self.clients.next_key();
         if self.close_state.get().is_none() {
-            self.close_state.set(Some(Closing::begin(place.0)));
+            self.close_state.set(Some(Closing::start(key.0)));
         }
-        self.set_state(State::Closing(place));
+        self.set_state(State::Closing(key));
     }
 
-    /// The next step of its close.
+    /// Returns the next step of the close.
     fn next_step(&self, now: Instant) -> Step {
-        self.close_state.get().map_or(Step::Close, |close| close.next(now))
+        self.close_state.get().map_or(Step::Close, |close| close.next_step(now))
     }
 
-    /// Takes an event of its close.
+    /// Applies an event to the close, if one has begun.
     fn on_close_event(self: &Rc<Self>, event: Event) {
         if let Some(close) = self.close_state.get() {
-            let place = self.all.next_key();
-            self.close_state.set(Some(close.after(place.0, event)));
-            // Danger: taken out of the queue for good, it is nobody's to cut off.
-            if matches!(event, Event::Wrote | Event::HalfClosed)
+            let key = self.clients.next_key();
+            self.close_state.set(Some(close.on_event(key.0, event)));
+            // Progress moves the connection to the end of the closing queue. It stays in that queue until it
+            // is closed, because nothing else would time it out.
+            if matches!(event, Event::Written | Event::HalfClosed)
                 && matches!(self.state.get(), State::Closing(_))
             {
-                self.set_state(State::Closing(place));
+                self.set_state(State::Closing(key));
             }
         }
     }
 
-    /// Whether its close is over, whatever its client still does.
+    /// Whether the close has ended or its time is up, so that the connection no longer waits for its client.
     fn is_abandoned(&self) -> bool {
-        self.close_state.get().is_some_and(|close| close.next(Instant::now()) == Step::Close)
+        self.close_state.get().is_some_and(|close| close.next_step(Instant::now()) == Step::Close)
     }
 
-    /// Ends its close at once.
+    /// Ends the close immediately.
     fn abandon(self: &Rc<Self>) {
-        self.on_close_event(Event::Over);
+        self.on_close_event(Event::Ended);
         self.set_state(State::Closed);
         self.wake();
     }
 
-    /// The client has closed, or the stream broke.
+    /// Records that the client has closed the connection or the stream failed.
     fn on_peer_closed(&self) {
         self.peer_closed.set(true);
         self.peer_closed_notify.notify_one();
     }
 
     fn set_state(self: &Rc<Self>, state: State) {
-        let all = &self.all;
-        let idle = if self.has_sent_request.get() { &all.idle } else { &all.idle_unused };
+        let clients = &self.clients;
+        let idle = if self.has_sent_request.get() { &clients.idle } else { &clients.idle_unused };
         match self.state.replace(state) {
             State::Silent(since) => {
-                all.awaiting_head.borrow_mut().remove(&since);
-                all.silent.borrow_mut().remove(&since);
+                clients.awaiting_head.borrow_mut().remove(&since);
+                clients.silent.borrow_mut().remove(&since);
             }
             State::Partial(since, last) => {
-                all.awaiting_head.borrow_mut().remove(&since);
-                all.partial.borrow_mut().remove(&last);
+                clients.awaiting_head.borrow_mut().remove(&since);
+                clients.partial.borrow_mut().remove(&last);
             }
-            State::Uploading(place) => _ = all.uploading.borrow_mut().remove(&place),
-            State::Idle(place) => _ = idle.borrow_mut().remove(&place),
-            State::Closing(place) => _ = all.closing.borrow_mut().remove(&place),
-            State::InFlight => all.in_flight.set(all.in_flight.get() - 1),
+            State::Uploading(key) => _ = clients.uploading.borrow_mut().remove(&key),
+            State::Idle(key) => _ = idle.borrow_mut().remove(&key),
+            State::Closing(key) => _ = clients.closing.borrow_mut().remove(&key),
+            State::InFlight => clients.in_flight.set(clients.in_flight.get() - 1),
             State::Closed => {}
         }
         match state {
             State::Silent(since) => {
-                all.awaiting_head.borrow_mut().insert(since, self.clone());
-                all.silent.borrow_mut().insert(since, self.clone());
+                clients.awaiting_head.borrow_mut().insert(since, self.clone());
+                clients.silent.borrow_mut().insert(since, self.clone());
             }
             State::Partial(since, last) => {
-                all.awaiting_head.borrow_mut().insert(since, self.clone());
-                all.partial.borrow_mut().insert(last, self.clone());
+                clients.awaiting_head.borrow_mut().insert(since, self.clone());
+                clients.partial.borrow_mut().insert(last, self.clone());
             }
-            State::Uploading(place) => _ = all.uploading.borrow_mut().insert(place, self.clone()),
-            State::Idle(place) => _ = idle.borrow_mut().insert(place, self.clone()),
-            State::Closing(place) => _ = all.closing.borrow_mut().insert(place, self.clone()),
-            State::InFlight => all.in_flight.set(all.in_flight.get() + 1),
+            State::Uploading(key) => _ = clients.uploading.borrow_mut().insert(key, self.clone()),
+            State::Idle(key) => _ = idle.borrow_mut().insert(key, self.clone()),
+            State::Closing(key) => _ = clients.closing.borrow_mut().insert(key, self.clone()),
+            State::InFlight => clients.in_flight.set(clients.in_flight.get() + 1),
             State::Closed => {}
         }
     }
--- a/crates/proxy/src/clients/stream.rs
+++ b/crates/proxy/src/clients/stream.rs
@@ -1,15 +1,18 @@
-//! The socket of one client: what the HTTP library reads and writes on it, detection of its close while the library
-//! does neither, and its own close.
+//! The socket of one client: the reads and writes of the HTTP library, detection of the client's close while
+//! the library does neither, and the graceful close.
 //!
-//! `listen.rs` makes a [`Connection`] for each accepted socket, and gives the HTTP library a [`Stream`] of it. What the
-//! connection is waiting for and when it is evicted is the [`Client`]'s; nothing here interprets a request.
+//! `listen.rs` creates a [`Connection`] for each accepted socket and passes the HTTP library a [`Stream`] of
+//! it. The state and the eviction of the connection belong to [`Client`]; this module does not interpret
+//! requests.
 //!
-//! actix-http reads on while a request is in flight and takes what comes for further requests; or it does not read at
-//! all: after something that is no request, and while a body waits for its endpoint. In neither case would it notice that
-//! the client has closed. So what comes behind a request in flight is kept here, and what the library leaves unread is
-//! read ahead of it, up to [`READ_AHEAD_BYTES`]. A client that sends more behind a complete request gets its response as
-//! the last one, and the rest is dropped: behind bytes that are left unread, its close need never arrive. A body that
-//! waits is left unread, which holds its client back, and the runtime tells of a close behind it.
+//! While a request is in flight, actix-http either keeps reading and parses the bytes as further requests, or
+//! does not read at all: after bytes that are not a request, and while a body waits for its endpoint. In
+//! neither case does it notice that the client has closed. Therefore bytes behind a request in flight are
+//! buffered here, and bytes that the library leaves unread are read ahead of it, up to
+//! [`MAX_READ_AHEAD_BYTES`]. If a client sends more than that behind a complete request, the response to that
+//! request is the last one on the connection and the further bytes are discarded: a close behind unread bytes
+//! may never become visible. A body that waits stays unread, which applies backpressure to its client; the
+//! runtime reports a close behind it.
 
 use super::{Client, CloseIntent, State};
 use crate::closing::{Event, Step};
@@ -30,18 +33,19 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-/// Most bytes that are read ahead of the HTTP library. Danger: each of hundreds of clients may send as much as it likes.
-const READ_AHEAD_BYTES: usize = 16 * 1024;
-/// A client that sends this much behind a request in flight counts as closed.
-const FLOOD_BYTES: usize = 4 * 1024 * 1024;
-/// Most bytes read at a time where they are dropped or kept here.
+/// Maximum number of bytes that are read ahead of the HTTP library, per connection. Without this limit, each
+/// of hundreds of clients could occupy any amount of memory.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// A client that sends this many excess bytes behind a request in flight is treated as closed.
+const MAX_DISCARDED_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum size of one read that this module discards or buffers.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// The system calls on a client's socket. Tests have one whose calls fail.
+/// The system calls on a client's socket. Tests use an implementation whose calls fail.
 pub trait ClientSocket: ActixStream {
-    /// The socket itself, for what the runtime knows of it.
+    /// Returns the socket itself, for its readiness in the runtime.
     fn tcp(&self) -> &TcpStream;
-    /// Reads what has come, whether or not the runtime has heard of it.
+    /// Reads from the socket without consulting the runtime's readiness.
     fn read_directly(&self, buf: &mut [u8]) -> io::Result<usize>;
 }
 
@@ -55,55 +59,55 @@
     }
 }
 
-/// One connection, shared between the HTTP library and the task that ends it.
+/// One connection, shared between the HTTP library and the task that closes it.
 pub struct Connection<S = TcpStream> {
     stream: RefCell<S>,
     client: Rc<Client>,
-    /// Read and not yet given to the library.
+    /// Bytes that were read but not yet passed to the library.
     read_ahead: RefCell<BytesMut>,
-    /// Bytes dropped behind the request in flight, which is the last.
-    dropped_bytes: Cell<usize>,
-    /// In this poll of the task the library has asked for bytes and waits for the socket.
+    /// The number of bytes discarded behind the last request of the connection while it is in flight.
+    discarded_bytes: Cell<usize>,
+    /// Whether the library has requested bytes in this poll of the task and waits for the socket.
     library_awaits_socket: Cell<bool>,
-    /// In this poll it was given some bytes.
-    library_was_fed: Cell<bool>,
-    /// The library has asked for bytes and was told to wait, without a read of the socket.
+    /// Whether the library has received bytes in this poll of the task.
+    library_received_bytes: Cell<bool>,
+    /// Whether a read of the library returned pending without a read of the socket.
     read_was_deferred: Cell<bool>,
-    /// The runtime was told that the socket is not readable, without a read that showed it.
+    /// Whether the runtime's read readiness was cleared without a read that returned `WouldBlock`.
     readiness_unknown: Cell<bool>,
 }
 
-/// The side of a connection that the HTTP library has.
+/// The stream through which the HTTP library uses a connection.
 pub struct Stream<S = TcpStream>(pub Rc<Connection<S>>);
 
 impl<S: ClientSocket> Connection<S> {
-    /// A socket that was accepted, and its state.
+    /// Creates the connection of an accepted socket and its state.
     pub fn new(stream: S, client: Rc<Client>) -> Connection<S> {
         Connection {
             stream: RefCell::new(stream),
             client,
             read_ahead: RefCell::default(),
-            dropped_bytes: Cell::new(0),
+            discarded_bytes: Cell::new(0),
             library_awaits_socket: Cell::new(false),
-            library_was_fed: Cell::new(false),
+            library_received_bytes: Cell::new(false),
             read_was_deferred: Cell::new(false),
             readiness_unknown: Cell::new(false),
         }
     }
 
-    /// Its state.
+    /// Returns the state of the connection.
     pub fn client(&self) -> &Rc<Client> {
         &self.client
     }
 
-    /// Runs what serves the connection, and notices its client's close meanwhile.
+    /// Runs the future that serves the connection and detects the client's close in the meantime.
     pub async fn serve<T>(&self, serving: impl Future<Output = T>) -> T {
         let mut serving = pin!(serving);
         poll_fn(|cx| {
             self.register_task(cx);
             self.library_awaits_socket.set(false);
             let polled = serving.as_mut().poll(cx);
-            self.library_was_fed.set(false);
+            self.library_received_bytes.set(false);
             if polled.is_pending() && !self.library_awaits_socket.get() {
                 if !self.defers_reads() && self.read_was_deferred.take() {
                     cx.waker().wake_by_ref();
@@ -116,8 +120,8 @@
         .await
     }
 
-    /// Closes gracefully: whatever ended the connection, its client can read what was written for it. Resolves when
-    /// nothing is left but to drop the connection.
+    /// Closes the connection gracefully: whatever ended it, the client can read everything that was written.
+    /// After this, the connection only has to be dropped.
     pub async fn close(&self) {
         let client = &self.client;
         client.begin_close(CloseIntent::Now);
@@ -125,33 +129,35 @@
         loop {
             match client.next_step(Instant::now()) {
                 Step::Close => return,
-                Step::Flush { .. } => client.on_close_event(Event::Flushed), // the library writes no more
+                Step::Flush { .. } => client.on_close_event(Event::Flushed), // the library is done writing
                 Step::HalfClose => {
-                    let shut = poll_fn(|cx| Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(cx)).await;
-                    client.on_close_event(if shut.is_ok() { Event::HalfClosed } else { Event::Over });
+                    let shutdown =
+                        poll_fn(|cx| Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(cx)).await;
+                    client.on_close_event(if shutdown.is_ok() { Event::HalfClosed } else { Event::Ended });
                 }
-                Step::Drain { at_most, until } => {
-                    let dropped = timeout_at(until.into(), self.drop_bytes(at_most)).await;
-                    client.on_close_event(match dropped {
-                        Ok(0) => Event::Over,
-                        Ok(n) => Event::Dropped(n),
-                        Err(_elapsed) => continue, // the next step says so
+                Step::Drain { max_bytes, deadline } => {
+                    let drained = timeout_at(deadline.into(), self.discard_bytes(max_bytes)).await;
+                    client.on_close_event(match drained {
+                        Ok(0) => Event::Ended,
+                        Ok(n) => Event::Drained(n),
+                        Err(_elapsed) => continue, // the next step is `Step::Close`
                     });
                 }
             }
         }
     }
 
-    /// Reads and drops some bytes; none if the client has closed, the stream broke, or the descriptor is needed.
-    async fn drop_bytes(&self, at_most: usize) -> usize {
+    /// Reads and discards bytes and returns their number, or 0 if the client has closed, the stream failed,
+    /// or the close was abandoned.
+    async fn discard_bytes(&self, max_bytes: usize) -> usize {
         poll_fn(|cx| {
             self.register_task(cx);
             if self.client.next_step(Instant::now()) == Step::Close {
                 return Poll::Ready(0);
             }
-            let mut space = [MaybeUninit::uninit(); CHUNK_BYTES];
-            let mut came = ReadBuf::uninit(&mut space[..at_most.min(CHUNK_BYTES)]);
-            self.poll_read_socket(cx, &mut came).map(|read| read.map_or(0, |()| came.filled().len()))
+            let mut storage = [MaybeUninit::uninit(); CHUNK_BYTES];
+            let mut received = ReadBuf::uninit(&mut storage[..max_bytes.min(CHUNK_BYTES)]);
+            self.poll_read_socket(cx, &mut received).map(|read| read.map_or(0, |()| received.filled().len()))
         })
         .await
     }
@@ -163,13 +169,13 @@
         }
     }
 
-    /// Whether the library is given no bytes now. Danger: it makes requests of all that it has, however many, and after
-    /// what is no request it never reads again.
+    /// Whether reads of the library are deferred. The library parses everything that it reads into requests,
+    /// without a limit on their number, and after bytes that are not a request it never reads again.
     fn defers_reads(&self) -> bool {
         let client = &self.client;
         match client.state.get() {
             State::InFlight => client.request_is_complete.get(),
-            State::Silent(_) | State::Partial(..) | State::Idle(_) => self.library_was_fed.get(),
+            State::Silent(_) | State::Partial(..) | State::Idle(_) => self.library_received_bytes.get(),
             State::Uploading(_) | State::Closing(_) | State::Closed => false,
         }
     }
@@ -181,7 +187,7 @@
             return Poll::Pending;
         }
         let in_flight = client.state.get() == State::InFlight;
-        if client.peer_closed.get() || client.is_ending() && !in_flight {
+        if client.peer_closed.get() || client.is_closing() && !in_flight {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
@@ -197,7 +203,7 @@
         }
         match &read {
             Poll::Ready(Ok(())) if buf.filled().len() > before => {
-                self.library_was_fed.set(true);
+                self.library_received_bytes.set(true);
                 client.on_bytes_received();
             }
             Poll::Ready(_) => client.on_peer_closed(),
@@ -209,21 +215,21 @@
     fn closes_unless_request_arrives(&self) -> bool {
         let client = &self.client;
         let is_evicted = matches!(client.close_intent.get(), CloseIntent::UnlessRequestArrives(_));
-        let is_retired = client.all.retiring.get() && matches!(client.state.get(), State::Idle(_));
-        is_evicted || is_retired
+        let closes_as_idle = client.clients.closes_idle.get() && matches!(client.state.get(), State::Idle(_));
+        is_evicted || closes_as_idle
     }
 
-    /// What was read ahead, or else what the socket has.
+    /// Reads from the read-ahead buffer, or from the socket if the buffer is empty.
     fn poll_read_buffered(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut ahead = self.read_ahead.borrow_mut();
-        if ahead.is_empty() {
+        let mut buffered = self.read_ahead.borrow_mut();
+        if buffered.is_empty() {
             return self.poll_read_socket(cx, buf);
         }
-        let part = ahead.len().min(buf.remaining());
-        buf.put_slice(&ahead[..part]);
-        ahead.advance(part);
-        if ahead.is_empty() {
-            *ahead = BytesMut::new(); // few clients send ahead, and none does always
+        let length = buffered.len().min(buf.remaining());
+        buf.put_slice(&buffered[..length]);
+        buffered.advance(length);
+        if buffered.is_empty() {
+            *buffered = BytesMut::new(); // frees the memory: few clients send ahead, none does so always
         }
         Poll::Ready(Ok(()))
     }
@@ -239,8 +245,9 @@
         poll_uninterrupted(cx, |cx| Pin::new(&mut *stream).poll_read(cx, buf))
     }
 
-    /// Reads the socket whether or not the runtime knows it to be readable. Danger: of what came in this poll it does not
-    /// know. Nothing to read is [`ErrorKind::WouldBlock`]; pending, with the task woken, after too many interruptions.
+    /// Reads the socket without consulting the runtime's readiness, which does not yet include bytes that
+    /// arrived during this poll. Returns [`ErrorKind::WouldBlock`] if there is nothing to read, and pending,
+    /// with the task woken, after too many interruptions.
     fn poll_read_directly(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let stream = self.stream.borrow();
         poll_uninterrupted(cx, |_| {
@@ -250,41 +257,45 @@
         })
     }
 
-    /// Notices the client's close while the library waits for nothing from it, and reads ahead as far as that takes.
+    /// Detects the client's close while the library does not wait for bytes, and reads ahead as far as that
+    /// requires.
     fn poll_peer_closed(&self, cx: &mut Context<'_>) {
         let client = &self.client;
         while !client.peer_closed.get() {
             let is_complete = client.state.get() == State::InFlight && client.request_is_complete.get();
-            let mut room = READ_AHEAD_BYTES.saturating_sub(self.read_ahead.borrow().len());
-            if room == 0 && is_complete {
-                client.end_after_response();
+            let mut capacity = MAX_READ_AHEAD_BYTES.saturating_sub(self.read_ahead.borrow().len());
+            if capacity == 0 && is_complete {
+                client.close_after_response();
             }
-            let drops = is_complete && client.is_ending();
-            if drops {
+            let discards = is_complete && client.is_closing();
+            if discards {
                 self.read_ahead.take();
-                room = CHUNK_BYTES;
+                capacity = CHUNK_BYTES;
             }
-            let mut space = [MaybeUninit::uninit(); CHUNK_BYTES];
-            let mut came = ReadBuf::uninit(&mut space[..room.min(CHUNK_BYTES)]);
-            let seen =
-                if room == 0 { self.poll_end_of_stream(cx) } else { self.poll_read_socket(cx, &mut came) };
-            let came = came.filled();
-            match seen {
+            let mut storage = [MaybeUninit::uninit(); CHUNK_BYTES];
+            let mut received = ReadBuf::uninit(&mut storage[..capacity.min(CHUNK_BYTES)]);
+            let polled = if capacity == 0 {
+                self.poll_end_of_stream(cx)
+            } else {
+                self.poll_read_socket(cx, &mut received)
+            };
+            let received = received.filled();
+            match polled {
                 Poll::Pending => return,
-                Poll::Ready(Ok(())) if came.is_empty() => client.on_peer_closed(),
+                Poll::Ready(Ok(())) if received.is_empty() => client.on_peer_closed(),
                 Poll::Ready(Err(_)) => client.on_peer_closed(),
-                Poll::Ready(Ok(())) if drops => {
-                    self.dropped_bytes.set(self.dropped_bytes.get() + came.len());
-                    if self.dropped_bytes.get() >= FLOOD_BYTES {
+                Poll::Ready(Ok(())) if discards => {
+                    self.discarded_bytes.set(self.discarded_bytes.get() + received.len());
+                    if self.discarded_bytes.get() >= MAX_DISCARDED_BYTES {
                         client.on_peer_closed();
                     }
                 }
-                Poll::Ready(Ok(())) => self.read_ahead.borrow_mut().extend_from_slice(came),
+                Poll::Ready(Ok(())) => self.read_ahead.borrow_mut().extend_from_slice(received),
             }
         }
     }
 
-    /// The end of the stream behind bytes that are left unread, which holds their sender back.
+    /// Polls for the end of the stream behind bytes that stay unread to apply backpressure to the client.
     fn poll_end_of_stream(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let stream = self.stream.borrow();
         let stream = stream.tcp();
@@ -294,8 +305,8 @@
                 Some(_) => return Poll::Ready(Ok(())),
                 None => {}
             }
-            // Clears the readiness, or each poll of the task would find it again. What comes next is noticed, and so is
-            // the end, which is not cleared.
+            // Clears the read readiness, which every poll of the task would find again. New bytes set it
+            // again, and the end of the stream is not cleared.
             self.readiness_unknown.set(true);
             let _ = stream.try_io(Interest::READABLE, || Err::<(), _>(ErrorKind::WouldBlock.into()));
             if stream.poll_read_ready(cx).is_pending() {
@@ -314,24 +325,24 @@
 impl<S: ClientSocket> AsyncWrite for Stream<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let Connection { stream, client, .. } = &*self.0;
-        // Danger: nothing else bounds how long the library waits for a client that does not read its answer.
+        // Nothing else limits how long the library waits for a client that does not read its response.
         if client.is_abandoned() {
             return Poll::Ready(Err(ErrorKind::TimedOut.into()));
         }
         let mut stream = stream.borrow_mut();
-        let wrote = poll_uninterrupted(cx, |cx| Pin::new(&mut *stream).poll_write(cx, buf));
-        if matches!(wrote, Poll::Ready(Ok(n)) if n > 0) {
-            client.on_close_event(Event::Wrote);
+        let written = poll_uninterrupted(cx, |cx| Pin::new(&mut *stream).poll_write(cx, buf));
+        if matches!(written, Poll::Ready(Ok(n)) if n > 0) {
+            client.on_close_event(Event::Written);
         }
-        wrote
+        written
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.0.stream.borrow_mut()).poll_flush(cx)
     }
 
-    /// Nothing: all that the library has written is out, and [`Connection::close`] does the rest, here as where the
-    /// library drops its end without a word.
+    /// Does nothing: everything that the library has written is sent already, and [`Connection::close`] shuts
+    /// the socket down, as it also does when the library drops its stream without a shutdown.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/crates/proxy/src/clients/stream/tests.rs
+++ b/crates/proxy/src/clients/stream/tests.rs
@@ -8,137 +8,145 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, yield_now};
 
-fn play(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(test);
 }
 
-/// A client, and its connection as the proxy has it.
+/// Connects a client and returns its socket and the proxy's side of the connection.
 async fn connected() -> (std::net::TcpStream, Rc<Connection>, Rc<Clients>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let peer = std::net::TcpStream::connect(listener.local_addr().expect("bound")).expect("it listens");
+    let peer = std::net::TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
     peer.set_nodelay(true).expect("set");
-    let (stream, _) = listener.accept().await.expect("it is there");
+    let (stream, _) = listener.accept().await.expect("accepted");
     let clients: Rc<Clients> = Rc::default();
     let client = clients.register();
     (peer, Rc::new(Connection::new(stream, client)), clients)
 }
 
-/// Until so many bytes have come that the runtime has not heard of: it has no turn meanwhile.
-fn arrived(connection: &Connection, bytes: usize) {
-    let mut space = [MaybeUninit::uninit(); 64];
-    let mut there = || SockRef::from(&*connection.stream.borrow()).peek(&mut space).is_ok_and(|n| n >= bytes);
-    while !there() {}
+/// Blocks until this many bytes have arrived. The runtime does not run meanwhile, so it does not know of
+/// them.
+fn wait_until_received(connection: &Connection, bytes: usize) {
+    let mut buffer = [MaybeUninit::uninit(); 64];
+    let mut has_arrived =
+        || SockRef::from(&*connection.stream.borrow()).peek(&mut buffer).is_ok_and(|n| n >= bytes);
+    while !has_arrived() {}
 }
 
-/// One read, as the library makes it.
+/// Reads once, as the HTTP library does.
 async fn read_once(connection: Rc<Connection>) -> Vec<u8> {
     let mut stream = Stream(connection.clone());
     let read = async move {
-        let mut space = [0; 64];
-        let n = stream.read(&mut space).await.expect("no error");
-        space[..n].to_vec()
+        let mut buffer = [0; 64];
+        let n = stream.read(&mut buffer).await.expect("no error");
+        buffer[..n].to_vec()
     };
     connection.serve(read).await
 }
 
-/// Something that ends a connection.
-type End = fn(&Clients);
+/// An operation that requests the close of a connection.
+type CloseTrigger = fn(&Clients);
 
 #[test]
-fn a_request_that_has_come_in_the_moment_of_an_end_is_read_and_nothing_else_keeps_the_connection() {
-    let ends: [(&str, End); 4] = [
-        ("eviction", Clients::make_room),
-        ("idle timeout", |clients| clients.expire_at(Instant::now() + IDLE_TIMEOUT)),
-        ("retirement", Clients::close_idle),
-        ("eviction of a silent one", |clients| clients.make_room_at(Instant::now() + SILENT_EVICTION_AGE)),
+fn request_that_arrives_during_a_close_is_read_and_only_it_keeps_the_connection() {
+    let triggers: [(&str, CloseTrigger); 4] = [
+        ("eviction", Clients::evict_one),
+        ("idle timeout", |clients| clients.close_expired_at(Instant::now() + IDLE_TIMEOUT)),
+        ("close of idle connections", Clients::close_idle),
+        ("eviction of a silent connection", |clients| {
+            clients.evict_one_at(Instant::now() + SILENT_EVICTION_AGE)
+        }),
     ];
-    for (n, (end, ends)) in ends.into_iter().enumerate() {
-        for comes in [true, false] {
-            play(async {
+    for (n, (name, trigger)) in triggers.into_iter().enumerate() {
+        for arrives in [true, false] {
+            run_test(async {
                 let (mut peer, connection, clients) = connected().await;
                 if n < 3 {
-                    connection.client().on_request_taken(RequestBody::Complete);
+                    connection.client().on_request_dispatched(RequestBody::Complete);
                     connection.client().on_response_sent();
                 }
                 let reading = spawn_local(read_once(connection.clone()));
                 while !connection.library_awaits_socket.get() {
                     yield_now().await;
                 }
-                if comes {
-                    peer.write_all(b"GET").expect("taken");
-                    arrived(&connection, 3);
+                if arrives {
+                    peer.write_all(b"GET").expect("written");
+                    wait_until_received(&connection, 3);
                 }
-                ends(&clients);
+                trigger(&clients);
                 let read = reading.await.expect("no panic");
-                assert_eq!(read, if comes { &b"GET"[..] } else { b"" }, "{end}");
-                assert_eq!(connection.client().is_ending(), !comes, "{end}");
+                assert_eq!(read, if arrives { &b"GET"[..] } else { b"" }, "{name}");
+                assert_eq!(connection.client().is_closing(), !arrives, "{name}");
             });
         }
     }
 }
 
-/// Runs a connection whose library reads nothing.
-fn unread(connection: &Rc<Connection>) {
+/// Serves a connection on which the library never reads.
+fn serve_without_reading(connection: &Rc<Connection>) {
     let connection = connection.clone();
     spawn_local(async move { connection.serve(std::future::pending::<()>()).await });
 }
 
 #[test]
-fn an_end_behind_bytes_that_the_library_leaves_unread_is_heard_of() {
-    // Behind a whole request the rest is dropped; of a body that waits no more is read than has room.
+fn client_close_behind_unread_bytes_is_detected() {
+    // Bytes behind a complete request are discarded; a waiting body is read ahead only up to the limit.
     for body in [RequestBody::Complete, RequestBody::Streaming] {
-        for bytes in [0, 1, READ_AHEAD_BYTES, READ_AHEAD_BYTES + 1, 4 * READ_AHEAD_BYTES] {
-            play(async {
+        for bytes in [0, 1, MAX_READ_AHEAD_BYTES, MAX_READ_AHEAD_BYTES + 1, 4 * MAX_READ_AHEAD_BYTES] {
+            run_test(async {
                 let (mut peer, connection, _) = connected().await;
                 let client = connection.client();
-                client.on_request_taken(body);
-                unread(&connection);
-                peer.write_all(&vec![b'x'; bytes]).expect("taken");
-                while bytes >= READ_AHEAD_BYTES
-                    && connection.read_ahead.borrow().len() < READ_AHEAD_BYTES
-                    && !client.is_ending()
+                client.on_request_dispatched(body);
+                serve_without_reading(&connection);
+                peer.write_all(&vec![b'x'; bytes]).expect("written");
+                while bytes >= MAX_READ_AHEAD_BYTES
+                    && connection.read_ahead.borrow().len() < MAX_READ_AHEAD_BYTES
+                    && !client.is_closing()
                 {
                     yield_now().await;
                 }
-                assert!(!client.has_closed());
+                assert!(!client.has_peer_closed());
                 drop(peer);
-                client.wait_for_close().await;
-                assert_eq!(client.is_ending(), body == RequestBody::Complete && bytes >= READ_AHEAD_BYTES);
-                assert!(connection.read_ahead.borrow().len() <= READ_AHEAD_BYTES);
+                client.wait_for_peer_close().await;
+                assert_eq!(
+                    client.is_closing(),
+                    body == RequestBody::Complete && bytes >= MAX_READ_AHEAD_BYTES
+                );
+                assert!(connection.read_ahead.borrow().len() <= MAX_READ_AHEAD_BYTES);
             });
         }
     }
 }
 
 #[test]
-fn who_goes_on_sending_behind_a_request_in_flight_is_taken_to_have_gone() {
-    play(async {
+fn client_that_floods_behind_a_request_in_flight_is_treated_as_closed() {
+    run_test(async {
         let (mut peer, connection, _) = connected().await;
-        connection.client().on_request_taken(RequestBody::Complete);
-        unread(&connection);
+        connection.client().on_request_dispatched(RequestBody::Complete);
+        serve_without_reading(&connection);
         let other = peer.try_clone().expect("a descriptor");
-        let sending = std::thread::spawn(move || peer.write_all(&vec![b'x'; 2 * FLOOD_BYTES]).map(|()| peer));
-        connection.client().wait_for_close().await;
+        let sending =
+            std::thread::spawn(move || peer.write_all(&vec![b'x'; 2 * MAX_DISCARDED_BYTES]).map(|()| peer));
+        connection.client().wait_for_peer_close().await;
         assert!(
             connection.read_ahead.borrow().is_empty()
-                && connection.dropped_bytes.get() < FLOOD_BYTES + CHUNK_BYTES
+                && connection.discarded_bytes.get() < MAX_DISCARDED_BYTES + CHUNK_BYTES
         );
-        other.shutdown(Shutdown::Both).expect("there");
-        let _ = sending.join(); // it may have sent all by then
+        other.shutdown(Shutdown::Both).expect("connected");
+        let _ = sending.join(); // fails if the client could not send everything
     });
 }
 
 #[test]
-fn what_waited_while_a_request_was_in_flight_is_read_in_order_once_it_is_answered() {
+fn bytes_read_ahead_are_passed_on_in_order() {
     for (body, bytes) in [
         (RequestBody::Complete, 0),
-        (RequestBody::Complete, READ_AHEAD_BYTES - 1),
-        (RequestBody::Streaming, READ_AHEAD_BYTES),
-        (RequestBody::Streaming, 4 * READ_AHEAD_BYTES),
+        (RequestBody::Complete, MAX_READ_AHEAD_BYTES - 1),
+        (RequestBody::Streaming, MAX_READ_AHEAD_BYTES),
+        (RequestBody::Streaming, 4 * MAX_READ_AHEAD_BYTES),
     ] {
-        play(async {
+        run_test(async {
             let (mut peer, connection, _) = connected().await;
-            connection.client().on_request_taken(body);
+            connection.client().on_request_dispatched(body);
             let text: Vec<u8> = (0..bytes).map(|n| (n % 251) as u8).collect();
             let reading = {
                 let connection = connection.clone();
@@ -146,49 +154,49 @@
                     let mut stream = Stream(connection.clone());
                     connection
                         .serve(async {
-                            // The library does not read until all that may be kept is, as where a body waits.
+                            // The library does not read until the buffer is full, as when a body waits.
                             poll_fn(|cx| {
-                                if connection.read_ahead.borrow().len() >= bytes.min(READ_AHEAD_BYTES) {
+                                if connection.read_ahead.borrow().len() >= bytes.min(MAX_READ_AHEAD_BYTES) {
                                     return Poll::Ready(());
                                 }
                                 cx.waker().wake_by_ref();
                                 Poll::Pending
                             })
                             .await;
-                            connection.client().on_request_taken(RequestBody::Streaming);
+                            connection.client().on_request_dispatched(RequestBody::Streaming);
                             let mut all = vec![0; bytes];
                             stream.read_exact(&mut all).await.map(|_| all)
                         })
                         .await
                 })
             };
-            peer.write_all(&text).expect("taken");
-            assert!(reading.await.expect("no panic").expect("all of it") == text);
+            peer.write_all(&text).expect("written");
+            assert!(reading.await.expect("no panic").expect("all bytes") == text);
         });
     }
 }
 
 #[test]
-fn a_close_lets_the_client_read_all_and_takes_what_it_still_sends_until_it_closes() {
-    play(async {
+fn close_lets_the_client_read_the_response_and_drains_until_it_closes() {
+    run_test(async {
         let (mut peer, connection, _) = connected().await;
-        peer.write_all(b"never read").expect("taken");
-        arrived(&connection, 10);
+        peer.write_all(b"never read").expect("written");
+        wait_until_received(&connection, 10);
         let mut stream = Stream(connection.clone());
-        connection.serve(stream.write_all(b"answer")).await.expect("taken");
+        connection.serve(stream.write_all(b"answer")).await.expect("written");
         let mut closing = Box::pin(connection.close());
         assert!((&mut closing).now_or_never().is_none(), "the client has not closed");
         let mut peer = std::thread::spawn(move || {
-            let mut answer = String::new();
-            peer.read_to_string(&mut answer).expect("our side is shut");
-            assert_eq!(answer, "answer");
+            let mut response = String::new();
+            peer.read_to_string(&mut response).expect("the proxy has half-closed");
+            assert_eq!(response, "answer");
             peer
         })
         .join()
         .expect("no panic");
-        peer.write_all(b"more").expect("taken");
-        arrived(&connection, 4);
-        peer.shutdown(Shutdown::Write).expect("there");
+        peer.write_all(b"more").expect("written");
+        wait_until_received(&connection, 4);
+        peer.shutdown(Shutdown::Write).expect("connected");
         closing.await;
         drop((stream, connection));
         assert_eq!(peer.read(&mut [0]).expect("no reset"), 0);
@@ -196,8 +204,8 @@
 }
 
 #[test]
-fn a_connection_that_is_being_closed_makes_room() {
-    play(async {
+fn closing_connection_is_evicted() {
+    run_test(async {
         let (_peer, connection, clients) = connected().await;
         let closing = spawn_local({
             let connection = connection.clone();
@@ -206,15 +214,15 @@
         while !matches!(connection.client().next_step(Instant::now()), Step::Drain { .. }) {
             yield_now().await;
         }
-        clients.make_room_at(Instant::now() + EVICTION_GRACE);
+        clients.evict_one_at(Instant::now() + EVICTION_GRACE);
         closing.await.expect("no panic");
         assert!(connection.client().is_abandoned());
     });
 }
 
 #[test]
-fn a_client_that_never_reads_its_last_answer_is_not_waited_for() {
-    play(async {
+fn write_to_a_client_that_does_not_read_its_last_response_times_out() {
+    run_test(async {
         let (_peer, connection, clients) = connected().await;
         connection.client().on_request_rejected();
         let writing = spawn_local({
@@ -229,101 +237,103 @@
             yield_now().await;
         }
         assert!(!writing.is_finished());
-        clients.expire_at(Instant::now() + Duration::from_secs(60));
-        let ended = writing.await.expect("no panic");
-        assert_eq!(ended.expect_err("not taken").kind(), ErrorKind::TimedOut);
+        clients.close_expired_at(Instant::now() + Duration::from_secs(60));
+        let written = writing.await.expect("no panic");
+        assert_eq!(written.expect_err("not all written").kind(), ErrorKind::TimedOut);
     });
 }
 
-/// A client, and its connection with a socket whose calls are interrupted.
-async fn interrupted() -> (std::net::TcpStream, Rc<Connection<Interrupted>>, Interruptions) {
+/// Connects a client and returns its socket and the proxy's side, whose socket calls can be interrupted.
+async fn connected_with_interruptions()
+-> (std::net::TcpStream, Rc<Connection<InterruptedTcpStream>>, Interruptions) {
     let (peer, connection, _) = connected().await;
-    let Ok(connection) = Rc::try_unwrap(connection) else { panic!("nobody else holds it") };
+    let Ok(connection) = Rc::try_unwrap(connection) else { panic!("the connection is shared") };
     let interruptions = Interruptions::default();
     let socket =
         InterruptedSocket { socket: connection.stream.into_inner(), interruptions: interruptions.clone() };
     (peer, Rc::new(Connection::new(socket, connection.client)), interruptions)
 }
 
-type Interrupted = InterruptedSocket<TcpStream>;
+type InterruptedTcpStream = InterruptedSocket<TcpStream>;
 
-/// Runs a connection whose library reads nothing, and says when it has ended.
-fn serve_unread(connection: &Rc<Connection<Interrupted>>) {
+/// Like [`serve_without_reading`], for a connection whose socket calls are interrupted.
+fn serve_interrupted_without_reading(connection: &Rc<Connection<InterruptedTcpStream>>) {
     let connection = connection.clone();
     spawn_local(async move { connection.serve(std::future::pending::<()>()).await });
 }
 
 #[test]
-fn a_hundred_interruptions_while_a_request_is_in_flight_do_not_cancel_it_and_its_clients_end_is_heard() {
+fn interruptions_do_not_cancel_a_request_in_flight_or_hide_the_client_close() {
     for body in [RequestBody::Complete, RequestBody::Streaming] {
-        play(async {
-            let (mut peer, connection, interruptions) = interrupted().await;
+        run_test(async {
+            let (mut peer, connection, interruptions) = connected_with_interruptions().await;
             let client = connection.client().clone();
-            client.on_request_taken(body);
+            client.on_request_dispatched(body);
             connection.readiness_unknown.set(true);
             interruptions.reads.set(100);
             interruptions.direct_reads.set(100);
-            serve_unread(&connection);
-            peer.write_all(b"more").expect("taken");
-            while connection.read_ahead.borrow().len() < 4 && !client.has_closed() {
+            serve_interrupted_without_reading(&connection);
+            peer.write_all(b"more").expect("written");
+            while connection.read_ahead.borrow().len() < 4 && !client.has_peer_closed() {
                 yield_now().await;
             }
-            assert!(!client.has_closed(), "an interruption counts as its end");
+            assert!(!client.has_peer_closed(), "an interruption counted as a close");
             assert_eq!((interruptions.reads.get(), interruptions.direct_reads.get()), (0, 0));
             drop(peer);
-            client.wait_for_close().await;
+            client.wait_for_peer_close().await;
         });
     }
 }
 
 #[test]
-fn a_hundred_interruptions_of_the_last_look_before_a_close_lose_no_request() {
-    for comes in [true, false] {
-        play(async {
-            let (mut peer, connection, interruptions) = interrupted().await;
+fn interruptions_of_the_last_read_before_a_close_lose_no_request() {
+    for arrives in [true, false] {
+        run_test(async {
+            let (mut peer, connection, interruptions) = connected_with_interruptions().await;
             let client = connection.client().clone();
-            client.on_request_taken(RequestBody::Complete);
+            client.on_request_dispatched(RequestBody::Complete);
             client.on_response_sent();
             let reading = {
                 let connection = connection.clone();
                 let mut stream = Stream(connection.clone());
                 spawn_local(async move {
-                    let mut space = [0; 64];
-                    let read = connection.serve(stream.read(&mut space)).await;
-                    read.map(|n| space[..n].to_vec())
+                    let mut buffer = [0; 64];
+                    let read = connection.serve(stream.read(&mut buffer)).await;
+                    read.map(|n| buffer[..n].to_vec())
                 })
             };
             while !connection.library_awaits_socket.get() {
                 yield_now().await;
             }
-            if comes {
-                peer.write_all(b"GET").expect("taken");
-                let mut space = [MaybeUninit::uninit(); 64];
-                let mut there =
-                    || SockRef::from(connection.stream.borrow().tcp()).peek(&mut space).is_ok_and(|n| n >= 3);
-                while !there() {}
+            if arrives {
+                peer.write_all(b"GET").expect("written");
+                let mut buffer = [MaybeUninit::uninit(); 64];
+                let mut has_arrived = || {
+                    SockRef::from(connection.stream.borrow().tcp()).peek(&mut buffer).is_ok_and(|n| n >= 3)
+                };
+                while !has_arrived() {}
             }
             interruptions.direct_reads.set(100);
             interruptions.reads.set(100);
-            client.all.close_idle();
+            client.clients.close_idle();
             let read = reading.await.expect("no panic").expect("no error");
-            assert_eq!(read, if comes { &b"GET"[..] } else { b"" });
-            assert_eq!(client.is_ending(), !comes);
+            assert_eq!(read, if arrives { &b"GET"[..] } else { b"" });
+            assert_eq!(client.is_closing(), !arrives);
         });
     }
 }
 
 #[test]
-fn a_hundred_interruptions_of_writes_lose_no_byte_of_an_answer() {
-    play(async {
-        let (mut peer, connection, interruptions) = interrupted().await;
+fn interruptions_of_writes_lose_no_byte_of_a_response() {
+    run_test(async {
+        let (mut peer, connection, interruptions) = connected_with_interruptions().await;
         interruptions.writes.set(100);
         let mut stream = Stream(connection.clone());
-        // One call, as the HTTP library makes it.
+        // A single call, as the HTTP library makes it.
         assert_eq!(connection.serve(stream.write(b"answer")).await.expect("no error"), 6);
         assert_eq!(interruptions.writes.get(), 0);
-        let mut answer = [0; 6];
-        peer.read_exact(&mut answer).expect("all of it");
-        assert_eq!(&answer, b"answer");
+        let mut response = [0; 6];
+        peer.read_exact(&mut response).expect("all bytes");
+        assert_eq!(&response, b"answer");
     });
 }
--- a/crates/proxy/src/clients/tests.rs
+++ b/crates/proxy/src/clients/tests.rs
@@ -1,185 +1,194 @@
 use super::*;
 
-fn is_ending(client: &Client) -> bool {
+fn is_close_requested(client: &Client) -> bool {
     client.close_intent.get() != CloseIntent::KeepOpen
 }
 
-fn gone(all: &[&Rc<Client>]) -> Vec<bool> {
-    all.iter().map(|client| is_ending(client)).collect()
+fn close_requests(all: &[&Rc<Client>]) -> Vec<bool> {
+    all.iter().map(|client| is_close_requested(client)).collect()
 }
 
-/// Makes room once, and has whoever is to go close at once.
-fn make_room(clients: &Clients, all: &[&Rc<Client>], now: Instant) {
-    clients.make_room_at(now);
+/// Evicts one connection and unregisters it immediately.
+fn evict_one(clients: &Clients, all: &[&Rc<Client>], now: Instant) {
+    clients.evict_one_at(now);
     let closing = |client: &&&Rc<Client>| matches!(client.state.get(), State::Closing(_));
     all.iter().filter(closing).for_each(|client| clients.unregister(client));
 }
 
-/// When one that has sent nothing came: however long a test takes to set up, it is as old as it says.
-fn came_at(silent: &Client) -> Instant {
-    let State::Silent((since, _)) = silent.state.get() else { panic!("it has sent something") };
+/// The time at which a silent connection was registered. Relative to this time, ages do not depend on how
+/// long the setup of a test takes.
+fn registered_at(silent: &Client) -> Instant {
+    let State::Silent((since, _)) = silent.state.get() else { panic!("the connection is not silent") };
     since
 }
 
 #[test]
-fn who_sends_slowly_is_kept_while_others_that_send_nothing_come_and_go() {
+fn slow_sender_is_evicted_only_after_all_silent_connections() {
     let clients: Rc<Clients> = Rc::default();
     let slow = clients.register();
     slow.on_bytes_received();
     let silent = [0; 3].map(|_| clients.register());
     let idle = clients.register();
-    idle.on_request_taken(RequestBody::Complete);
+    idle.on_request_dispatched(RequestBody::Complete);
     idle.on_response_sent();
     let all = [&slow, &idle, &silent[0], &silent[1], &silent[2]];
-    let now = came_at(&silent[0]);
-    // Nobody is cut off who has just come, but for one that lies idle.
-    make_room(&clients, &all, now);
-    make_room(&clients, &all, now);
-    assert_eq!(gone(&all), [false, true, false, false, false]);
-    // Then those that have sent nothing, oldest first; and only then who has sent a part.
+    let now = registered_at(&silent[0]);
+    // New connections are not evicted; an idle one is.
+    evict_one(&clients, &all, now);
+    evict_one(&clients, &all, now);
+    assert_eq!(close_requests(&all), [false, true, false, false, false]);
+    // Silent connections are evicted next, oldest first, and the partial one last.
     let later = now + Duration::from_millis(100);
     slow.on_bytes_received();
-    make_room(&clients, &all, now + Duration::from_millis(10));
-    assert_eq!(gone(&all), [false, true, false, false, false]);
+    evict_one(&clients, &all, now + Duration::from_millis(10));
+    assert_eq!(close_requests(&all), [false, true, false, false, false]);
     for (n, _) in silent.iter().enumerate() {
-        make_room(&clients, &all, later);
-        assert!(is_ending(&silent[n]) && !is_ending(&slow));
+        evict_one(&clients, &all, later);
+        assert!(is_close_requested(&silent[n]) && !is_close_requested(&slow));
     }
-    make_room(&clients, &all, later);
-    assert!(is_ending(&slow), "there is nobody else");
+    evict_one(&clients, &all, later);
+    assert!(is_close_requested(&slow), "no other connection is left");
 }
 
 #[test]
-fn who_has_called_keeps_an_idle_connection_of_a_leaving_proxy_while_any_other_can_go() {
+fn used_idle_connection_is_evicted_last_during_shutdown() {
     let clients: Rc<Clients> = Rc::default();
-    let (visitor, caller, other) = (clients.register(), clients.register(), clients.register());
-    for client in [&caller, &other] {
+    let (health_checker, user, other) = (clients.register(), clients.register(), clients.register());
+    for client in [&user, &other] {
         client.on_head_received();
-        client.on_request_taken(RequestBody::Complete);
+        client.on_request_dispatched(RequestBody::Complete);
     }
-    [&visitor, &caller, &other].into_iter().for_each(Client::on_response_sent);
+    [&health_checker, &user, &other].into_iter().for_each(Client::on_response_sent);
     let stalled = clients.register();
     stalled.on_bytes_received();
     let silent = clients.register();
-    let now = came_at(&silent);
-    let all = [&visitor, &caller, &other, &stalled, &silent];
-    // Whoever only looked in goes first; then, in service, the idle one whose client can come again.
-    make_room(&clients, &all, now);
-    assert_eq!(gone(&all), [true, false, false, false, false]);
-    make_room(&clients, &all, now);
-    assert_eq!(gone(&all), [true, true, false, false, false]);
-    // Not so once the proxy is leaving, nor while those that send nothing have just come.
+    let now = registered_at(&silent);
+    let all = [&health_checker, &user, &other, &stalled, &silent];
+    // The connection that sent only health checks is evicted first. Outside a shutdown, an idle connection
+    // follows, since its client can reconnect.
+    evict_one(&clients, &all, now);
+    assert_eq!(close_requests(&all), [true, false, false, false, false]);
+    evict_one(&clients, &all, now);
+    assert_eq!(close_requests(&all), [true, true, false, false, false]);
+    // During a shutdown the remaining idle connection is kept, also while the silent connection is still new.
     clients.protect_idle();
-    make_room(&clients, &all, now);
-    assert_eq!(gone(&all), [true, true, false, false, false]);
+    evict_one(&clients, &all, now);
+    assert_eq!(close_requests(&all), [true, true, false, false, false]);
     let later = now + Duration::from_millis(1100);
-    make_room(&clients, &all, later);
-    make_room(&clients, &all, later);
-    assert_eq!(gone(&all), [true, true, false, true, true]);
-    make_room(&clients, &all, later);
-    assert!(is_ending(&other), "there is nobody else");
+    evict_one(&clients, &all, later);
+    evict_one(&clients, &all, later);
+    assert_eq!(close_requests(&all), [true, true, false, true, true]);
+    evict_one(&clients, &all, later);
+    assert!(is_close_requested(&other), "no other connection is left");
 }
 
 #[test]
-fn one_that_is_being_closed_and_had_time_to_read_its_answer_goes_before_all_others() {
+fn closing_connection_is_evicted_first_once_its_client_had_time_to_read_the_response() {
     let clients: Rc<Clients> = Rc::default();
-    let (idle, refused) = (clients.register(), clients.register());
-    idle.on_request_taken(RequestBody::Complete);
+    let (idle, rejected) = (clients.register(), clients.register());
+    idle.on_request_dispatched(RequestBody::Complete);
     idle.on_response_sent();
-    refused.on_request_rejected();
-    let State::Closing((since, _)) = refused.state.get() else { panic!("it is being closed") };
-    let over = |client: &Client| client.is_abandoned();
-    clients.make_room_at(since + EVICTION_GRACE - Duration::from_millis(1));
-    assert!(is_ending(&idle) && !over(&refused));
-    clients.make_room_at(since + EVICTION_GRACE);
-    assert!(over(&refused) && refused.state.get() == State::Closed);
-    // Nothing brings it back.
-    refused.on_bytes_received();
-    refused.on_response_sent();
-    assert!(over(&refused) && refused.state.get() == State::Closed);
-    assert_eq!(clients.open(), 2, "until its descriptor is closed");
+    rejected.on_request_rejected();
+    let State::Closing((since, _)) = rejected.state.get() else { panic!("the connection is not closing") };
+    let abandoned = |client: &Client| client.is_abandoned();
+    clients.evict_one_at(since + EVICTION_GRACE - Duration::from_millis(1));
+    assert!(is_close_requested(&idle) && !abandoned(&rejected));
+    clients.evict_one_at(since + EVICTION_GRACE);
+    assert!(abandoned(&rejected) && rejected.state.get() == State::Closed);
+    // Later events do not reopen it.
+    rejected.on_bytes_received();
+    rejected.on_response_sent();
+    assert!(abandoned(&rejected) && rejected.state.get() == State::Closed);
+    assert_eq!(clients.open(), 2, "the connection counts as open until its descriptor is closed");
 }
 
 #[test]
-fn one_whose_time_is_up_is_kept_if_its_request_has_come_and_only_then() {
+fn expired_connection_is_kept_only_if_a_request_has_arrived() {
     let clients: Rc<Clients> = Rc::default();
     let (idle, silent, partial) = (clients.register(), clients.register(), clients.register());
-    idle.on_request_taken(RequestBody::Complete);
+    idle.on_request_dispatched(RequestBody::Complete);
     idle.on_response_sent();
     partial.on_bytes_received();
-    let State::Silent(owed) = silent.state.get() else { panic!("it has sent nothing") };
-    clients.expire_at(Instant::now() + IDLE_TIMEOUT);
+    let State::Silent(awaited_since) = silent.state.get() else { panic!("the connection is not silent") };
+    clients.close_expired_at(Instant::now() + IDLE_TIMEOUT);
     assert_eq!(
         [&idle, &silent].map(|c| c.close_intent.get()),
-        [CloseIntent::UnlessRequestArrives(None), CloseIntent::UnlessRequestArrives(Some(owed))]
+        [CloseIntent::UnlessRequestArrives(None), CloseIntent::UnlessRequestArrives(Some(awaited_since))]
     );
-    assert!(partial.is_ending(), "who sends a byte now and then is not looked at");
+    assert!(partial.is_closing(), "a partial connection is closed without a check for unread bytes");
     [&idle, &silent].into_iter().for_each(Client::on_bytes_received);
-    assert!(!is_ending(&idle) && matches!(idle.state.get(), State::Partial(..)));
-    // For its head it has no more time than it had.
-    assert!(!is_ending(&silent) && matches!(silent.state.get(), State::Partial(since, _) if since == owed));
-    clients.expire_at(owed.0 + REQUEST_HEAD_TIMEOUT);
-    assert!(silent.is_ending() && silent.close_state.get().is_some());
+    assert!(!is_close_requested(&idle) && matches!(idle.state.get(), State::Partial(..)));
+    // The first byte does not restart the timeout of the request head.
+    assert!(
+        !is_close_requested(&silent)
+            && matches!(silent.state.get(), State::Partial(since, _) if since == awaited_since)
+    );
+    clients.close_expired_at(awaited_since.0 + REQUEST_HEAD_TIMEOUT);
+    assert!(silent.is_closing() && silent.close_state.get().is_some());
 }
 
 #[test]
-fn who_takes_nothing_of_its_last_answer_is_given_up_and_who_takes_some_is_not() {
+fn closing_connection_is_abandoned_only_without_write_progress() {
     let clients: Rc<Clients> = Rc::default();
-    let (takes, rests) = (clients.register(), clients.register());
-    [&takes, &rests].into_iter().for_each(Client::on_request_rejected);
-    let State::Closing((began, _)) = rests.state.get() else { panic!("it is being closed") };
+    let (reads, stalls) = (clients.register(), clients.register());
+    [&reads, &stalls].into_iter().for_each(Client::on_request_rejected);
+    let State::Closing((began, _)) = stalls.state.get() else { panic!("the connection is not closing") };
     let flush = |client: &Client| match client.next_step(began) {
-        Step::Flush { until } => until,
+        Step::Flush { deadline } => deadline,
         step => panic!("{step:?}"),
     };
-    while flush(&takes) <= flush(&rests) {
-        takes.on_close_event(Event::Wrote); // until the clock has moved on
+    while flush(&reads) <= flush(&stalls) {
+        reads.on_close_event(Event::Written); // repeated until the clock has advanced
     }
-    clients.expire_at(flush(&rests));
+    clients.close_expired_at(flush(&stalls));
     assert_eq!(
-        [&takes, &rests].map(|client| client.is_abandoned() || client.state.get() == State::Closed),
+        [&reads, &stalls].map(|client| client.is_abandoned() || client.state.get() == State::Closed),
         [false, true]
     );
 }
 
 #[test]
-fn where_all_are_to_end_a_first_request_is_waited_for_as_long_as_an_ordinary_client_needs() {
+fn silent_connection_is_closed_at_the_eviction_age_while_idle_connections_are_closed() {
     let clients: Rc<Clients> = Rc::default();
     let silent = clients.register();
-    let since = came_at(&silent);
-    clients.expire_at(since + SILENT_EVICTION_AGE);
-    assert!(!is_ending(&silent));
+    let since = registered_at(&silent);
+    clients.close_expired_at(since + SILENT_EVICTION_AGE);
+    assert!(!is_close_requested(&silent));
     clients.close_idle();
-    clients.expire_at(since + SILENT_EVICTION_AGE - Duration::from_millis(1));
-    assert!(!is_ending(&silent));
-    clients.expire_at(since + SILENT_EVICTION_AGE);
-    assert!(is_ending(&silent) && !silent.is_ending(), "after a last look");
+    clients.close_expired_at(since + SILENT_EVICTION_AGE - Duration::from_millis(1));
+    assert!(!is_close_requested(&silent));
+    clients.close_expired_at(since + SILENT_EVICTION_AGE);
+    assert!(is_close_requested(&silent) && !silent.is_closing(), "it is closed unless a request has arrived");
 }
 
-/// Longest that a client which stops in the middle of its request and stays waits for its error or a close.
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
+/// Maximum time that a client which stalls in the middle of a request waits for an error response or a close.
+const MAX_WAIT: Duration = Duration::from_secs(3);
 
 #[test]
-fn clients_that_stop_anywhere_in_a_request_and_stay_are_ended_within_three_seconds() {
+fn connection_stalled_in_a_request_is_closed_within_three_seconds() {
     let clients: Rc<Clients> = Rc::default();
-    let [silent, partial, trickles, uploads, again] = [0; 5].map(|_| clients.register());
+    let [silent, partial, trickling, uploading, second_request] = [0; 5].map(|_| clients.register());
     partial.on_bytes_received();
-    trickles.on_bytes_received();
-    uploads.on_bytes_received();
-    uploads.on_head_received();
-    // A second request on a connection that has had its answer.
-    again.on_request_taken(RequestBody::Complete);
-    again.on_response_sent();
-    again.on_bytes_received();
-    // The last byte of a head that never ends came just now; its first one long before.
+    trickling.on_bytes_received();
+    uploading.on_bytes_received();
+    uploading.on_head_received();
+    // A second request on a connection whose first request was answered.
+    second_request.on_request_dispatched(RequestBody::Complete);
+    second_request.on_response_sent();
+    second_request.on_bytes_received();
+    // The latest byte of a head that never ends has just arrived; the first byte arrived earlier.
     let stopped = Instant::now();
-    trickles.on_bytes_received();
-    // Ended no later than the tick before the wait is over, since ticks come that far apart.
-    clients.expire_at(stopped + LONGEST_WAIT - crate::listen::TIMEOUT_CHECK_INTERVAL);
-    for (what, client) in
-        [("partial", &partial), ("trickles", &trickles), ("uploads", &uploads), ("again", &again)]
-    {
-        assert!(client.is_ending(), "{what}");
+    trickling.on_bytes_received();
+    // Timeouts are checked at this interval, so the connection has to be closed at the last check before
+    // `MAX_WAIT`.
+    clients.close_expired_at(stopped + MAX_WAIT - crate::listen::TIMEOUT_CHECK_INTERVAL);
+    for (name, client) in [
+        ("partial", &partial),
+        ("trickling", &trickling),
+        ("uploading", &uploading),
+        ("second request", &second_request),
+    ] {
+        assert!(client.is_closing(), "{name}");
     }
-    assert!(is_ending(&silent), "after a last look");
+    assert!(is_close_requested(&silent), "it is closed unless a request has arrived");
 }
--- a/crates/proxy/src/closing.rs
+++ b/crates/proxy/src/closing.rs
@@ -1,99 +1,105 @@
-//! The close of a client's connection, as a state machine without I/O: what is to be done next, and for how long.
+//! The graceful close of a client connection, as a state machine without I/O. `clients/stream.rs` performs
+//! the steps.
 //!
-//! Every end takes the same way (RFC 9112, 9.6): what is written goes out, our side of the connection is shut, what
-//! the client still sends is read and dropped, and the connection is closed. Danger: closed over unread bytes, a
-//! connection is reset, and the reset takes the answer that the client has not read yet along.
+//! Every close takes the same steps (RFC 9112, section 9.6): pending writes are flushed, the proxy's side is
+//! shut down, further bytes from the client are read and discarded, and the descriptor is closed. Closing a
+//! socket with unread bytes would reset the connection, and the reset would destroy the part of the response
+//! that the client has not read.
 
 use std::time::{Duration, Instant};
 
-/// A client that takes nothing of what is written for it for so long, once its connection is to end, is not waited for.
-const FLUSH: Duration = Duration::from_secs(2);
-/// After our side is shut, a client has so long to read what it was sent and to close...
-const LINGER: Duration = Duration::from_secs(1);
-/// ...and may send so much meanwhile. Danger: one that goes on sending keeps the proxy busy reading.
-const DROPPED: usize = 256 * 1024;
+/// Maximum time without write progress before a closing connection is abandoned.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time from the half-close until the client closes its side.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of bytes that are read and discarded after the half-close. Without this limit, a client
+/// that keeps sending would keep the proxy busy.
+const MAX_DRAINED_BYTES: usize = 256 * 1024;
 
-/// One close.
+/// The state of one graceful close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closing {
     phase: Phase,
-    /// When this phase is over.
-    until: Instant,
+    /// The end of the current phase.
+    deadline: Instant,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Flush,
     HalfClose,
-    Drain { left: usize },
+    Drain { remaining: usize },
     Closed,
 }
 
-/// What happened on the connection.
+/// An event on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The client took some of what is written for it.
-    Wrote,
-    /// It took all of it, or nothing more is to be written.
+    /// The socket accepted some of the pending bytes.
+    Written,
+    /// All pending bytes were written, or there are none.
     Flushed,
-    /// Our side is shut.
+    /// The proxy's side was shut down.
     HalfClosed,
-    /// So many bytes came and were dropped.
-    Dropped(usize),
-    /// The client has closed, the connection broke, or its descriptor is needed.
-    Over,
+    /// This many bytes were read and discarded.
+    Drained(usize),
+    /// The client has closed, the connection failed, or its descriptor is needed.
+    Ended,
 }
 
-/// What is to be done next.
+/// The next step of the close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Write what is left, until then.
+    /// Write the pending bytes.
     Flush {
-        /// When the client is not waited for any more.
-        until: Instant,
+        /// When the close is abandoned.
+        deadline: Instant,
     },
-    /// Shut our side.
+    /// Shut down the proxy's side.
     HalfClose,
-    /// Read and drop.
+    /// Read and discard bytes.
     Drain {
-        /// So much at most.
-        at_most: usize,
-        /// Until then.
-        until: Instant,
+        /// The remaining limit.
+        max_bytes: usize,
+        /// When the descriptor is closed.
+        deadline: Instant,
     },
     /// Close the descriptor.
     Close,
 }
 
 impl Closing {
-    /// A connection is to end; something may still have to be written.
-    pub fn begin(now: Instant) -> Closing {
-        Closing { phase: Phase::Flush, until: now + FLUSH }
+    /// Starts a close, with the flush of pending writes.
+    pub fn start(now: Instant) -> Closing {
+        Closing { phase: Phase::Flush, deadline: now + FLUSH_TIMEOUT }
     }
 
-    /// What is to be done now.
-    pub fn next(&self, now: Instant) -> Step {
-        let until = self.until;
+    /// Returns the step to take now.
+    pub fn next_step(&self, now: Instant) -> Step {
+        let deadline = self.deadline;
         match self.phase {
             Phase::HalfClose => Step::HalfClose,
-            Phase::Flush if now < until => Step::Flush { until },
-            Phase::Drain { left } if now < until && left > 0 => Step::Drain { at_most: left, until },
+            Phase::Flush if now < deadline => Step::Flush { deadline },
+            Phase::Drain { remaining } if now < deadline && remaining > 0 => {
+                Step::Drain { max_bytes: remaining, deadline }
+            }
             _ => Step::Close,
         }
     }
 
-    /// What has happened. Something that does not belong to the phase changes nothing.
+    /// Returns the state after an event. An event that does not belong to the current phase changes nothing.
     #[must_use]
-    pub fn after(self, now: Instant, event: Event) -> Closing {
+    pub fn on_event(self, now: Instant, event: Event) -> Closing {
         match (self.phase, event) {
-            (_, Event::Over) => Closing { phase: Phase::Closed, ..self },
-            (Phase::Flush, Event::Wrote) => Closing { until: now + FLUSH, ..self },
+            (_, Event::Ended) => Closing { phase: Phase::Closed, ..self },
+            (Phase::Flush, Event::Written) => Closing { deadline: now + FLUSH_TIMEOUT, ..self },
             (Phase::Flush, Event::Flushed) => Closing { phase: Phase::HalfClose, ..self },
-            (Phase::HalfClose, Event::HalfClosed) => {
-                Closing { phase: Phase::Drain { left: DROPPED }, until: now + LINGER }
-            }
-            (Phase::Drain { left }, Event::Dropped(n)) => {
-                Closing { phase: Phase::Drain { left: left.saturating_sub(n) }, ..self }
+            (Phase::HalfClose, Event::HalfClosed) => Closing {
+                phase: Phase::Drain { remaining: MAX_DRAINED_BYTES },
+                deadline: now + LINGER_TIMEOUT,
+            },
+            (Phase::Drain { remaining }, Event::Drained(n)) => {
+                Closing { phase: Phase::Drain { remaining: remaining.saturating_sub(n) }, ..self }
             }
             _ => self,
         }
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -1,8 +1,10 @@
-//! The clients' listener: accepts connections, speaks HTTP on them, and takes each request through the stages.
+//! The listener for clients: accepts connections, serves HTTP on them, and passes each request through the
+//! stages.
 //!
-//! `cli.rs` and `sidecar` start one [`serve`] a listener, which runs until its task is aborted. [`AcceptControl`] is the
-//! handle by which `shutdown.rs` and `upgrade.rs` steer it. The states, timeouts and evictions of connections are
-//! `clients.rs`'s; how an endpoint is chosen and called is the stages'.
+//! `serve.rs` and `sidecar` start one [`serve`] task per listener, which runs until it is aborted.
+//! [`AcceptControl`] is the handle by which `shutdown.rs` and `serving_process.rs` control it. The states,
+//! timeouts and evictions of connections belong to `clients.rs`; the choice of an endpoint and the attempts
+//! belong to the stages.
 
 use crate::accept::{Accept, Acceptor};
 use crate::bodies::{BodyMemoryLimit, ResponseBody};
@@ -32,54 +34,56 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Connections over the clients' share that are accepted while others are being evicted for them.
+/// Number of connections over the clients' share of descriptors that are accepted while others are being
+/// evicted.
 const CONNECTIONS_OVER_SHARE: usize = 16;
-/// Longest wait for an evicted connection to end before another is evicted.
+/// Maximum wait for an evicted connection to close before another one is evicted.
 const EVICTION_WAIT: Duration = Duration::from_millis(5);
-/// How often the timeouts of connections are enforced.
+/// Interval at which the timeouts of connections are enforced.
 pub const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Connections that wait to be accepted.
+/// Maximum number of connections in the listen queue.
 const BACKLOG: u32 = 1024;
 
-/// What a listener is made of.
+/// The parts from which a listener is created.
 pub struct ListenerParts {
-    /// Where requests may go.
+    /// The clusters that requests can be routed to.
     pub routes: Rc<Routes>,
-    /// The names that requests may use.
+    /// The settings, with the names that requests may use.
     pub site: Rc<RefCell<Site>>,
-    /// Where the listener logs.
+    /// The log of the listener.
     pub log: Logger,
-    /// The shares of the descriptors.
+    /// The descriptor limits of clients and backends.
     pub sockets: Sockets,
-    /// The memory for long bodies.
+    /// The memory limit of long bodies.
     pub budget: Rc<BodyMemoryLimit>,
-    /// The figures, where anybody reads them.
+    /// The request statistics, if the admin server exposes them.
     pub stats: Option<Arc<Stats>>,
 }
 
-/// Controls whether a listener accepts connections and requests, and knows what is open on it.
+/// Controls whether a listener accepts connections and requests, and counts its connections and requests in
+/// flight.
 pub struct AcceptControl {
     routes: Rc<Routes>,
     site: Rc<RefCell<Site>>,
     log: Logger,
     sockets: Cell<Sockets>,
     clients: Rc<Clients>,
-    /// When the last request was put to a cluster.
+    /// When the last request was dispatched to a cluster.
     last_request_at: Cell<Instant>,
-    /// Of requests that were served, from then on.
+    /// Latency of served requests, measured from their dispatch.
     latency: Cell<LatencyEstimate>,
-    /// Once a shutdown has begun: by when all requests must be answered.
+    /// The time by which all requests must be answered, once a shutdown has begun.
     answer_by: Cell<Option<Instant>>,
-    /// Responses are the last on their connections.
+    /// Whether each response is the last one on its connection.
     closing: Cell<bool>,
-    /// Connections are accepted, and not left to another process.
+    /// Whether connections are accepted here and not by the successor.
     accepting: watch::Sender<bool>,
     budget: Rc<BodyMemoryLimit>,
     stats: Option<Arc<Stats>>,
 }
 
 impl AcceptControl {
-    /// Accepts connections and requests.
+    /// Creates a control in the accepting state.
     pub fn new(parts: ListenerParts) -> AcceptControl {
         AcceptControl {
             routes: parts.routes,
@@ -97,82 +101,85 @@
         }
     }
 
-    /// Waits until there are descriptors for one more connection, evicting others. Danger: they run out, and with them
-    /// the way to the endpoints; or clients that send nothing keep out those that do. Only where all have a request in
-    /// flight does a new connection wait in the listener's queue.
-    async fn make_room(&self) {
+    /// Waits until there are descriptors for one more connection, and evicts others if necessary. Without the
+    /// limit, client connections would use up the descriptors needed to reach endpoints. Without evictions,
+    /// clients that send nothing would keep other clients out. A new connection waits in the listen queue
+    /// only if all connections have a request in flight.
+    async fn wait_for_capacity(&self) {
         while self.clients.open() >= self.sockets.get().clients + CONNECTIONS_OVER_SHARE {
-            self.clients.make_room();
+            self.clients.evict_one();
             let _ = timeout(EVICTION_WAIT, self.clients.wait_for_closed_connection()).await;
         }
         if self.clients.open() >= self.sockets.get().clients {
-            self.clients.make_room();
+            self.clients.evict_one();
         }
     }
 
-    /// Other shares of the descriptors hold from now on.
+    /// Replaces the descriptor limits.
     pub fn set_limits(&self, sockets: Sockets) {
         self.sockets.set(sockets);
     }
 
-    /// Is not ready any more; requests that still come are answered by then.
+    /// Makes the listener not ready. Requests that still arrive are answered by the given time.
     pub fn begin_shutdown(&self, answer_by: Instant) {
         self.answer_by.set(Some(answer_by));
     }
 
-    /// Clients with an idle connection may find no other proxy from now on: see [`Clients::protect_idle`].
+    /// Evicts idle connections last from now on: see [`Clients::protect_idle`].
     pub fn protect_idle(&self) {
         self.clients.protect_idle();
     }
 
-    /// Whether requests are welcome: there is an endpoint to send them to, and no shutdown has begun.
+    /// Whether the listener is ready for requests: an endpoint accepts requests and no shutdown has begun.
     pub fn is_ready(&self) -> bool {
         self.routes.any_takes_requests() && self.answer_by.get().is_none()
     }
 
-    /// Responses carry `Connection: close` from now on, and idle connections are closed, each after a last look for a
-    /// request on it. Danger: the HTTP library's own graceful shutdown drops a request that it has just read.
+    /// Sends `Connection: close` with all responses from now on and closes idle connections that have no
+    /// unread request. The HTTP library's own graceful shutdown is not used because it drops a request that
+    /// it has just read.
     pub fn close_connections(&self) {
         self.closing.set(true);
         self.close_idle();
     }
 
-    /// Accepts connections from now on; or leaves them to the process that serves in this one's place, and responds
-    /// with `Connection: close`.
+    /// Starts accepting connections, or leaves them to the successor and sends `Connection: close` with all
+    /// responses.
     pub fn set_accepting(&self, accepting: bool) {
         self.accepting.send_replace(accepting);
     }
 
-    /// Closes idle connections from now on, each after a last look for a request on it.
+    /// Closes idle connections that have no unread request, from now on.
     pub fn close_idle(&self) {
         self.clients.close_idle();
     }
 
-    /// When the last request came.
+    /// Returns when the last request was dispatched to a cluster.
     pub fn last_request_at(&self) -> Instant {
         self.last_request_at.get()
     }
 
-    /// What nearly all responses take at most, if there were any.
+    /// Returns an upper bound of the latency of nearly all responses, or `None` if there were no responses
+    /// yet.
     pub fn latency(&self) -> Option<Duration> {
         self.latency.get().upper_bound()
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.clients.open()
     }
 
-    /// Those of them with a request in flight.
+    /// The number of connections with a request in flight.
     pub fn in_flight(&self) -> usize {
         self.clients.in_flight()
     }
 }
 
-/// Listens on the one address that the configuration names; with others, if it is `shared`.
+/// Listens on an address. If it is `shared`, other processes can listen on it as well.
 pub fn bind(on: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = if on.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    socket.set_reuseaddr(true)?; // a restart takes the address over from connections in TIME_WAIT
+    socket.set_reuseaddr(true)?; // allows a restart while old connections are in TIME_WAIT
     if shared {
         socket.set_reuseport(true)?;
     }
@@ -180,43 +187,44 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections until the task is aborted.
+/// Accepts and serves connections until the task is aborted.
 pub async fn serve<L>(listener: L, control: Rc<AcceptControl>)
 where
     L: Accept<Connection = (TcpStream, SocketAddr)>,
 {
     let service = match http_service(&control).await {
         Ok(service) => Rc::new(service),
-        Err(NoHttpService) => return warn!(control.log, "the HTTP service did not start"),
+        Err(NoHttpService) => return warn!(control.log, "HTTP service failed to start"),
     };
     actix_rt::spawn(enforce_timeouts(control.clients.clone()));
     let mut acceptor = Acceptor::new(listener, "clients", control.log.clone());
     let mut accepting = control.accepting.subscribe();
     loop {
         if accepting.wait_for(|accepting| *accepting).await.is_err() {
-            return; // the control is gone
+            return; // the control was dropped
         }
-        control.make_room().await;
+        control.wait_for_capacity().await;
         let (stream, peer) = tokio::select! {
             biased;
             _ = accepting.wait_for(|accepting| !*accepting) => continue,
-            accepted = acceptor.accept(|| control.clients.make_room()) => accepted,
+            accepted = acceptor.accept(|| control.clients.evict_one()) => accepted,
         };
-        let _ = stream.set_nodelay(true); // its loss costs time only
+        let _ = stream.set_nodelay(true); // a failure only adds latency
         let connection = Rc::new(Connection::new(stream, control.clients.register()));
         actix_rt::spawn(serve_connection(service.clone(), control.clone(), connection, peer));
     }
 }
 
-/// The HTTP library made no service.
+/// The HTTP library failed to create a service.
 struct NoHttpService;
 
-/// A connection and its client's address, as the HTTP library takes them.
+/// A connection and the address of its client, in the form that the HTTP library expects.
 type Accepted = (Stream, Option<SocketAddr>);
 
-/// What speaks HTTP on connections. Timeouts are enforced in `clients.rs`: actix-http has one for the head of a first
-/// request only. The close is `clients/stream.rs`'s: actix-http drops a connection after what is no request, unread
-/// bytes or not, and elsewhere reads on for its disconnect timeout without shutting its side.
+/// Creates the service that serves HTTP on connections. Its own timeouts are off: actix-http has one only for
+/// the head of a first request, so `clients.rs` enforces them. Connections are closed by `clients/stream.rs`:
+/// actix-http drops a connection after bytes that are not a request, even with unread bytes, and otherwise
+/// keeps reading for its disconnect timeout without half-closing.
 async fn http_service(
     control: &Rc<AcceptControl>,
 ) -> Result<impl Service<Accepted, Response = (), Error = DispatchError> + 'static, NoHttpService> {
@@ -230,7 +238,7 @@
     service.new_service(()).await.map_err(|()| NoHttpService)
 }
 
-/// Serves one connection to the end of its close.
+/// Serves one connection until it is closed.
 async fn serve_connection(
     service: Rc<impl Service<Accepted, Response = (), Error = DispatchError>>,
     control: Rc<AcceptControl>,
@@ -243,41 +251,42 @@
         debug!(control.log, "connection ended"; "peer" => %peer, "error" => %e);
     }
     connection.close().await;
-    drop(connection); // its descriptor is free before it counts as such
+    drop(connection); // frees the descriptor before it is counted as free
     control.clients.unregister(&client);
 }
 
 async fn enforce_timeouts(clients: Rc<Clients>) {
-    let mut every = tokio::time::interval(TIMEOUT_CHECK_INTERVAL);
+    let mut interval = tokio::time::interval(TIMEOUT_CHECK_INTERVAL);
     loop {
-        every.tick().await;
-        clients.expire();
+        interval.tick().await;
+        clients.close_expired();
     }
 }
 
 async fn handle(control: Rc<AcceptControl>, request: Request) -> Result<Response<AnswerBody>, Infallible> {
     let Some(client) = request.conn_data::<Rc<Client>>().cloned() else {
-        return Ok(client::buffered(client::refusal(Duration::ZERO))); // on_connect_ext leaves none without
+        return Ok(client::buffered(client::refusal(Duration::ZERO))); // unreachable: on_connect_ext sets it
     };
-    if client.is_ending() {
-        // It was sent behind the request that the last response is for: its client can't take this for another's.
+    if client.is_closing() {
+        // The request was sent behind the one that got the last response, so the client cannot mistake this
+        // response for that of another request.
         return Ok(client::buffered(client::overloaded()));
     }
     let response = match request.path() {
         client::READY => Ok(client::buffered(client::health(control.is_ready()))),
         client::LIVE => Ok(client::buffered(client::health(true))),
-        _ => take_request(&control, request, &client).await,
+        _ => serve_request(&control, request, &client).await,
     };
     match response {
         Ok(mut response) => {
-            if control.closing.get() || !*control.accepting.borrow() || client.is_ending() {
+            if control.closing.get() || !*control.accepting.borrow() || client.is_closing() {
                 response.head_mut().set_connection_type(ConnectionType::Close);
             }
             if response.head().connection_type() == ConnectionType::Close {
-                client.end_after_response();
+                client.close_after_response();
             }
-            let in_flight = InFlight(client); // until the last byte of a long response
-            Ok(keep_until_sent(response, in_flight))
+            let in_flight = InFlight(client); // lives until the last byte of a streamed response
+            Ok(keep_alive_until_sent(response, in_flight))
         }
         Err(reject) => {
             client.on_request_rejected();
@@ -286,46 +295,46 @@
     }
 }
 
-async fn take_request(
+async fn serve_request(
     control: &AcceptControl,
     request: Request,
     client: &Rc<Client>,
 ) -> Result<Response<AnswerBody>, client::Reject> {
     client.on_head_received();
     let call = parse::parse(request, &control.site, &control.budget).await?;
-    let taken = control.stats.as_ref().map(|stats| stats.take(usize::from(call.class.0)));
-    let answer = call_cluster(control, client, call).await?;
-    Ok(match taken {
-        None => answer,
-        Some(taken) => count_response(answer, taken),
+    let counted = control.stats.as_ref().map(|stats| stats.take(usize::from(call.class.0)));
+    let response = call_cluster(control, client, call).await?;
+    Ok(match counted {
+        None => response,
+        Some(counted) => count_response(response, counted),
     })
 }
 
-/// Counts a request by its response, once the whole of that was sent.
-fn count_response(answer: Response<AnswerBody>, mut taken: Taken) -> Response<AnswerBody> {
-    let ended = match answer.status().as_u16() {
+/// Counts the outcome of a request after its whole response was sent.
+fn count_response(response: Response<AnswerBody>, mut counted: Taken) -> Response<AnswerBody> {
+    let ended = match response.status().as_u16() {
         200 => Ended::Ok,
         429 | 503 => Ended::Shed,
         _ => Ended::Error,
     };
-    with_body(answer, |download| match download {
-        None => taken.ends(ended),
-        Some(download) => download.when_ended(move |whole| {
-            taken.ends(if whole { ended } else { Ended::Error });
+    with_body(response, |body| match body {
+        None => counted.ends(ended),
+        Some(body) => body.when_ended(move |is_complete| {
+            counted.ends(if is_complete { ended } else { Ended::Error });
         }),
     })
 }
 
-/// Keeps something until the last byte of the response, if that is streamed, or until now.
-fn keep_until_sent(answer: Response<AnswerBody>, what: impl Any) -> Response<AnswerBody> {
-    with_body(answer, |download| {
-        if let Some(download) = download {
-            download.keep(what);
+/// Keeps a value alive until the last byte of a streamed response. For any other response, drops it now.
+fn keep_alive_until_sent(response: Response<AnswerBody>, value: impl Any) -> Response<AnswerBody> {
+    with_body(response, |body| {
+        if let Some(body) = body {
+            body.keep(value);
         }
     })
 }
 
-/// Does something with the body of a response, if it is streamed, or with none.
+/// Calls `action` with the body of a response if it is streamed, and otherwise with `None`.
 fn with_body(
     response: Response<AnswerBody>,
     action: impl FnOnce(Option<&mut ResponseBody>),
@@ -333,13 +342,13 @@
     response.map_body(|_, mut body| {
         match &mut body {
             AnswerBody::Whole(_) => action(None),
-            AnswerBody::Streamed(download) => action(Some(download)),
+            AnswerBody::Streamed(body) => action(Some(body)),
         }
         body
     })
 }
 
-/// A client's request is in flight while it lives.
+/// Reports the response as sent when dropped.
 struct InFlight(Rc<Client>);
 
 impl Drop for InFlight {
@@ -348,43 +357,43 @@
     }
 }
 
-/// Puts a call to its cluster, and has its response.
+/// Sends a call to its cluster and returns the response.
 async fn call_cluster(
     control: &AcceptControl,
     client: &Rc<Client>,
     mut call: Call,
 ) -> Result<Response<AnswerBody>, client::Reject> {
-    // Danger: a shutdown that ends before the response, which is then lost.
+    // A response that is later than the end of a shutdown would be lost.
     call.deadline = control.answer_by.get().map_or(call.deadline, |by| call.deadline.min(by));
-    client.on_request_taken(match call.payload.body {
+    client.on_request_dispatched(match call.payload.body {
         Body::Whole { .. } => RequestBody::Complete,
         Body::Streamed(_) => RequestBody::Streaming,
     });
     if control.clients.in_flight() > control.sockets.get().clients {
         return Ok(client::buffered(client::overloaded()));
     }
-    if client.has_closed() {
-        return Ok(client::answer(Verdict::Failed)); // nobody reads it
+    if client.has_peer_closed() {
+        return Ok(client::answer(Verdict::Failed)); // no client reads it
     }
     let context = match control.routes.choose(|| client::traits(&call)) {
         Ok(context) => context,
         Err(absent) => return Ok(client::buffered(client::absent(&absent))),
     };
-    let mut held = match admission::admit(&context, call) {
-        Ok(held) => held,
+    let mut admitted = match admission::admit(&context, call) {
+        Ok(admitted) => admitted,
         Err(NotAdmitted::Full) => return Ok(client::buffered(client::overloaded())),
         Err(NotAdmitted::AllOut) => return Ok(client::buffered(client::refusal(Duration::ZERO))),
         Err(NotAdmitted::Twice) => return Err(client::Reject::Open),
     };
-    let taken_at = Instant::now();
-    control.last_request_at.set(taken_at);
-    let verdict = response::wait(&mut held, client.wait_for_close()).await;
+    let dispatched_at = Instant::now();
+    control.last_request_at.set(dispatched_at);
+    let verdict = response::wait(&mut admitted, client.wait_for_peer_close()).await;
     if let Some(Verdict::Served(_)) = &verdict {
         let mut latency = control.latency.get();
-        latency.observe(taken_at.elapsed());
+        latency.observe(dispatched_at.elapsed());
         control.latency.set(latency);
     }
-    // Nobody reads the answer to a client that has gone.
-    let answer = client::answer(verdict.unwrap_or(Verdict::Failed));
-    Ok(keep_until_sent(answer, held))
+    // The response to a client that has disconnected is not read.
+    let response = client::answer(verdict.unwrap_or(Verdict::Failed));
+    Ok(keep_alive_until_sent(response, admitted))
 }
