--- a/crates/proxy/src/accept.rs
+++ b/crates/proxy/src/accept.rs
@@ -1,8 +1,8 @@
-//! Accepts connections for the listeners of clients, operators and later processes: what a failed accept means, when
-//! the next one is tried, and how often it is logged.
+//! Accepts connections for the listeners of clients, the admin server and hot restart: classifies failed
+//! accepts, retries with a backoff, and limits how often failures are logged.
 //!
-//! [`AcceptFailure`] and [`AcceptBackoff`] decide, without I/O and clock; [`Acceptor`] waits. What is given up where
-//! descriptors or memory have run out is up to each listener.
+//! [`AcceptFailure`] and [`AcceptBackoff`] decide without I/O or a clock; [`Acceptor`] waits. Each listener
+//! provides its own way to free resources when descriptors or memory run out.
 
 use rustix::io::Errno;
 use slog::{Logger, debug, warn};
@@ -12,27 +12,30 @@
 use tokio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use tokio::time::sleep;
 
-/// Wait after the first accept that failed for want of resources...
-const FIRST_BACKOFF: Duration = Duration::from_millis(2);
-/// ...and the longest, after some in a row. Danger: clients wait in the listener's queue meanwhile, some with little
-/// time.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(64);
-/// Failures are logged once in this time at most, with the count of those that were not.
+/// Delay before the next accept after the first failure that requires a backoff.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(2);
+/// Maximum delay after several such failures in a row. Clients wait in the listen queue meanwhile, some of
+/// them with short deadlines.
+const MAX_BACKOFF: Duration = Duration::from_millis(64);
+/// Minimum time between two log lines about failures. Each line has the number of failures that were not
+/// logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a failed accept says.
+/// The class of a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// The call was interrupted, or the connection at the head of the queue is gone or refused: the next is not.
+    /// The call was interrupted, or the connection at the head of the queue was lost or rejected. The next
+    /// accept can succeed immediately.
     ConnectionLost,
-    /// Descriptors or memory have run out, here or in the whole system.
+    /// Descriptors or memory have run out, in the process or in the whole system.
     OutOfResources,
-    /// Neither. Danger: tried again at once, a listener that is broken keeps the processor busy.
+    /// Any other error. Retried without a delay, a listener that is broken would keep the CPU busy.
     Unknown,
 }
 
 impl AcceptFailure {
-    /// Linux passes network errors of a connection that is not accepted yet on as errors of accept (accept(2)).
+    /// Classifies an error. Linux reports network errors that are pending on a new connection as errors of
+    /// accept (accept(2)).
     pub fn of(error: &io::Error) -> AcceptFailure {
         match Errno::from_io_error(error) {
             Some(
@@ -56,61 +59,63 @@
     }
 }
 
-/// How a listener goes on after a failed accept.
+/// How a listener continues after a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AfterFailure {
-    /// What it was.
+pub struct AcceptRetry {
+    /// The class of the failure.
     pub failure: AcceptFailure,
-    /// How long to wait before the next accept.
-    pub wait: Duration,
-    /// Whether to log it, and how many before it were not logged.
-    pub log: Option<u64>,
+    /// The delay before the next accept.
+    pub delay: Duration,
+    /// The number of earlier failures that were not logged, or `None` if this failure is not to be logged
+    /// either.
+    pub suppressed_count: Option<u64>,
 }
 
-/// The failures of one listener.
+/// The backoff and the log limit of one listener.
 #[derive(Default)]
 pub struct AcceptBackoff {
-    /// Waits in a row.
-    waits: u32,
-    logged: Option<Instant>,
-    not_logged: u64,
+    /// Failures with a delay since the last accepted connection.
+    consecutive_backoffs: u32,
+    last_logged_at: Option<Instant>,
+    suppressed: u64,
 }
 
 impl AcceptBackoff {
-    /// Notes that an accept failed.
-    pub fn failed(&mut self, error: &io::Error, now: Instant) -> AfterFailure {
+    /// Records a failed accept.
+    pub fn on_failure(&mut self, error: &io::Error, now: Instant) -> AcceptRetry {
         let failure = AcceptFailure::of(error);
-        let wait = match failure {
+        let delay = match failure {
             AcceptFailure::ConnectionLost => Duration::ZERO,
-            AcceptFailure::OutOfResources | AcceptFailure::Unknown => self.next_wait(),
+            AcceptFailure::OutOfResources | AcceptFailure::Unknown => self.next_delay(),
         };
-        AfterFailure { failure, wait, log: self.next_log(now) }
+        AcceptRetry { failure, delay, suppressed_count: self.next_suppressed_count(now) }
     }
 
-    /// Notes that a connection was accepted.
-    pub fn accepted(&mut self) {
-        self.waits = 0;
+    /// Records an accepted connection.
+    pub fn on_success(&mut self) {
+        self.consecutive_backoffs = 0;
     }
 
-    fn next_wait(&mut self) -> Duration {
-        let wait = FIRST_BACKOFF.saturating_mul(2_u32.saturating_pow(self.waits)).min(LONGEST_BACKOFF);
-        self.waits = self.waits.saturating_add(1);
-        wait
+    fn next_delay(&mut self) -> Duration {
+        let delay =
+            INITIAL_BACKOFF.saturating_mul(2_u32.saturating_pow(self.consecutive_backoffs)).min(MAX_BACKOFF);
+        self.consecutive_backoffs = self.consecutive_backoffs.saturating_add(1);
+        delay
     }
 
-    fn next_log(&mut self, now: Instant) -> Option<u64> {
-        if self.logged.is_some_and(|logged| now.saturating_duration_since(logged) < LOG_INTERVAL) {
-            self.not_logged += 1;
+    fn next_suppressed_count(&mut self, now: Instant) -> Option<u64> {
+        if self.last_logged_at.is_some_and(|logged| now.saturating_duration_since(logged) < LOG_INTERVAL) {
+            self.suppressed += 1;
             return None;
         }
-        self.logged = Some(now);
-        Some(std::mem::take(&mut self.not_logged))
+        self.last_logged_at = Some(now);
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
-/// The system call. Tests have a listener whose accepts fail.
+/// The accept system call. Tests use a listener whose accepts fail.
 pub trait Accept {
-    /// What is accepted.
+    /// The type of an accepted connection.
     type Connection;
     /// Waits for the next connection.
     fn accept_one(&self) -> impl Future<Output = io::Result<Self::Connection>>;
@@ -132,48 +137,48 @@
     }
 }
 
-/// A listener with its failures.
+/// A listener that retries failed accepts.
 pub struct Acceptor<L> {
     listener: L,
-    /// Whose it is, as the log has it.
+    /// The value of the log key `listener`.
     name: &'static str,
     backoff: AcceptBackoff,
     log: Logger,
 }
 
 impl<L: Accept> Acceptor<L> {
-    /// Nothing is accepted yet.
+    /// Creates an acceptor for a listener.
     pub fn new(listener: L, name: &'static str, log: Logger) -> Acceptor<L> {
         Acceptor { listener, name, backoff: AcceptBackoff::default(), log }
     }
 
-    /// Waits for the next connection, however many accepts fail before. Where resources have run out, `give_up` is
-    /// to free some. Dropped before its end, it loses no connection.
-    pub async fn accept(&mut self, give_up: impl Fn()) -> L::Connection {
+    /// Waits for the next connection and retries failed accepts without limit. Calls `free_resources` when
+    /// resources have run out. Cancel safe: dropping the future loses no connection.
+    pub async fn accept(&mut self, free_resources: impl Fn()) -> L::Connection {
         loop {
             let error = match self.listener.accept_one().await {
                 Ok(connection) => {
-                    self.backoff.accepted();
+                    self.backoff.on_success();
                     return connection;
                 }
                 Err(error) => error,
             };
-            let after = self.backoff.failed(&error, Instant::now());
-            self.report(&error, &after);
-            if after.failure == AcceptFailure::OutOfResources {
-                give_up();
+            let retry = self.backoff.on_failure(&error, Instant::now());
+            self.log_failure(&error, &retry);
+            if retry.failure == AcceptFailure::OutOfResources {
+                free_resources();
             }
-            if after.wait.is_zero() {
-                tokio::task::yield_now().await; // a row of them leaves the other tasks their turn
+            if retry.delay.is_zero() {
+                tokio::task::yield_now().await; // lets other tasks run between failures
             } else {
-                sleep(after.wait).await;
+                sleep(retry.delay).await;
             }
         }
     }
 
-    fn report(&self, error: &io::Error, after: &AfterFailure) {
-        let Some(not_logged) = after.log else { return };
-        match after.failure {
+    fn log_failure(&self, error: &io::Error, retry: &AcceptRetry) {
+        let Some(not_logged) = retry.suppressed_count else { return };
+        match retry.failure {
             AcceptFailure::ConnectionLost => debug!(self.log, "accept failed";
                 "listener" => self.name, "error" => %error, "not_logged" => not_logged),
             AcceptFailure::OutOfResources | AcceptFailure::Unknown => warn!(self.log, "accept failed";
--- a/crates/proxy/src/accept/tests.rs
+++ b/crates/proxy/src/accept/tests.rs
@@ -2,7 +2,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 
-/// A listener whose accepts fail in this order, and then bring a connection.
+/// A listener whose accepts fail with these errors in order and then succeed.
 struct FailingListener(RefCell<VecDeque<Errno>>);
 
 impl Accept for FailingListener {
@@ -13,12 +13,12 @@
     }
 }
 
-fn row(errno: Errno, times: usize) -> Acceptor<FailingListener> {
+fn failing_acceptor(errno: Errno, times: usize) -> Acceptor<FailingListener> {
     let listener = FailingListener(RefCell::new(std::iter::repeat_n(errno, times).collect()));
     Acceptor::new(listener, "test", Logger::root(slog::Discard, slog::o!()))
 }
 
-const LOST: [Errno; 13] = [
+const CONNECTION_LOST_ERRNOS: [Errno; 13] = [
     Errno::INTR,
     Errno::CONNABORTED,
     Errno::CONNRESET,
@@ -33,17 +33,17 @@
     Errno::NONET,
     Errno::TIMEDOUT,
 ];
-const OUT: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
+const OUT_OF_RESOURCES_ERRNOS: [Errno; 4] = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
 
 #[test]
-fn a_connection_that_is_lost_wants_the_next_accept_at_once_however_many_there_are() {
-    for errno in LOST {
+fn lost_connection_is_followed_by_an_immediate_accept() {
+    for errno in CONNECTION_LOST_ERRNOS {
         let mut backoff = AcceptBackoff::default();
         let now = Instant::now();
         for _ in 0..100 {
-            let after = backoff.failed(&errno.into(), now);
+            let retry = backoff.on_failure(&errno.into(), now);
             assert_eq!(
-                (after.failure, after.wait),
+                (retry.failure, retry.delay),
                 (AcceptFailure::ConnectionLost, Duration::ZERO),
                 "{errno}"
             );
@@ -52,17 +52,17 @@
 }
 
 #[test]
-fn resources_that_run_out_are_waited_for_ever_longer_within_a_bound_until_one_is_accepted() {
-    for errno in OUT.into_iter().chain([Errno::BADF]) {
+fn backoff_grows_up_to_the_maximum_and_is_reset_by_an_accepted_connection() {
+    for errno in OUT_OF_RESOURCES_ERRNOS.into_iter().chain([Errno::BADF]) {
         let mut backoff = AcceptBackoff::default();
         let mut waits = || -> Vec<u128> {
-            let wait = |_| backoff.failed(&errno.into(), Instant::now()).wait.as_millis();
+            let wait = |_| backoff.on_failure(&errno.into(), Instant::now()).delay.as_millis();
             let waits = (0..8).map(wait).collect();
-            backoff.accepted();
+            backoff.on_success();
             waits
         };
         assert_eq!(waits(), [2, 4, 8, 16, 32, 64, 64, 64], "{errno}");
-        assert_eq!(waits(), [2, 4, 8, 16, 32, 64, 64, 64], "{errno}, after one was accepted");
+        assert_eq!(waits(), [2, 4, 8, 16, 32, 64, 64, 64], "{errno}, after an accepted connection");
         let failure = AcceptFailure::of(&errno.into());
         assert_eq!(failure == AcceptFailure::OutOfResources, errno != Errno::BADF, "{errno}");
     }
@@ -70,10 +70,10 @@
 }
 
 #[test]
-fn failures_are_logged_once_in_a_while_with_the_count_of_the_others() {
+fn failures_are_logged_once_per_interval_with_the_count_of_unlogged_ones() {
     let mut backoff = AcceptBackoff::default();
     let start = Instant::now();
-    let mut logged = |after| backoff.failed(&Errno::MFILE.into(), start + after).log;
+    let mut logged = |after| backoff.on_failure(&Errno::MFILE.into(), start + after).suppressed_count;
     assert_eq!(logged(Duration::ZERO), Some(0));
     for ms in 1..100 {
         assert_eq!(logged(Duration::from_millis(ms)), None);
@@ -83,14 +83,22 @@
 }
 
 #[test]
-fn a_listener_accepts_after_any_row_of_failures_and_gives_up_others_only_where_resources_ran_out() {
+fn acceptor_retries_until_it_accepts_and_frees_resources_only_when_they_ran_out() {
     actix_rt::System::new().block_on(async {
-        for (errno, times) in LOST.map(|errno| (errno, 100)).into_iter().chain(OUT.map(|errno| (errno, 3))) {
-            let given_up = Cell::new(0);
-            let mut acceptor = row(errno, times);
-            acceptor.accept(|| given_up.set(given_up.get() + 1)).await;
+        for (errno, times) in CONNECTION_LOST_ERRNOS
+            .map(|errno| (errno, 100))
+            .into_iter()
+            .chain(OUT_OF_RESOURCES_ERRNOS.map(|errno| (errno, 3)))
+        {
+            let calls = Cell::new(0);
+            let mut acceptor = failing_acceptor(errno, times);
+            acceptor.accept(|| calls.set(calls.get() + 1)).await;
             assert!(acceptor.listener.0.borrow().is_empty());
-            assert_eq!(given_up.get(), if OUT.contains(&errno) { times } else { 0 }, "{errno}");
+            assert_eq!(
+                calls.get(),
+                if OUT_OF_RESOURCES_ERRNOS.contains(&errno) { times } else { 0 },
+                "{errno}"
+            );
         }
     });
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,7 +1,9 @@
-//! Graceful shutdown: on SIGTERM the proxy goes on taking requests for a while, answers all that it has taken, and ends.
+//! Graceful shutdown: on SIGTERM or SIGINT the proxy keeps accepting requests for a while, answers all
+//! accepted ones, and exits.
 //!
-//! `cli.rs` and `sidecar` await [`on_signal`] or [`drain`], and end the process when it resolves. It steers listeners by
-//! their [`AcceptControl`]; [`ShutdownTimes`] decides when each [`ShutdownPhase`] ends. It never cuts off a request.
+//! `serve.rs` and `sidecar` await [`on_signal`] or [`drain`] and exit when it returns. This module controls
+//! listeners through their [`AcceptControl`]; [`ShutdownTimes`] decides when each [`ShutdownPhase`] ends. It
+//! does not cancel requests.
 
 use crate::listen::AcceptControl;
 use slog::{Logger, info, warn};
@@ -11,71 +13,75 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::sleep;
 
-/// The platform kills a program no sooner after the signal than the longest deadline, of which no more than this counts,
-/// and [`KILL_DELAY`].
-const LONGEST_DEADLINE: Duration = Duration::from_millis(3000);
-/// See [`LONGEST_DEADLINE`].
+/// Upper limit of the longest deadline in the kill time: the platform kills a process no earlier than its
+/// longest deadline, limited to this, plus [`KILL_DELAY`] after the signal.
+const MAX_DEADLINE: Duration = Duration::from_millis(3000);
+/// See [`MAX_DEADLINE`].
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Time for the last bytes to reach their clients before the kill.
+/// Time reserved before the kill for the last bytes to reach their clients.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
-/// All that was taken is answered at its deadline at the latest; what is left after this is stuck.
+/// Maximum duration of a shutdown. Every accepted request is answered by its deadline, so a connection that
+/// is still open after this time is stuck.
 pub const LONGEST_SHUTDOWN: Duration = Duration::from_secs(30);
-/// How often a condition is looked at.
+/// Interval at which conditions are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where a shutdown is.
+/// The phase of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// Requests are still taken, on open connections and new ones.
-    TakingRequests,
-    /// Idle connections are closed, and what was taken is answered.
+    /// Requests are still accepted, on open and new connections.
+    AcceptingRequests,
+    /// Idle connections are closed and accepted requests are answered.
     ClosingConnections,
 }
 
-/// The times of a shutdown, from the signal on. Danger: taken from the longest time that a program may have, they
-/// reach past the moment at which one with short deadlines is killed, and what it took last is lost.
+/// The times of a shutdown, measured from the signal. They depend on the longest deadline of the process: a
+/// process with short deadlines is killed earlier, and with the times of the longest possible deadline it
+/// would lose the requests that it accepted last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimes {
-    /// For this long requests are taken in any case: other replicas may be away too, and a response takes less than what
-    /// is left then.
-    always_taking: Duration,
-    /// Then they are taken until none has come for this long...
+    /// Requests are accepted at least until then: other replicas may be unavailable too, and the remaining
+    /// time is longer than a response takes.
+    min_accepting: Duration,
+    /// After `min_accepting`, requests are accepted until none has arrived for this long.
     quiet_period: Duration,
-    /// ...but not so late that less than this is left before the end, or than responses usually take.
-    least_left: Duration,
-    /// What comes after the signal is answered by then.
+    /// Requests are no longer accepted once the time until `all_answered` is shorter than this or than the
+    /// usual latency of responses.
+    min_remaining: Duration,
+    /// Requests that arrive after the signal are answered by then.
     all_answered: Duration,
-    /// Connections without a request in flight are given up then, whatever their clients still do.
-    connections_given_up: Duration,
-    /// Where another process serves in this one's place, clients have so long to move there by calling once more.
-    moving_to_successor: Duration,
+    /// From then on, connections without a request in flight are no longer waited for.
+    connections_abandoned: Duration,
+    /// If a successor has replaced this process, idle connections stay open until then, so that clients can
+    /// move to the successor with their next request.
+    successor_grace: Duration,
 }
 
 impl ShutdownTimes {
-    /// Where no class of requests has a longer deadline than this.
+    /// Creates the times for a process whose longest deadline of all request classes is `longest_deadline`.
     pub fn new(longest_deadline: Duration) -> ShutdownTimes {
-        let all_answered = longest_deadline.min(LONGEST_DEADLINE) + KILL_DELAY - KILL_MARGIN;
-        let least_left = Duration::from_millis(500).min(all_answered / 2);
-        let latest = all_answered - least_left;
+        let all_answered = longest_deadline.min(MAX_DEADLINE) + KILL_DELAY - KILL_MARGIN;
+        let min_remaining = Duration::from_millis(500).min(all_answered / 2);
+        let latest = all_answered - min_remaining;
         ShutdownTimes {
-            always_taking: Duration::from_millis(1500).min(latest),
+            min_accepting: Duration::from_millis(1500).min(latest),
             quiet_period: Duration::from_millis(500),
-            least_left,
+            min_remaining,
             all_answered,
-            connections_given_up: all_answered + KILL_MARGIN / 2,
-            moving_to_successor: Duration::from_millis(1000).min(latest),
+            connections_abandoned: all_answered + KILL_MARGIN / 2,
+            successor_grace: Duration::from_millis(1000).min(latest),
         }
     }
 
-    /// The phase at a time after the signal, when no request has come for `quiet` and nearly all responses take
-    /// `latency` at most. Danger: ended while other replicas are away, clients find nobody; ended too late, what came
-    /// last is cut off.
+    /// Returns the phase at the time `after` the signal, if no request has arrived for `quiet` and nearly all
+    /// responses take at most `latency`. If the first phase ended while other replicas are unavailable,
+    /// clients would find no replica; if it ended too late, the last requests would not be answered in time.
     fn phase(&self, after: Duration, quiet: Duration, latency: Option<Duration>) -> ShutdownPhase {
-        let usual_latency = latency.unwrap_or(self.all_answered - self.always_taking);
-        let latest = self.all_answered.saturating_sub(usual_latency.max(self.least_left));
+        let usual_latency = latency.unwrap_or(self.all_answered - self.min_accepting);
+        let latest = self.all_answered.saturating_sub(usual_latency.max(self.min_remaining));
         let is_in_use = quiet < self.quiet_period && after < latest;
-        if after < self.always_taking || is_in_use {
-            ShutdownPhase::TakingRequests
+        if after < self.min_accepting || is_in_use {
+            ShutdownPhase::AcceptingRequests
         } else {
             ShutdownPhase::ClosingConnections
         }
@@ -83,25 +89,25 @@
 }
 
 impl Default for ShutdownTimes {
-    /// The longest that a program may have.
+    /// The times for a longest deadline of `MAX_DEADLINE`.
     fn default() -> ShutdownTimes {
-        ShutdownTimes::new(LONGEST_DEADLINE)
+        ShutdownTimes::new(MAX_DEADLINE)
     }
 }
 
-/// The signals that ask for a shutdown. Once they are registered, none of them ends the program by itself, the second as
-/// little as the first.
+/// The signals that request a shutdown. While they are registered, neither the first nor any further signal
+/// terminates the process by itself.
 pub struct ShutdownSignals {
     term: Signal,
     interrupt: Signal,
 }
 
 impl ShutdownSignals {
-    /// Registers them. Danger: unregistered, they end the program and all that clients have sent, if only to the
-    /// listener's queue.
+    /// Registers the signals. Unregistered, they would terminate the process and lose all requests that
+    /// clients have sent, including those on connections in the listen queue.
     ///
     /// # Errors
-    /// The system's.
+    /// Returns the error of the operating system.
     pub fn register() -> io::Result<ShutdownSignals> {
         Ok(ShutdownSignals {
             term: signal(SignalKind::terminate())?,
@@ -109,7 +115,7 @@
         })
     }
 
-    /// Resolves when one of them has come.
+    /// Waits for one of the signals.
     pub async fn received(&mut self) {
         tokio::select! {
             _ = self.term.recv() => {}
@@ -118,73 +124,75 @@
     }
 }
 
-/// Waits for a signal, and then until all is answered. `leave` is told of the signal, and says whether another process
-/// serves in this one's place.
+/// Waits for a signal and then until the shutdown is finished. `has_successor` is called after the signal and
+/// returns whether a successor has replaced this process.
 pub async fn on_signal(
     mut signals: ShutdownSignals,
     control: Rc<AcceptControl>,
     times: ShutdownTimes,
-    leave: impl FnOnce() -> bool,
+    has_successor: impl FnOnce() -> bool,
     log: Logger,
 ) {
     signals.received().await;
-    if leave() {
-        leave_to_successor(control, times, &log).await;
+    if has_successor() {
+        shut_down_replaced(control, times, &log).await;
     } else {
         drain(&[control], times, &log).await;
     }
 }
 
-/// Another process accepts new connections. Clients that call meanwhile are told to go there; the connections of the
-/// others are closed then, each after a last look for a request.
-async fn leave_to_successor(control: Rc<AcceptControl>, times: ShutdownTimes, log: &Logger) {
-    let began = Instant::now();
+/// Shuts down while the successor accepts new connections. Responses carry `Connection: close`, so that
+/// clients move to the successor. After [`ShutdownTimes::successor_grace`], idle connections without an
+/// unread request are closed.
+async fn shut_down_replaced(control: Rc<AcceptControl>, times: ShutdownTimes, log: &Logger) {
+    let started_at = Instant::now();
     info!(log, "shutdown started"; "successor" => true, "connections" => control.connections());
-    control.begin_shutdown(began + times.all_answered);
-    while control.connections() > 0 && began.elapsed() < times.moving_to_successor {
+    control.begin_shutdown(started_at + times.all_answered);
+    while control.connections() > 0 && started_at.elapsed() < times.successor_grace {
         sleep(POLL_INTERVAL).await;
     }
     control.close_idle();
-    let give_up_at = began + times.connections_given_up;
-    while awaited_connections(std::slice::from_ref(&control), give_up_at) > 0
-        && began.elapsed() < LONGEST_SHUTDOWN
+    let abandon_at = started_at + times.connections_abandoned;
+    while awaited_connections(std::slice::from_ref(&control), abandon_at) > 0
+        && started_at.elapsed() < LONGEST_SHUTDOWN
     {
         sleep(POLL_INTERVAL).await;
     }
-    info!(log, "shutdown finished"; "duration_ms" => began.elapsed().as_millis() as u64);
+    info!(log, "shutdown finished"; "duration_ms" => started_at.elapsed().as_millis() as u64);
 }
 
-/// Takes what still comes, answers all that was taken, and closes.
+/// Keeps accepting requests for a while, answers all accepted ones, and closes the connections.
 pub async fn drain(controls: &[Rc<AcceptControl>], times: ShutdownTimes, log: &Logger) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     info!(log, "shutdown started"; "successor" => false, "connections" => open_connections(controls),
         "all_answered_ms" => times.all_answered.as_millis() as u64);
     for control in controls {
-        control.begin_shutdown(began + times.all_answered);
+        control.begin_shutdown(started_at + times.all_answered);
         control.protect_idle();
     }
-    while times.phase(began.elapsed(), quiet(controls, &times), latency(controls))
-        == ShutdownPhase::TakingRequests
+    while times.phase(started_at.elapsed(), time_since_last_request(controls, &times), max_latency(controls))
+        == ShutdownPhase::AcceptingRequests
     {
         sleep(POLL_INTERVAL).await;
     }
-    // The listener stays open: a late connection is answered and closed rather than reset.
-    close_connections(controls, began + times.connections_given_up, log).await;
-    info!(log, "shutdown finished"; "duration_ms" => began.elapsed().as_millis() as u64);
+    // The listener stays open: a late connection is answered and closed instead of reset.
+    close_connections(controls, started_at + times.connections_abandoned, log).await;
+    info!(log, "shutdown finished"; "duration_ms" => started_at.elapsed().as_millis() as u64);
 }
 
-/// Closes idle connections, and waits until none is left; from `give_up_at` on, until no request is in flight.
-pub async fn close_connections(controls: &[Rc<AcceptControl>], give_up_at: Instant, log: &Logger) {
-    let began = Instant::now();
+/// Closes idle connections and waits until no connection is open or, from `abandon_at` on, until no request
+/// is in flight.
+pub async fn close_connections(controls: &[Rc<AcceptControl>], abandon_at: Instant, log: &Logger) {
+    let started_at = Instant::now();
     for control in controls {
         control.close_connections();
     }
-    // Empty once may only mean that the next connection is not accepted yet.
-    let mut empty_in_a_row = 0;
-    while empty_in_a_row < 2 && began.elapsed() < LONGEST_SHUTDOWN {
+    // A single poll without connections may precede the accept of one that is in the listen queue.
+    let mut consecutive_empty_polls = 0;
+    while consecutive_empty_polls < 2 && started_at.elapsed() < LONGEST_SHUTDOWN {
         sleep(POLL_INTERVAL).await;
-        let is_empty = awaited_connections(controls, give_up_at) == 0;
-        empty_in_a_row = if is_empty { empty_in_a_row + 1 } else { 0 };
+        let is_empty = awaited_connections(controls, abandon_at) == 0;
+        consecutive_empty_polls = if is_empty { consecutive_empty_polls + 1 } else { 0 };
     }
     let connections = open_connections(controls);
     if connections > 0 {
@@ -192,20 +200,21 @@
     }
 }
 
-/// For how long no request has come on any of the listeners.
-fn quiet(controls: &[Rc<AcceptControl>], times: &ShutdownTimes) -> Duration {
+/// Returns the time since the last request on any of the listeners.
+fn time_since_last_request(controls: &[Rc<AcceptControl>], times: &ShutdownTimes) -> Duration {
     let quiet = controls.iter().map(|control| control.last_request_at().elapsed());
     quiet.min().unwrap_or(times.quiet_period)
 }
 
-/// What nearly all responses take at most, on the slowest of the listeners.
-fn latency(controls: &[Rc<AcceptControl>]) -> Option<Duration> {
+/// Returns an upper bound of the latency of nearly all responses on the slowest listener.
+fn max_latency(controls: &[Rc<AcceptControl>]) -> Option<Duration> {
     controls.iter().filter_map(|control| control.latency()).max()
 }
 
-/// Connections that the end waits for. Danger: clients that never close keep the program until it is killed.
-fn awaited_connections(controls: &[Rc<AcceptControl>], give_up_at: Instant) -> usize {
-    if Instant::now() < give_up_at {
+/// Returns the number of connections that the shutdown waits for. Without `abandon_at`, clients that never
+/// close would keep the process running until it is killed.
+fn awaited_connections(controls: &[Rc<AcceptControl>], abandon_at: Instant) -> usize {
+    if Instant::now() < abandon_at {
         return open_connections(controls);
     }
     controls.iter().map(|control| control.in_flight()).sum()
