--- a/crates/proxy/src/hot_restart/message.rs
+++ b/crates/proxy/src/hot_restart/message.rs
@@ -1,6 +1,6 @@
-//! Messages between the two processes of a hot restart: a JSON object a line.
+//! The messages between the two processes of a hot restart, one JSON object per line.
 //!
-//! [`super`] sends and reads them. Their serialized names are read by other builds and must not change.
+//! [`super`] sends and reads them. Other builds read their serialized names, which therefore must not change.
 
 use super::state_machine::ManualChange;
 use crate::clock::ClockReading;
@@ -9,12 +9,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Both processes must have the same one; another build may not.
+/// Version of the protocol. A takeover requires both processes to have the same version; other builds may
+/// differ.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Longest line, in bytes.
-pub const LONGEST_LINE_BYTES: usize = 16 << 20;
+/// Maximum length of a line, in bytes.
+pub const MAX_LINE_BYTES: usize = 16 << 20;
 
-/// One line.
+/// One message.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
@@ -23,7 +24,8 @@
         /// [`PROTOCOL_VERSION`].
         protocol: u32,
     },
-    /// All that it needs besides the listening socket, which comes along with the first byte of this line.
+    /// Everything the successor needs besides the listening socket, which is passed with the first byte of
+    /// this line.
     State(Box<State>),
     /// The successor is ready to serve.
     Ready,
@@ -33,29 +35,30 @@
     Attach(String),
 }
 
-/// What a process knows that its successor must.
+/// The state that a process hands over to its successor.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct State {
     /// [`PROTOCOL_VERSION`].
     pub protocol: u32,
-    /// The list as it is held, in discovery's form.
+    /// The current endpoint list, in the format of the discovery service.
     pub list: Option<String>,
-    /// What the decisions have learned of it.
+    /// What the decision module has learned about the endpoints.
     #[serde(rename = "knowledge")]
     pub learned_state: Option<LearnedState>,
-    /// Endpoints detached by operators.
+    /// Ids of the endpoints that operators have detached.
     #[serde(rename = "out")]
     pub detached: BTreeSet<String>,
-    /// When others were attached, on the process's clock.
+    /// When operators attached endpoints, by id, on the clock of the sending process.
     #[serde(rename = "back")]
     pub attached_at: BTreeMap<String, u64>,
-    /// The process's clock, which all times here are on; none from builds that did not hand it over.
+    /// The clock of the sending process, on which all times in this state are given. `None` from builds that
+    /// do not send it.
     #[serde(default)]
     pub clock: Option<ClockReading>,
-    /// When the list was last known to be complete.
+    /// When the endpoint list was last known to be complete.
     #[serde(default)]
     pub list_complete_at: Option<u64>,
-    /// Endpoints that count as started at another time than the list says.
+    /// Endpoints whose effective start time differs from the one in the endpoint list.
     #[serde(default)]
     pub start_times: BTreeMap<String, StartTime>,
 }
@@ -70,8 +73,8 @@
 }
 
 impl Message {
-    /// The line.
-    pub fn line(&self) -> Vec<u8> {
+    /// Serializes the message as one line.
+    pub fn to_line(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
--- a/crates/proxy/src/hot_restart/state_machine.rs
+++ b/crates/proxy/src/hot_restart/state_machine.rs
@@ -1,76 +1,77 @@
-//! Who listens, accepts and shares limits while two processes serve one address: a state machine without I/O.
+//! Decides which process listens, accepts connections and shares limits during a hot restart: a state machine
+//! without I/O.
 //!
-//! A process has at most one predecessor and one successor. Of these it needs to know only whether they live, and whether
-//! the successor is ready. [`super::HotRestart`] feeds it the events and performs the actions.
+//! A process has at most one predecessor and one successor. It only needs to know whether they are connected
+//! and whether the successor is ready. [`super::HotRestart`] passes in the events and performs the actions.
 
 /// An endpoint that an operator detached or attached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ManualChange {
-    /// Taken out, by its id.
+    /// The endpoint with this id was detached.
     Detach(String),
-    /// Put back, by its id.
+    /// The endpoint with this id was attached.
     Attach(String),
 }
 
-/// The other process.
+/// The other process of a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
-    /// The one that this one takes over from.
+    /// The process that this one takes over from.
     Predecessor,
-    /// The one that takes over from this one.
+    /// The process that takes over from this one.
     Successor,
 }
 
-/// What happened.
+/// An event that the state machine handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// This process is ready to serve.
     Ready,
-    /// The predecessor has been told so, and will read it whatever becomes of this process.
+    /// The ready message was written to the predecessor, which will read it even if this process ends.
     ReadySent,
     /// A successor has connected.
     SuccessorConnected,
-    /// It is ready to serve.
+    /// The successor is ready to serve.
     SuccessorReady,
-    /// The other process has ended, or the connection to it.
-    PeerGone(Peer),
-    /// This process shuts down.
+    /// The other process or the connection to it has ended.
+    PeerDisconnected(Peer),
+    /// This process has begun to shut down.
     ShutdownStarted,
-    /// An operator's change was made here.
-    ChangedHere(ManualChange),
-    /// The other process tells of one that was made there.
-    ChangedByPeer(Peer, ManualChange),
+    /// An operator made a change on this process.
+    LocalChange(ManualChange),
+    /// The other process reported a change that an operator made there.
+    PeerChange(Peer, ManualChange),
 }
 
-/// What is to be done.
+/// An action that the caller has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Listen for successors from now on.
     Listen,
-    /// Send the successor what it needs to serve.
+    /// Send the state to the successor.
     SendState,
-    /// Reject a successor: there is one already.
+    /// Reject a connecting successor because there is one already.
     RejectSuccessor,
-    /// Accept connections from clients, or leave them to the successor.
+    /// Start accepting client connections, or leave them to the successor.
     SetAccepting(bool),
-    /// Keep to one part in so many of the limits.
+    /// Use an equal share of the limits, which are divided among this many processes.
     ShareLimits(u32),
-    /// Tell the predecessor that this process is ready.
+    /// Notify the predecessor that this process is ready.
     SendReady,
-    /// Detach or attach an endpoint here.
+    /// Apply an operator's change to this process.
     ApplyChange(ManualChange),
-    /// Tell the other process of it.
+    /// Send an operator's change to the other process.
     SendChange(Peer, ManualChange),
 }
 
-/// What a process knows of its peers.
+/// The state of the hot restart from the view of one process.
 #[derive(Clone, Debug)]
 pub struct RestartState {
     has_predecessor: bool,
     successor: Option<SuccessorState>,
     is_listening: bool,
-    /// It shuts down, and a successor serves in its place.
-    leaves_to_successor: bool,
+    /// Whether this process began to shut down after a successor had replaced it.
+    shuts_down_replaced: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,57 +81,59 @@
 }
 
 impl RestartState {
-    /// A process that has just started, and its first actions.
+    /// Returns the state of a process that has just started, and its first actions.
     pub fn start(has_predecessor: bool) -> (RestartState, Vec<Action>) {
         let state = RestartState {
             has_predecessor,
             successor: None,
             is_listening: !has_predecessor,
-            leaves_to_successor: false,
+            shuts_down_replaced: false,
         };
-        let first = if has_predecessor { Action::ShareLimits(state.processes()) } else { Action::Listen };
+        let first = if has_predecessor { Action::ShareLimits(state.process_count()) } else { Action::Listen };
         (state, vec![first])
     }
 
-    /// Whether the successor serves in place of this one.
+    /// Whether the successor serves in place of this process.
     pub fn is_replaced(&self) -> bool {
         self.successor == Some(SuccessorState::Ready)
     }
 
-    fn processes(&self) -> u32 {
+    fn process_count(&self) -> u32 {
         1 + u32::from(self.has_predecessor) + u32::from(self.successor.is_some())
     }
 
-    /// Danger: a process that listens and never gets ready would keep the next one from the one that serves.
+    /// Returns [`Action::Listen`] unless this process listens already. A process must not listen before it is
+    /// ready: if it never became ready, the next process could not reach the one that serves.
     fn listen_once(&mut self) -> Option<Action> {
         (!std::mem::replace(&mut self.is_listening, true)).then_some(Action::Listen)
     }
 
-    /// Takes one event, and says what is to be done, in this order.
+    /// Handles one event and returns the actions to perform, in order.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         match event {
-            // Danger: listening before the predecessor is sure to know, a process that dies between the two leaves
-            // nobody that listens, and the next process shares the address where it should take over.
+            // Listens only after the ready message was sent. If this process listened earlier and died before
+            // sending the message, no process would listen, and the next one would bind the address instead
+            // of taking it over.
             Event::Ready if self.has_predecessor => vec![Action::SendReady],
             Event::Ready | Event::ReadySent => self.listen_once().into_iter().collect(),
             Event::SuccessorConnected if self.successor.is_some() => vec![Action::RejectSuccessor],
             Event::SuccessorConnected => {
                 self.successor = Some(SuccessorState::Starting);
-                vec![Action::ShareLimits(self.processes()), Action::SendState]
+                vec![Action::ShareLimits(self.process_count()), Action::SendState]
             }
             Event::SuccessorReady if self.successor == Some(SuccessorState::Starting) => {
                 self.successor = Some(SuccessorState::Ready);
                 vec![Action::SetAccepting(false)]
             }
             Event::SuccessorReady => Vec::new(),
-            Event::PeerGone(Peer::Successor) => self.on_successor_gone(),
-            Event::PeerGone(Peer::Predecessor) => self.on_predecessor_gone(),
+            Event::PeerDisconnected(Peer::Successor) => self.on_successor_disconnected(),
+            Event::PeerDisconnected(Peer::Predecessor) => self.on_predecessor_disconnected(),
             Event::ShutdownStarted => {
-                self.leaves_to_successor |= self.is_replaced();
+                self.shuts_down_replaced |= self.is_replaced();
                 Vec::new()
             }
-            Event::ChangedHere(change) => self.notify_peers(None, &change),
-            Event::ChangedByPeer(from, change) => {
+            Event::LocalChange(change) => self.notify_peers(None, &change),
+            Event::PeerChange(from, change) => {
                 let mut actions = vec![Action::ApplyChange(change.clone())];
                 actions.extend(self.notify_peers(Some(from), &change));
                 actions
@@ -138,31 +141,31 @@
         }
     }
 
-    fn on_successor_gone(&mut self) -> Vec<Action> {
+    fn on_successor_disconnected(&mut self) -> Vec<Action> {
         let Some(successor) = self.successor.take() else { return Vec::new() };
-        // Danger: a process that answers long bodies outlives its successor, which a third one has replaced, and would
-        // take what is the third one's.
-        let takes_back = successor == SuccessorState::Ready && !self.leaves_to_successor;
-        if !takes_back {
-            return vec![Action::ShareLimits(self.processes())];
+        // A process that is still sending long bodies can outlive its successor, which a third process has
+        // replaced. It must not accept again, because the address belongs to the third process.
+        let resumes_accepting = successor == SuccessorState::Ready && !self.shuts_down_replaced;
+        if !resumes_accepting {
+            return vec![Action::ShareLimits(self.process_count())];
         }
-        // The successor was ready, so that the path is no longer this one's.
-        vec![Action::SetAccepting(true), Action::ShareLimits(self.processes()), Action::Listen]
+        // The successor was ready, so the socket path no longer belongs to this process.
+        vec![Action::SetAccepting(true), Action::ShareLimits(self.process_count()), Action::Listen]
     }
 
-    fn on_predecessor_gone(&mut self) -> Vec<Action> {
+    fn on_predecessor_disconnected(&mut self) -> Vec<Action> {
         if !std::mem::take(&mut self.has_predecessor) {
             return Vec::new();
         }
-        let mut actions = vec![Action::ShareLimits(self.processes())];
+        let mut actions = vec![Action::ShareLimits(self.process_count())];
         actions.extend(self.listen_once());
         actions
     }
 
-    /// Tells the peers of a change, but not the one that it came from.
+    /// Returns the actions that send a change to all connected peers except the one it came from.
     fn notify_peers(&self, from: Option<Peer>, change: &ManualChange) -> Vec<Action> {
         let peers = [(Peer::Predecessor, self.has_predecessor), (Peer::Successor, self.successor.is_some())];
-        let others = peers.into_iter().filter(|(peer, is_there)| *is_there && Some(*peer) != from);
+        let others = peers.into_iter().filter(|(peer, is_connected)| *is_connected && Some(*peer) != from);
         others.map(|(peer, _)| Action::SendChange(peer, change.clone())).collect()
     }
 }
--- a/crates/proxy/src/hot_restart/tests.rs
+++ b/crates/proxy/src/hot_restart/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use std::io::BufRead;
 
-/// A backend is taken out here at the moment at which the next process is told the state.
+/// A host on which an operator detaches an endpoint while the state is read for the successor.
 #[derive(Default)]
-struct Changing(RefCell<Weak<HotRestart>>);
+struct ChangingHost(RefCell<Weak<HotRestart>>);
 
-impl HotRestartHost for Changing {
+impl HotRestartHost for ChangingHost {
     fn listener(&self) -> io::Result<OwnedFd> {
         Ok(TcpListener::bind(("127.0.0.1", 0))?.into())
     }
@@ -18,26 +18,26 @@
 
     fn set_accepting(&self, _: bool) {}
     fn share_limits(&self, _: u32) {}
-    fn apply(&self, _: &ManualChange) {}
+    fn apply_change(&self, _: &ManualChange) {}
 }
 
 #[test]
-fn what_is_done_by_hand_while_the_state_is_on_its_way_reaches_the_next_process() {
+fn manual_change_during_the_handover_reaches_the_successor() {
     actix_rt::System::new().block_on(async {
         let name = format!("olivecart-hot_restart-test-{}.sock", std::process::id());
-        let (path, host) = (std::env::temp_dir().join(name), Rc::new(Changing::default()));
+        let (path, host) = (std::env::temp_dir().join(name), Rc::new(ChangingHost::default()));
         let log = Logger::root(slog::Discard, slog::o!());
         let hot_restart = HotRestart::start(host.clone(), path.clone(), None, log);
         host.0.replace(Rc::downgrade(&hot_restart));
-        let told = tokio::task::spawn_blocking(move || {
-            let PeerConnection { stream, read_ahead } = take_over(&path).expect("let in").connection;
+        let first_line = tokio::task::spawn_blocking(move || {
+            let PeerConnection { stream, read_ahead } = take_over(&path).expect("handover").connection;
             let _ = std::fs::remove_file(&path);
             let mut line = String::new();
             io::BufReader::new(io::Read::chain(read_ahead.as_slice(), stream))
                 .read_line(&mut line)
                 .map(|_| line)
         });
-        let line = told.await.expect("no panic").expect("in time");
+        let line = first_line.await.expect("no panic").expect("received");
         assert!(matches!(serde_json::from_str(&line), Ok(Message::Detach(id)) if id == "a"), "{line}");
     });
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -11,7 +11,7 @@
 use crate::descriptors::Descriptors;
 use crate::hot_restart::HotRestart;
 use crate::listen::{AcceptControl, ListenerParts};
-use crate::serving_process::{ProcessLimits, ServingProcess, TakenOver};
+use crate::serving_process::{AcquiredListener, ProcessLimits, ServingProcess};
 use crate::shutdown::{ShutdownSignals, ShutdownTimes};
 use crate::stats::Stats;
 use crate::{catalog, console, listen, reload, serving_process, shutdown};
@@ -135,7 +135,7 @@
         let listener = listen::bind(listen, false)?.into_std()?;
         return Ok(Some(OpenListener { listener, path: None, taken_over: None, connection: None }));
     }
-    let TakenOver { listener, path, predecessor } = tokio::select! {
+    let AcquiredListener { listener, path, predecessor } = tokio::select! {
         taken = serving_process::take_over_or_bind(listen, log) => {
             taken.map_err(|e| format!("listen: {listen}: {e}"))?
         }
--- a/crates/proxy/src/serving_process.rs
+++ b/crates/proxy/src/serving_process.rs
@@ -1,15 +1,15 @@
-//! This process as its predecessor and successor have it: it takes over the listener or binds it, and implements
-//! [`HotRestartHost`].
+//! This process in a hot restart: takes over or binds the client listener, and implements [`HotRestartHost`].
 //!
-//! `cli.rs` makes one [`ServingProcess`], and tells it of new limits. It stands between `hot_restart` and what that may
-//! change: the listener's [`AcceptControl`], the clusters and the memory budget.
+//! `serve.rs` creates one [`ServingProcess`] and passes it new limits. It connects `hot_restart` to the parts
+//! of the process that a hot restart changes: the listener's [`AcceptControl`], the clusters and the body
+//! memory limit.
 
 use crate::bodies::BodyMemoryLimit;
 use crate::clusters::Clusters;
 use crate::config::Sockets;
 use crate::console::request::AdminRequest;
 use crate::hot_restart::state_machine::ManualChange;
-use crate::hot_restart::{self, HotRestartHost, Inheritance, PeerConnection, State};
+use crate::hot_restart::{self, Handover, HotRestartHost, PeerConnection, State};
 use crate::listen::{self, AcceptControl};
 use slog::{Logger, info};
 use std::cell::Cell;
@@ -20,39 +20,39 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An address that is in use is tried again for this long; the platform waits 6 s for a new process.
+/// How long binding an address in use is retried. The platform waits 6 s for a new process.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(4);
-/// How often it is tried.
+/// Interval between two attempts to bind.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The clients' listener, and what was taken over with it.
-pub struct TakenOver {
-    /// Where clients connect.
+/// The client listener, and the predecessor if the listener was taken over from one.
+pub struct AcquiredListener {
+    /// The socket that clients connect to.
     pub listener: TcpListener,
-    /// Where this process listens for its successor.
+    /// The path where this process listens for its successor.
     pub path: PathBuf,
     /// The state of the predecessor, and the connection to it.
     pub predecessor: Option<(State, PeerConnection)>,
 }
 
-/// Takes the clients' listener over from the process that serves the address, or binds it.
+/// Takes the client listener over from the process that serves the address, or binds the address.
 ///
 /// # Errors
-/// The address can't be had.
-pub async fn take_over_or_bind(listen: SocketAddr, log: &Logger) -> io::Result<TakenOver> {
-    let path = hot_restart::path(&std::env::temp_dir(), listen);
+/// Returns an error if the address cannot be bound.
+pub async fn take_over_or_bind(listen: SocketAddr, log: &Logger) -> io::Result<AcquiredListener> {
+    let path = hot_restart::socket_path(&std::env::temp_dir(), listen);
     match hot_restart::take_over(&path) {
-        Ok(Inheritance { listener, state, connection }) => {
+        Ok(Handover { listener, state, connection }) => {
             info!(log, "listener taken over"; "on" => %listen, "path" => %path.display());
-            return Ok(TakenOver { listener, path, predecessor: Some((state, connection)) });
+            return Ok(AcquiredListener { listener, path, predecessor: Some((state, connection)) });
         }
         Err(e) => info!(log, "no process to take over from"; "reason" => %e),
     }
     let deadline = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
     loop {
-        // A process with a console shares the address with its successor, should that not be let in.
+        // The address is bound as shared, so that a successor that could not take over can still bind it.
         match listen::bind(listen, true).and_then(tokio::net::TcpListener::into_std) {
-            Ok(listener) => return Ok(TakenOver { listener, path, predecessor: None }),
+            Ok(listener) => return Ok(AcquiredListener { listener, path, predecessor: None }),
             Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < deadline => {
                 tokio::time::sleep(BIND_RETRY_INTERVAL).await;
             }
@@ -61,30 +61,30 @@
     }
 }
 
-/// What this process has that a successor may ask of it.
+/// The parts of this process that take part in a hot restart.
 pub struct ServingProcess {
     control: Rc<AcceptControl>,
     clusters: Rc<Clusters>,
-    /// There where a successor may take over.
+    /// The client listener, if a successor may take it over.
     listener: Option<TcpListener>,
-    /// The limits of all processes of the address together.
+    /// The limits of all processes that serve the address, together.
     limits: Cell<ProcessLimits>,
     budget: Rc<BodyMemoryLimit>,
-    /// Processes that share the limits.
+    /// The number of processes that share the limits.
     processes: Cell<u32>,
 }
 
-/// What all processes of an address may use together.
+/// The limits of all processes that serve an address, together.
 #[derive(Clone, Copy)]
 pub struct ProcessLimits {
-    /// Descriptors.
+    /// The descriptor limits of clients and backends.
     pub sockets: Sockets,
-    /// Bytes that long bodies may hold.
+    /// Memory for long bodies, in bytes.
     pub body_bytes: usize,
 }
 
 impl ServingProcess {
-    /// A process that has the limits for itself.
+    /// Creates a process that shares its limits with no other one.
     pub fn new(
         control: Rc<AcceptControl>,
         clusters: Rc<Clusters>,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Other limits hold from now on, of which it keeps to its part.
+    /// Replaces the limits and applies this process's share of them.
     pub fn set_limits(&self, limits: ProcessLimits) {
         self.limits.set(limits);
         self.share_limits(self.processes.get());
@@ -126,13 +126,13 @@
     fn share_limits(&self, processes: u32) {
         self.processes.set(processes);
         let ProcessLimits { sockets, body_bytes } = self.limits.get();
-        let own_part = sockets.part(processes);
-        self.control.set_limits(own_part);
-        self.clusters.limit_connections(own_part.backends);
+        let own_share = sockets.part(processes);
+        self.control.set_limits(own_share);
+        self.clusters.limit_connections(own_share.backends);
         self.budget.adopt(body_bytes / processes.max(1) as usize);
     }
 
-    fn apply(&self, change: &ManualChange) {
+    fn apply_change(&self, change: &ManualChange) {
         let request = match change.clone() {
             ManualChange::Detach(target) => AdminRequest::Detach(target),
             ManualChange::Attach(target) => AdminRequest::Attach(target),
@@ -141,7 +141,8 @@
     }
 }
 
-/// What the peers of this process are told of an operator's request; none if it changes nothing.
+/// Returns the change that an operator's request makes and that peers have to apply as well, or `None` if the
+/// request changes nothing.
 pub fn manual_change(request: &AdminRequest) -> Option<ManualChange> {
     match request {
         AdminRequest::Detach(target) => Some(ManualChange::Detach(target.clone())),
