--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -5,9 +5,9 @@
 
 use crate::bodies::LONGEST;
 use crate::connect::{Connect, ConnectFailure, SystemConnect};
-use crate::descriptors::{Descriptors, Holder, Open};
+use crate::descriptors::{Descriptors, IdleConnectionPool, OpenConnection};
 use crate::response_monitor::ResponseMonitor;
-use crate::wire::Wire;
+use crate::wire::ObservedStream;
 use actix_service::fn_service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
 use awc::http::Uri;
@@ -70,7 +70,7 @@
     connect: Rc<dyn Connect>,
     connect_timeout: Duration,
     /// Of all connections, and of this cluster's.
-    _open: [Open; 2],
+    _open: [OpenConnection; 2],
 }
 
 /// Where a connection that has come up waits for the client that is to use it.
@@ -141,17 +141,17 @@
     descriptors: Rc<Descriptors>,
     /// Most connections of this one, idle ones included, and how many there are.
     most: Cell<usize>,
-    open: Open,
+    open: OpenConnection,
     connect: Rc<dyn Connect>,
     log: Logger,
 }
 
-impl Holder for Table {
-    fn most_idle(&self) -> usize {
+impl IdleConnectionPool for Table {
+    fn max_idle_per_endpoint(&self) -> usize {
         self.0.borrow().iter().map(|b| b.idle.len()).max().unwrap_or(0)
     }
 
-    fn give_up(&self) {
+    fn close_longest_idle(&self) {
         let mut table = self.0.borrow_mut();
         let fullest = table.iter_mut().max_by_key(|b| b.idle.len()).filter(|b| !b.idle.is_empty());
         fullest.into_iter().for_each(|b| _ = b.idle.remove(0));
@@ -168,7 +168,7 @@
     ) -> Backends {
         let table: Rc<Table> = Rc::default();
         let holder = Rc::downgrade(&table);
-        descriptors.enter(holder);
+        descriptors.register(holder);
         Backends {
             table,
             connect_timeout: Cell::new(connect_timeout),
@@ -269,13 +269,13 @@
         }
         drop(table); // which may have to make room
         if self.connections() >= self.most.get() {
-            self.table.give_up();
+            self.table.close_longest_idle();
             if self.connections() >= self.most.get() {
                 return Err(LeaseError::AtLimit(endpoint));
             }
         }
         debug!(self.log, "connect"; "open" => self.connections(), "endpoint" => endpoint.0);
-        let descriptor = self.descriptors.take().ok_or(LeaseError::AtLimit(endpoint))?;
+        let descriptor = self.descriptors.acquire().ok_or(LeaseError::AtLimit(endpoint))?;
         Ok(self.connection(target, [descriptor, self.open.clone()]))
     }
 
@@ -313,7 +313,7 @@
         }
     }
 
-    fn connection(&self, target: Target, open: [Open; 2]) -> Lease {
+    fn connection(&self, target: Target, open: [OpenConnection; 2]) -> Lease {
         let seen = Rc::new(ResponseMonitor::new(LONGEST as usize));
         let established = Established::default();
         Lease {
@@ -334,7 +334,7 @@
 fn client_of(established: &Established, seen: &Rc<ResponseMonitor>) -> Client {
     let (established, seen) = (established.clone(), seen.clone());
     plain_client(HANDED_OVER, move || {
-        let connection = established.take().map(|stream| Wire { stream, observer: seen.clone() });
+        let connection = established.take().map(|stream| ObservedStream { stream, observer: seen.clone() });
         ready(connection.ok_or_else(|| io::Error::from(io::ErrorKind::NotConnected)))
     })
 }
@@ -348,7 +348,7 @@
             let stream = TcpStream::connect(addr).await?;
             let _ = stream.set_nodelay(true);
             seen.on_connected();
-            Ok(Wire { stream, observer: seen })
+            Ok(ObservedStream { stream, observer: seen })
         }
     })
 }
@@ -357,7 +357,7 @@
 /// lingering when a connection is dropped.
 fn plain_client<F>(connect_timeout: Duration, connect: impl Fn() -> F + Clone + 'static) -> Client
 where
-    F: Future<Output = io::Result<Wire<ResponseMonitor>>> + 'static,
+    F: Future<Output = io::Result<ObservedStream<ResponseMonitor>>> + 'static,
 {
     let service = fn_service(move |info: ConnectInfo<Uri>| {
         let connecting = connect();
--- a/crates/proxy/src/clusters/mod.rs
+++ b/crates/proxy/src/clusters/mod.rs
@@ -102,7 +102,7 @@
 
     /// Changes the limit on connections to endpoints.
     pub fn limit_connections(&self, max_connections: usize) {
-        self.shared.descriptors.adopt(max_connections);
+        self.shared.descriptors.set_limit(max_connections);
     }
 
     /// The size of all lists together, and how many of their endpoints are avoided now.
--- a/crates/proxy/src/connect.rs
+++ b/crates/proxy/src/connect.rs
@@ -1,6 +1,8 @@
-//! Establishes TCP connections to endpoints, and says whose fault it is when one fails to come up.
+//! Establishes TCP connections to endpoints, and classifies connect failures as local or caused by the
+//! endpoint.
 //!
-//! [`Connect`] is the seam to the operating system, used by `backends`; nothing here knows requests or retries.
+//! [`Connect`] abstracts the operating system for `backends`. This module knows nothing of requests or
+//! retries.
 
 use rustix::io::Errno;
 use std::future::Future;
@@ -14,11 +16,11 @@
 
 /// Establishes connections.
 pub trait Connect {
-    /// Begins one.
+    /// Starts to connect to `addr`.
     fn connect(&self, addr: SocketAddr) -> Connecting;
 }
 
-/// Through the operating system.
+/// Connects through the operating system.
 pub struct SystemConnect;
 
 impl Connect for SystemConnect {
@@ -27,22 +29,22 @@
     }
 }
 
-/// Why a connection did not come up. Nothing was sent on it.
+/// Why a connection could not be established. No bytes were sent on it.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFailure {
-    /// It did not come up in time.
-    #[error("the connection to {0} did not come up in time")]
+    /// The connect timeout expired.
+    #[error("connect to {0} timed out")]
     TimedOut(SocketAddr),
-    /// The endpoint, or the way to it, does not take connections.
-    #[error("no connection to {0}: {1}")]
+    /// The endpoint or the network path to it refused the connection.
+    #[error("connect to {0} failed: {1}")]
     Unreachable(SocketAddr, io::Error),
-    /// This machine has no means for it now. It tells nothing of the endpoint.
-    #[error("this machine could not connect to {0}: {1}")]
+    /// This machine lacked a resource to connect, which says nothing about the endpoint.
+    #[error("connect to {0} failed because of a local error: {1}")]
     Local(SocketAddr, io::Error),
 }
 
-/// Failures of `socket` and `connect` that are this machine's own: no port, memory, descriptor or network, or
-/// a signal.
+/// Errors of `socket` and `connect` that this machine causes: no port, memory, descriptor or network, or a
+/// signal.
 const LOCAL_ERRORS: [Errno; 10] = [
     Errno::ADDRNOTAVAIL,
     Errno::ADDRINUSE,
@@ -57,7 +59,7 @@
 ];
 
 impl ConnectFailure {
-    /// What a failed `socket` or `connect` means.
+    /// Classifies an error of `socket` or `connect`.
     pub fn of(addr: SocketAddr, error: io::Error) -> ConnectFailure {
         let local = Errno::from_io_error(&error).is_some_and(|errno| LOCAL_ERRORS.contains(&errno));
         if local { ConnectFailure::Local(addr, error) } else { ConnectFailure::Unreachable(addr, error) }
--- a/crates/proxy/src/connect/tests.rs
+++ b/crates/proxy/src/connect/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_failure_of_this_machine_is_told_from_an_endpoint_that_is_not_reached() {
+fn local_errors_are_distinguished_from_unreachable_endpoints() {
     let addr = SocketAddr::from(([127, 0, 0, 1], 9));
     let failed = |errno: Errno| ConnectFailure::of(addr, errno.into());
     for errno in [
@@ -21,7 +21,7 @@
     let text = failed(Errno::MFILE).to_string();
     assert!(text.contains("127.0.0.1:9"), "{text}");
     assert!(matches!(
-        ConnectFailure::of(addr, io::Error::other("no number")),
+        ConnectFailure::of(addr, io::Error::other("no errno")),
         ConnectFailure::Unreachable(..)
     ));
 }
--- a/crates/proxy/src/descriptors.rs
+++ b/crates/proxy/src/descriptors.rs
@@ -1,60 +1,64 @@
-//! The descriptors for connections to backends: one budget for all clusters.
+//! The descriptor limit for connections to backends, shared by all clusters.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 
-/// Counts as one open connection while it lives.
-pub type Open = Rc<()>;
+/// Counts as one open connection until it is dropped.
+pub type OpenConnection = Rc<()>;
 
-/// Whoever holds idle connections.
-pub trait Holder {
-    /// How many the endpoint holds that holds most.
-    fn most_idle(&self) -> usize;
-    /// Closes the one of it that has been idle longest.
-    fn give_up(&self);
+/// An owner of idle connections, such as the connections of one cluster.
+pub trait IdleConnectionPool {
+    /// Returns the largest number of idle connections to a single endpoint.
+    fn max_idle_per_endpoint(&self) -> usize;
+    /// Closes the connection that has been idle longest among those to the endpoint with the most idle
+    /// connections.
+    fn close_longest_idle(&self);
 }
 
-/// Most connections, idle ones included, how many there are, and who may hold idle ones.
+/// The limit on connections, idle ones included, the number of open ones, and the pools that can close idle
+/// ones.
 pub struct Descriptors {
-    most: Cell<usize>,
-    open: Open,
-    holders: RefCell<Vec<Weak<dyn Holder>>>,
+    limit: Cell<usize>,
+    open: OpenConnection,
+    pools: RefCell<Vec<Weak<dyn IdleConnectionPool>>>,
 }
 
 impl Descriptors {
-    /// None is open.
-    pub fn new(most: usize) -> Descriptors {
-        Descriptors { most: Cell::new(most), open: Rc::default(), holders: RefCell::default() }
+    /// Creates a limit without open connections.
+    pub fn new(limit: usize) -> Descriptors {
+        Descriptors { limit: Cell::new(limit), open: Rc::default(), pools: RefCell::default() }
     }
 
-    /// Another limit holds from now on.
-    pub fn adopt(&self, most: usize) {
-        self.most.set(most);
+    /// Replaces the limit.
+    pub fn set_limit(&self, limit: usize) {
+        self.limit.set(limit);
     }
 
-    /// One more that may give up idle connections, while it lives.
-    pub fn enter(&self, holder: Weak<dyn Holder>) {
-        let mut holders = self.holders.borrow_mut();
-        holders.retain(|holder| holder.strong_count() > 0);
-        holders.push(holder);
+    /// Adds a pool that can close idle connections, until it is dropped.
+    pub fn register(&self, pool: Weak<dyn IdleConnectionPool>) {
+        let mut pools = self.pools.borrow_mut();
+        pools.retain(|pool| pool.strong_count() > 0);
+        pools.push(pool);
     }
 
-    /// How many are open.
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         Rc::strong_count(&self.open) - 1
     }
 
-    /// One more; none if all are in work. The one that has been idle longest, of whoever has most to spare in
-    /// all clusters, makes room. Danger: a caller that has borrowed what its holder needs.
-    pub fn take(&self) -> Option<Open> {
-        if self.open() >= self.most.get() {
-            let holders = self.holders.borrow();
-            let holders = holders.iter().filter_map(Weak::upgrade);
-            let (_, fullest) = holders
-                .map(|h| (h.most_idle(), h))
+    /// Counts one more connection and returns its guard, or `None` if the limit is reached and no connection
+    /// is idle. At the limit, closes the connection that has been idle longest to the endpoint with the most
+    /// idle connections of all clusters. The caller must not hold a borrow of a pool's table, which
+    /// [`IdleConnectionPool`] borrows as well.
+    pub fn acquire(&self) -> Option<OpenConnection> {
+        if self.open() >= self.limit.get() {
+            let pools = self.pools.borrow();
+            let pools = pools.iter().filter_map(Weak::upgrade);
+            let (_, fullest) = pools
+                .map(|pool| (pool.max_idle_per_endpoint(), pool))
                 .filter(|(idle, _)| *idle > 0)
                 .max_by_key(|(idle, _)| *idle)?;
-            fullest.give_up();
+            fullest.close_longest_idle();
         }
         Some(self.open.clone())
     }
--- a/crates/proxy/src/descriptors/tests.rs
+++ b/crates/proxy/src/descriptors/tests.rs
@@ -1,36 +1,36 @@
 use super::*;
 
 /// Idle connections of one endpoint.
-struct Idle(RefCell<Vec<Open>>);
+struct IdleEndpoint(RefCell<Vec<OpenConnection>>);
 
-impl Holder for Idle {
-    fn most_idle(&self) -> usize {
+impl IdleConnectionPool for IdleEndpoint {
+    fn max_idle_per_endpoint(&self) -> usize {
         self.0.borrow().len()
     }
 
-    fn give_up(&self) {
+    fn close_longest_idle(&self) {
         self.0.borrow_mut().remove(0);
     }
 }
 
 #[test]
-fn of_all_clusters_the_one_with_most_to_spare_makes_room() {
-    let budget = Descriptors::new(5);
-    let holders = [2, 3].map(|n| {
-        let idle = (0..n).map(|_| budget.take().expect("room")).collect();
-        let holder = Rc::new(Idle(RefCell::new(idle)));
-        let weak: Weak<dyn Holder> = Rc::downgrade(&holder) as _;
-        budget.enter(weak);
-        holder
+fn pool_with_the_most_idle_connections_closes_one_at_the_limit() {
+    let descriptors = Descriptors::new(5);
+    let pools = [2, 3].map(|n| {
+        let idle = (0..n).map(|_| descriptors.acquire().expect("below the limit")).collect();
+        let pool = Rc::new(IdleEndpoint(RefCell::new(idle)));
+        let weak: Weak<dyn IdleConnectionPool> = Rc::downgrade(&pool) as _;
+        descriptors.register(weak);
+        pool
     });
-    let left = || holders.each_ref().map(|h| h.most_idle());
-    let mut busy = vec![budget.take().expect("the second makes room")];
-    assert_eq!((left(), budget.open()), ([2, 2], 5));
-    busy.extend((0..4).map(|_| budget.take().expect("one of them makes room")));
-    assert_eq!((left(), budget.open()), ([0, 0], 5));
-    assert!(budget.take().is_none(), "all are in work");
+    let idle_counts = || pools.each_ref().map(|pool| pool.max_idle_per_endpoint());
+    let mut busy = vec![descriptors.acquire().expect("the second pool closes one")];
+    assert_eq!((idle_counts(), descriptors.open()), ([2, 2], 5));
+    busy.extend((0..4).map(|_| descriptors.acquire().expect("one of the pools closes one")));
+    assert_eq!((idle_counts(), descriptors.open()), ([0, 0], 5));
+    assert!(descriptors.acquire().is_none(), "all connections are in use");
     busy.pop();
-    assert!(budget.take().is_some());
-    budget.adopt(3);
-    assert!(budget.take().is_none());
+    assert!(descriptors.acquire().is_some());
+    descriptors.set_limit(3);
+    assert!(descriptors.acquire().is_none());
 }
--- a/crates/proxy/src/interrupted.rs
+++ b/crates/proxy/src/interrupted.rs
@@ -1,7 +1,8 @@
-//! Socket calls that a signal interrupted (EINTR), repeated.
+//! Repeats socket calls that a signal interrupted (EINTR).
 //!
-//! Neither tokio nor the HTTP library repeats them: both take EINTR for the end of the connection. The listeners'
-//! connections are read and written through here. Nothing here knows what is read or written.
+//! Neither tokio nor the HTTP library repeats them: both treat EINTR as the end of the connection.
+//! Connections that were accepted by a listener are read and written through this module, which does not
+//! interpret the bytes.
 
 use actix_rt::net::{ActixStream, Ready};
 use std::io::{self, ErrorKind};
@@ -9,16 +10,16 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// So many interrupted calls in a row are repeated at once; then the other tasks have a turn first.
-const REPEATED_AT_ONCE: usize = 16;
+/// Maximum number of interrupted calls in a row before other tasks run.
+const MAX_IMMEDIATE_RETRIES: usize = 16;
 
-/// Makes a call until it is not interrupted. After [`REPEATED_AT_ONCE`] interruptions it is pending, with the task
-/// woken: the runtime still holds that the socket is ready, so that nothing else would wake the task.
+/// Repeats a call until it is not interrupted. After [`MAX_IMMEDIATE_RETRIES`] interruptions, returns pending
+/// and wakes the task, because the runtime still considers the socket ready and would not wake it.
 pub fn poll_uninterrupted<T>(
     cx: &mut Context<'_>,
     mut call: impl FnMut(&mut Context<'_>) -> Poll<io::Result<T>>,
 ) -> Poll<io::Result<T>> {
-    for _ in 0..REPEATED_AT_ONCE {
+    for _ in 0..MAX_IMMEDIATE_RETRIES {
         match call(cx) {
             Poll::Ready(Err(e)) if e.kind() == ErrorKind::Interrupted => {}
             done => return done,
@@ -28,7 +29,7 @@
     Poll::Pending
 }
 
-/// A stream whose reads and writes are repeated when they are interrupted.
+/// A stream that repeats interrupted reads and writes.
 pub struct Uninterrupted<S>(pub S);
 
 impl<S: AsyncRead + Unpin> AsyncRead for Uninterrupted<S> {
--- a/crates/proxy/src/interrupted/tests.rs
+++ b/crates/proxy/src/interrupted/tests.rs
@@ -5,14 +5,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Interruptions that are still to come, of each kind of call.
+/// The number of calls that are still to be interrupted, by kind.
 #[derive(Clone, Default)]
 pub struct Interruptions {
-    /// Of reads by way of the runtime.
+    /// Reads through the runtime.
     pub reads: Rc<Cell<usize>>,
-    /// Of reads without it.
+    /// Reads that bypass the runtime.
     pub direct_reads: Rc<Cell<usize>>,
-    /// Of writes.
+    /// Writes.
     pub writes: Rc<Cell<usize>>,
 }
 
@@ -20,16 +20,16 @@
 pub struct InterruptedSocket<S> {
     /// The socket itself.
     pub socket: S,
-    /// What is still to come.
+    /// The remaining interruptions.
     pub interruptions: Interruptions,
 }
 
-/// Fails once more, if it is still to.
-fn interrupt(left: &Cell<usize>) -> io::Result<()> {
-    if left.get() == 0 {
+/// Fails with `Interrupted` and decrements the count unless it is 0.
+fn interrupt(remaining: &Cell<usize>) -> io::Result<()> {
+    if remaining.get() == 0 {
         return Ok(());
     }
-    left.set(left.get() - 1);
+    remaining.set(remaining.get() - 1);
     Err(ErrorKind::Interrupted.into())
 }
 
@@ -81,28 +81,28 @@
 }
 
 #[test]
-fn a_hundred_interruptions_in_a_row_neither_end_a_stream_nor_lose_a_byte() {
+fn consecutive_interruptions_neither_end_a_stream_nor_lose_a_byte() {
     actix_rt::System::new().block_on(async {
-        let (near, mut far) = tokio::io::duplex(64);
+        let (socket, mut peer) = tokio::io::duplex(64);
         let interruptions = Interruptions::default();
         interruptions.reads.set(100);
         interruptions.writes.set(100);
-        let socket = InterruptedSocket { socket: near, interruptions: interruptions.clone() };
+        let socket = InterruptedSocket { socket, interruptions: interruptions.clone() };
         let mut stream = Uninterrupted(socket);
-        far.write_all(b"ping").await.expect("taken");
-        let mut came = [0; 4];
-        // One call each, as the HTTP library makes it.
-        assert_eq!(stream.read(&mut came).await.expect("no end"), 4);
+        peer.write_all(b"ping").await.expect("taken");
+        let mut received = [0; 4];
+        // A single call each, as the HTTP library makes it.
+        assert_eq!(stream.read(&mut received).await.expect("no end"), 4);
         assert_eq!(stream.write(b"pong").await.expect("no end"), 4);
-        let mut answer = [0; 4];
-        far.read_exact(&mut answer).await.expect("all of it");
-        assert_eq!((&came, &answer), (b"ping", b"pong"));
+        let mut response = [0; 4];
+        peer.read_exact(&mut response).await.expect("all of it");
+        assert_eq!((&received, &response), (b"ping", b"pong"));
         assert_eq!((interruptions.reads.get(), interruptions.writes.get()), (0, 0));
     });
 }
 
 #[test]
-fn calls_that_go_on_being_interrupted_leave_the_other_tasks_their_turn() {
+fn call_that_keeps_being_interrupted_yields_to_other_tasks() {
     let mut cx = Context::from_waker(std::task::Waker::noop());
     let mut calls = 0;
     let polled = poll_uninterrupted::<()>(&mut cx, |_| {
@@ -110,5 +110,5 @@
         Poll::Ready(Err(ErrorKind::Interrupted.into()))
     });
     assert!(polled.is_pending());
-    assert_eq!(calls, REPEATED_AT_ONCE);
+    assert_eq!(calls, MAX_IMMEDIATE_RETRIES);
 }
--- a/crates/proxy/src/response_monitor.rs
+++ b/crates/proxy/src/response_monitor.rs
@@ -34,7 +34,7 @@
 /// Says whether the first byte of a request may be written.
 pub type Gate = Box<dyn Fn() -> io::Result<()>>;
 
-/// What is known of a connection to an endpoint, or to discovery. Owned by its lease; [`Wire`](crate::wire::Wire) reads
+/// What is known of a connection to an endpoint, or to discovery. Owned by its lease; [`ObservedStream`](crate::wire::ObservedStream) reads
 /// and writes through it. It never decides whether a request is retried.
 pub struct ResponseMonitor {
     /// It came up, now or for an earlier request: bytes of this one may have been written.
--- a/crates/proxy/src/wire.rs
+++ b/crates/proxy/src/wire.rs
@@ -1,8 +1,9 @@
-//! A TCP stream to a backend or to discovery, with somebody at its reading end.
+//! A TCP stream to a backend or to the discovery service whose reads pass through an observer.
 //!
-//! awc takes an interim answer for the final one, drops what came behind an answer and uses
-//! the connection again, and tells neither whether a connection had come up nor a whole body from one that was
-//! cut off (`response_monitor.rs`). The clients' side is `clients/stream.rs`.
+//! The observer (`response_monitor.rs`) detects what the HTTP client awc does not report: awc treats an
+//! interim response as the final one, discards bytes behind a response and reuses the connection, and reports
+//! neither whether a connection was established nor whether a body was truncated. Streams from clients are in
+//! `clients/stream.rs`.
 
 use actix_rt::net::{ActixStream, Ready};
 use socket2::SockRef;
@@ -14,12 +15,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket, as far as a stream to a backend uses it: the seam to the operating system.
+/// The socket operations that a stream to a backend uses. Tests use an implementation whose calls are
+/// interrupted.
 pub trait Socket: AsyncRead + AsyncWrite + ActixStream {
-    /// Looks at the next byte without taking it; how many there were, 0 at the end of the stream.
+    /// Peeks at the next byte. Returns the number of bytes seen: 1, or 0 at the end of the stream.
     ///
     /// # Errors
-    /// `WouldBlock`: nothing has come.
+    /// Returns `WouldBlock` if no byte has arrived.
     fn peek_byte(&self) -> io::Result<usize>;
 }
 
@@ -29,8 +31,8 @@
     }
 }
 
-/// Does it again as long as a signal interrupts it. Danger: an interrupted call has done nothing, and taken for a
-/// broken connection it ends a request that may have run.
+/// Repeats a call while signals interrupt it. An interrupted call has had no effect; treating it as a
+/// connection failure would end a request that the backend may have processed.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match call() {
@@ -40,9 +42,9 @@
     }
 }
 
-/// Somebody through whom all reads of a stream go, and who is told of writes.
+/// Performs all reads of a stream and is notified of writes.
 pub trait StreamObserver {
-    /// Reads.
+    /// Reads from the stream.
     fn poll_read(
         &self,
         stream: Pin<&mut dyn Socket>,
@@ -50,36 +52,36 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>>;
 
-    /// Something is about to be written.
+    /// Called before each write.
     ///
     /// # Errors
-    /// It must not be.
+    /// Returns an error if the write is not allowed.
     fn on_write(&self) -> io::Result<()> {
         Ok(())
     }
 }
 
-/// The stream.
+/// A stream whose reads pass through its observer.
 #[derive(Debug)]
-pub struct Wire<T, S = TcpStream> {
+pub struct ObservedStream<T, S = TcpStream> {
     /// The socket.
     pub stream: S,
-    /// Who reads.
+    /// The observer.
     pub observer: Rc<T>,
 }
 
-impl<T: StreamObserver, S: Socket> AsyncRead for Wire<T, S> {
+impl<T: StreamObserver, S: Socket> AsyncRead for ObservedStream<T, S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let wire = &mut *self;
-        wire.observer.poll_read(Pin::new(&mut wire.stream), cx, buf)
+        let observed = &mut *self;
+        observed.observer.poll_read(Pin::new(&mut observed.stream), cx, buf)
     }
 }
 
-impl<T: StreamObserver, S: Socket> AsyncWrite for Wire<T, S> {
+impl<T: StreamObserver, S: Socket> AsyncWrite for ObservedStream<T, S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         if let Err(closed) = self.observer.on_write() {
             return Poll::Ready(Err(closed));
@@ -96,7 +98,7 @@
     }
 }
 
-impl<T: StreamObserver + 'static, S: Socket> ActixStream for Wire<T, S> {
+impl<T: StreamObserver + 'static, S: Socket> ActixStream for ObservedStream<T, S> {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.stream, cx)
     }
--- a/crates/proxy/src/wire/tests.rs
+++ b/crates/proxy/src/wire/tests.rs
@@ -5,41 +5,42 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Signals that come in a row.
-const INTERRUPTIONS: usize = 100;
+/// The number of interruptions before each successful call.
+const CONSECUTIVE_INTERRUPTIONS: usize = 100;
 
-/// A socket whose every read, write and look is interrupted many times before it is done.
+/// A socket on which every read, write and peek is interrupted [`CONSECUTIVE_INTERRUPTIONS`] times before it
+/// succeeds.
 #[derive(Debug)]
-struct Interrupted {
+struct InterruptedSocket {
     stream: TcpStream,
-    left: Cell<usize>,
+    remaining: Cell<usize>,
 }
 
-impl Interrupted {
-    fn interrupts(&self) -> io::Result<()> {
-        if self.left.get() == 0 {
-            self.left.set(INTERRUPTIONS);
+impl InterruptedSocket {
+    fn interrupt(&self) -> io::Result<()> {
+        if self.remaining.get() == 0 {
+            self.remaining.set(CONSECUTIVE_INTERRUPTIONS);
             return Ok(());
         }
-        self.left.set(self.left.get() - 1);
+        self.remaining.set(self.remaining.get() - 1);
         Err(io::ErrorKind::Interrupted.into())
     }
 }
 
-impl AsyncRead for Interrupted {
+impl AsyncRead for InterruptedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.interrupts()?;
+        self.interrupt()?;
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Interrupted {
+impl AsyncWrite for InterruptedSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.interrupts()?;
+        self.interrupt()?;
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
@@ -52,7 +53,7 @@
     }
 }
 
-impl ActixStream for Interrupted {
+impl ActixStream for InterruptedSocket {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.stream, cx)
     }
@@ -62,53 +63,53 @@
     }
 }
 
-impl Socket for Interrupted {
+impl Socket for InterruptedSocket {
     fn peek_byte(&self) -> io::Result<usize> {
-        self.interrupts()?;
+        self.interrupt()?;
         self.stream.peek_byte()
     }
 }
 
-/// Both ends of a connection, ours with many signals.
-async fn connection() -> (Wire<ResponseMonitor, Interrupted>, TcpStream) {
+/// Returns both ends of a connection. The calls of the proxy's end are interrupted.
+async fn connection() -> (ObservedStream<ResponseMonitor, InterruptedSocket>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
     let stream = TcpStream::connect(addr).await.expect("connected");
     let (peer, _) = listener.accept().await.expect("accepted");
-    let socket = Interrupted { stream, left: Cell::new(INTERRUPTIONS) };
+    let socket = InterruptedSocket { stream, remaining: Cell::new(CONSECUTIVE_INTERRUPTIONS) };
     let observer = Rc::new(ResponseMonitor::new(usize::MAX));
     observer.on_connected();
-    (Wire { stream: socket, observer }, peer)
+    (ObservedStream { stream: socket, observer }, peer)
 }
 
 #[test]
-fn a_hundred_signals_at_each_read_and_write_leave_a_request_and_its_answer_whole() {
+fn interrupted_reads_and_writes_do_not_damage_a_request_or_its_response() {
     const REQUEST: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
-    const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
+    const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
     actix_rt::System::new().block_on(async {
-        let (mut wire, mut peer) = connection().await;
-        wire.observer.begin(None);
-        wire.write_all(REQUEST).await.expect("written");
-        let mut got = [0; REQUEST.len()];
-        peer.read_exact(&mut got).await.expect("it came");
-        peer.write_all(ANSWER).await.expect("answered");
-        let mut got = [0; ANSWER.len()];
-        wire.read_exact(&mut got).await.expect("it came");
-        assert_eq!(got, ANSWER);
-        assert!(wire.observer.reusable());
+        let (mut stream, mut peer) = connection().await;
+        stream.observer.begin(None);
+        stream.write_all(REQUEST).await.expect("written");
+        let mut received = [0; REQUEST.len()];
+        peer.read_exact(&mut received).await.expect("request received");
+        peer.write_all(RESPONSE).await.expect("written");
+        let mut received = [0; RESPONSE.len()];
+        stream.read_exact(&mut received).await.expect("response received");
+        assert_eq!(received, RESPONSE);
+        assert!(stream.observer.reusable());
     });
 }
 
 #[test]
-fn a_signal_at_the_look_for_news_is_no_news() {
+fn interrupted_peek_does_not_count_as_received_bytes() {
     actix_rt::System::new().block_on(async {
-        let (mut wire, peer) = connection().await;
-        let nothing = poll_fn(|cx| {
-            let mut space = [0; 8];
-            Poll::Ready(Pin::new(&mut wire).poll_read(cx, &mut ReadBuf::new(&mut space)))
+        let (mut stream, peer) = connection().await;
+        let read = poll_fn(|cx| {
+            let mut buffer = [0; 8];
+            Poll::Ready(Pin::new(&mut stream).poll_read(cx, &mut ReadBuf::new(&mut buffer)))
         });
-        assert!(nothing.await.is_pending(), "nothing has come on it");
-        assert!(wire.observer.reusable(), "it can carry a request");
+        assert!(read.await.is_pending(), "no bytes have arrived");
+        assert!(stream.observer.reusable(), "the connection can carry a request");
         drop(peer);
     });
 }
