--- a/crates/proxy/src/accept.rs
+++ b/crates/proxy/src/accept.rs
@@ -66,8 +66,7 @@
     pub failure: AcceptFailure,
     /// The delay before the next accept.
     pub delay: Duration,
-    /// The number of earlier failures that were not logged, or `None` if this failure is not to be logged
-    /// either.
+    /// The number of earlier failures that were not logged, or `None` if this failure is not to be logged.
     pub suppressed_count: Option<u64>,
 }
 
--- a/crates/proxy/src/clients/stream.rs
+++ b/crates/proxy/src/clients/stream.rs
@@ -229,7 +229,7 @@
         buf.put_slice(&buffered[..length]);
         buffered.advance(length);
         if buffered.is_empty() {
-            *buffered = BytesMut::new(); // frees the memory: few clients send ahead, none does so always
+            *buffered = BytesMut::new(); // frees the memory, which few clients need and none all the time
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/proxy/src/connect.rs
+++ b/crates/proxy/src/connect.rs
@@ -35,7 +35,7 @@
     /// The connect timeout expired.
     #[error("connect to {0} timed out")]
     TimedOut(SocketAddr),
-    /// The endpoint or the network path to it refused the connection.
+    /// The endpoint refused the connection or could not be reached.
     #[error("connect to {0} failed: {1}")]
     Unreachable(SocketAddr, io::Error),
     /// This machine lacked a resource to connect, which says nothing about the endpoint.
--- a/crates/proxy/src/hot_restart/message.rs
+++ b/crates/proxy/src/hot_restart/message.rs
@@ -48,7 +48,7 @@
     /// Ids of the endpoints that operators have detached.
     #[serde(rename = "out")]
     pub detached: BTreeSet<String>,
-    /// When operators attached endpoints, by id, on the clock of the sending process.
+    /// When operators attached other endpoints again, by id, on the clock of the sending process.
     #[serde(rename = "back")]
     pub attached_at: BTreeMap<String, u64>,
     /// The clock of the sending process, on which all times in this state are given. `None` from builds that
--- a/crates/proxy/src/hot_restart/mod.rs
+++ b/crates/proxy/src/hot_restart/mod.rs
@@ -37,7 +37,7 @@
 use tokio::time::timeout;
 
 /// Maximum duration of the handover, on either side. A new process has 6 s in total to become ready.
-const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of queued messages to a peer. A peer whose queue is full is disconnected.
 const MAX_QUEUED_MESSAGES: usize = 1024;
 
@@ -91,7 +91,7 @@
     dir.join(format!("olivecart-{}-{}.sock", listen.ip(), listen.port()))
 }
 
-/// Takes over from the process that listens at `path`. Blocks for at most [`EXCHANGE_TIMEOUT`].
+/// Takes over from the process that listens at `path`. Blocks for at most [`HANDOVER_TIMEOUT`].
 ///
 /// # Errors
 /// Returns an error if no process listens there or the process cannot hand over.
@@ -99,9 +99,9 @@
     let io_error = |e| TakeOverError::Io(path.to_owned(), e);
     let incompatible = |reason: String| TakeOverError::Incompatible(path.to_owned(), reason);
     let mut stream = BlockingStream::connect(path).map_err(io_error)?;
-    stream.set_write_timeout(Some(EXCHANGE_TIMEOUT)).map_err(io_error)?;
+    stream.set_write_timeout(Some(HANDOVER_TIMEOUT)).map_err(io_error)?;
     stream.write_all(&Message::Hello { protocol: PROTOCOL_VERSION }.to_line()).map_err(io_error)?;
-    let deadline = Instant::now() + EXCHANGE_TIMEOUT;
+    let deadline = Instant::now() + HANDOVER_TIMEOUT;
     let mut received = Vec::new();
     let mut listener = None;
     let line_end = loop {
@@ -273,7 +273,7 @@
     async fn accept_successor(self: Rc<Self>, mut stream: UnixStream) -> io::Result<()> {
         let mut line = Vec::new();
         let hello = Uninterrupted(&mut stream).take(MAX_LINE_BYTES as u64);
-        timeout(EXCHANGE_TIMEOUT, BufReader::new(hello).read_until(b'\n', &mut line)).await??;
+        timeout(HANDOVER_TIMEOUT, BufReader::new(hello).read_until(b'\n', &mut line)).await??;
         if !matches!(serde_json::from_slice(&line), Ok(Message::Hello { protocol: PROTOCOL_VERSION })) {
             return Err(io::Error::other("unsupported hello message or protocol version"));
         }
@@ -285,7 +285,7 @@
         // the state is sent.
         let queue = self.open_queue(Peer::Successor);
         self.perform(actions);
-        let sent = timeout(EXCHANGE_TIMEOUT, self.send_state(&mut stream)).await;
+        let sent = timeout(HANDOVER_TIMEOUT, self.send_state(&mut stream)).await;
         if let Err(e) = sent.unwrap_or_else(|elapsed| Err(elapsed.into())) {
             self.on_peer_disconnected(Peer::Successor);
             return Err(e);
