--- a/crates/proxy/src/backends.rs
+++ b/crates/proxy/src/backends.rs
@@ -5,9 +5,9 @@
 
 use crate::bodies::MAX_BODY_BYTES;
 use crate::connect::{Connect, ConnectFailure, SystemConnect};
-use crate::descriptors::{Descriptors, Holder, Open};
+use crate::descriptors::{Descriptors, IdleConnectionPool, OpenConnection};
 use crate::response_monitor::ResponseMonitor;
-use crate::wire::Wire;
+use crate::wire::ObservedStream;
 use actix_service::fn_service;
 use actix_tls::connect::{ConnectError, ConnectInfo, Connection};
 use awc::http::Uri;
@@ -70,7 +70,7 @@
     connect: Rc<dyn Connect>,
     connect_timeout: Duration,
     /// Counts this connection among those of all clusters and those of this cluster.
-    _open: [Open; 2],
+    _open: [OpenConnection; 2],
 }
 
 /// Passes an established connection to the client that uses it.
@@ -141,17 +141,17 @@
     descriptors: Rc<Descriptors>,
     /// The limit on connections of this cluster, idle ones included, and the counter of open ones.
     max_connections: Cell<usize>,
-    open: Open,
+    open: OpenConnection,
     connect: Rc<dyn Connect>,
     log: Logger,
 }
 
-impl Holder for BackendTable {
-    fn most_idle(&self) -> usize {
+impl IdleConnectionPool for BackendTable {
+    fn max_idle_per_endpoint(&self) -> usize {
         self.0.borrow().iter().map(|b| b.idle.len()).max().unwrap_or(0)
     }
 
-    fn give_up(&self) {
+    fn close_longest_idle(&self) {
         let mut backends = self.0.borrow_mut();
         let most_idle = backends.iter_mut().max_by_key(|b| b.idle.len()).filter(|b| !b.idle.is_empty());
         most_idle.into_iter().for_each(|b| _ = b.idle.remove(0));
@@ -169,7 +169,7 @@
     ) -> Backends {
         let table: Rc<BackendTable> = Rc::default();
         let holder = Rc::downgrade(&table);
-        descriptors.enter(holder);
+        descriptors.register(holder);
         Backends {
             table,
             connect_timeout: Cell::new(connect_timeout),
@@ -279,13 +279,13 @@
         }
         drop(table); // borrowed again below to close an idle connection
         if self.connections() >= self.max_connections.get() {
-            self.table.give_up();
+            self.table.close_longest_idle();
             if self.connections() >= self.max_connections.get() {
                 return Err(LeaseError::AtLimit(endpoint));
             }
         }
         debug!(self.log, "connect"; "open" => self.connections(), "endpoint" => endpoint.0);
-        let descriptor = self.descriptors.take().ok_or(LeaseError::AtLimit(endpoint))?;
+        let descriptor = self.descriptors.acquire().ok_or(LeaseError::AtLimit(endpoint))?;
         Ok(self.new_lease(target, [descriptor, self.open.clone()]))
     }
 
@@ -325,7 +325,7 @@
         }
     }
 
-    fn new_lease(&self, target: Target, open: [Open; 2]) -> Lease {
+    fn new_lease(&self, target: Target, open: [OpenConnection; 2]) -> Lease {
         let monitor = Rc::new(ResponseMonitor::new(MAX_BODY_BYTES as usize));
         let established = Established::default();
         Lease {
@@ -346,7 +346,8 @@
 fn client_for(established: &Established, monitor: &Rc<ResponseMonitor>) -> Client {
     let (established, monitor) = (established.clone(), monitor.clone());
     plain_client(HANDOVER_TIMEOUT, move || {
-        let connection = established.take().map(|stream| Wire { stream, observer: monitor.clone() });
+        let connection =
+            established.take().map(|stream| ObservedStream { stream, observer: monitor.clone() });
         ready(connection.ok_or_else(|| io::Error::from(io::ErrorKind::NotConnected)))
     })
 }
@@ -360,7 +361,7 @@
             let stream = TcpStream::connect(addr).await?;
             let _ = stream.set_nodelay(true);
             monitor.on_connected();
-            Ok(Wire { stream, observer: monitor })
+            Ok(ObservedStream { stream, observer: monitor })
         }
     })
 }
@@ -369,7 +370,7 @@
 /// shutdown of dropped connections.
 fn plain_client<F>(connect_timeout: Duration, connect: impl Fn() -> F + Clone + 'static) -> Client
 where
-    F: Future<Output = io::Result<Wire<ResponseMonitor>>> + 'static,
+    F: Future<Output = io::Result<ObservedStream<ResponseMonitor>>> + 'static,
 {
     let service = fn_service(move |info: ConnectInfo<Uri>| {
         let connecting = connect();
--- a/crates/proxy/src/response_monitor.rs
+++ b/crates/proxy/src/response_monitor.rs
@@ -35,7 +35,7 @@
 pub type WriteCheckFn = Box<dyn Fn() -> io::Result<()>>;
 
 /// The state of a connection to an endpoint or to discovery, and of the exchange on it. Owned by the
-/// connection's lease; [`Wire`](crate::wire::Wire) reads and writes through it. It never decides whether a
+/// connection's lease; [`ObservedStream`](crate::wire::ObservedStream) reads and writes through it. It never decides whether a
 /// request is retried.
 pub struct ResponseMonitor {
     /// Whether a connection was established, for this request or an earlier one.
