--- a/crates/proxy/src/catalog/catalog_log.rs
+++ b/crates/proxy/src/catalog/catalog_log.rs
@@ -1,6 +1,6 @@
-//! The log of the catalog: a line at each change, and all of it every minute or when asked.
+//! Logs the events of the catalog and, periodically or on request, the state of its sources and clusters.
 //!
-//! The catalog's thread owns it. Sources log through [`Notices`]. It decides nothing.
+//! Owned by the catalog thread. Sources log through [`Notices`].
 
 use olivecart_membership::{Catalog, Change, ClusterName, Nanos, Output, SourceId};
 use slog::{Logger, info, warn};
@@ -8,30 +8,31 @@
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Most clusters that are reported every minute; those with a problem first.
-pub const MOST_REPORTED_CLUSTERS: usize = 50;
-/// Least time between two lines about the changes of one cluster.
-const MINIMUM_LOG_INTERVAL: Nanos = 1_000_000_000;
+/// Largest number of clusters in a periodic report. Clusters with a problem come first.
+pub const MAX_REPORTED_CLUSTERS: usize = 50;
+/// Minimum interval between logged changes of the same cluster, in nanoseconds.
+const MIN_LOG_INTERVAL_NS: Nanos = 1_000_000_000;
 
-/// The log, and what it has logged lately.
+/// Logs the catalog's events and limits the rate of logged changes.
 pub struct CatalogLog {
     log: Logger,
-    named: BTreeSet<ClusterName>,
+    routed: BTreeSet<ClusterName>,
     logged: BTreeMap<ClusterName, LoggedChanges>,
     notices: Notices,
 }
 
-/// What was logged of a cluster's changes.
+/// The rate limit state of a cluster's changes.
 #[derive(Default)]
 struct LoggedChanges {
-    /// When one was last logged.
+    /// The time of the last logged change.
     at: Nanos,
-    /// How many were not since then, and the last of them.
+    /// The number of changes since then that were not logged.
     suppressed: u64,
+    /// The message of the last suppressed change.
     last: String,
 }
 
-/// The last problem of each source, shared with them.
+/// Logs the notices of sources and keeps the current problem of each. Shared by the sources.
 #[derive(Clone)]
 pub struct Notices {
     log: Logger,
@@ -39,141 +40,153 @@
 }
 
 impl Notices {
-    /// Records and logs what a source says of itself.
-    pub fn record(&self, source: &SourceId, severity: Severity, words: &dyn fmt::Display) {
+    /// Records and logs a notice of a source.
+    pub fn record(&self, source: &SourceId, severity: Severity, notice: &dyn fmt::Display) {
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
         match severity {
             Severity::Recovered => _ = last.remove(source),
-            Severity::Warning => _ = last.insert(source.clone(), words.to_string()),
+            Severity::Warning => _ = last.insert(source.clone(), notice.to_string()),
             Severity::Info => {}
         }
         drop(last);
         match severity {
-            Severity::Warning => warn!(self.log, "source"; "source" => %source, "is" => %words),
+            Severity::Warning => warn!(self.log, "source degraded"; "source" => %source, "reason" => %notice),
             Severity::Recovered | Severity::Info => {
-                info!(self.log, "source"; "source" => %source, "is" => %words)
+                info!(self.log, "source status changed"; "source" => %source, "status" => %notice)
             }
         }
     }
 }
 
-/// What a notice of a source means.
+/// The effect of a notice on the state of its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// It has no problem any more.
+    /// The source has no problem any more.
     Recovered,
-    /// It changes nothing.
+    /// The state of the source is unchanged.
     Info,
-    /// It has a problem, until it has recovered.
+    /// The source has a problem, until the next [`Recovered`](Severity::Recovered).
     Warning,
 }
 
 impl CatalogLog {
-    /// `named`: the clusters that anything leads to.
-    pub fn new(log: Logger, named: BTreeSet<ClusterName>) -> CatalogLog {
+    /// `routed` are the clusters that routing rules lead to.
+    pub fn new(log: Logger, routed: BTreeSet<ClusterName>) -> CatalogLog {
         let notices = Notices { log: log.clone(), last: Arc::default() };
-        CatalogLog { log, named, logged: BTreeMap::new(), notices }
+        CatalogLog { log, routed, logged: BTreeMap::new(), notices }
     }
 
-    /// For sources to log by.
+    /// Returns the logger for sources.
     pub fn notices(&self) -> Notices {
         self.notices.clone()
     }
 
-    /// Logs what the catalog put out, but for what the event loop logs when it has done it: clusters that
-    /// come, change and go.
+    /// Logs an output of the catalog, except for added, changed and removed clusters, which the event loop
+    /// logs once it has applied them.
     pub fn log_output(&mut self, output: &Output, now: Nanos) {
         match output {
-            Output::Added(added) if !self.named.contains(&added.cluster) => {
-                info!(self.log, "cluster not served: nothing leads to it"; "cluster" => %added.cluster,
-                    "source" => %added.source);
+            Output::Added(added) if !self.routed.contains(&added.cluster) => {
+                info!(self.log, "cluster ignored"; "cluster" => %added.cluster, "source" => %added.source,
+                    "reason" => "no routing rule leads to it");
             }
             Output::Removed(removed) => _ = self.logged.remove(&removed.cluster),
-            Output::Stale(aged) => {
-                let for_ms = now.saturating_sub(aged.since) / 1_000_000;
-                warn!(self.log, "cluster aged"; "cluster" => %aged.cluster, "source" => %aged.source,
-                    "silent_ms" => for_ms);
+            Output::Stale(stale) => {
+                let silent_ms = now.saturating_sub(stale.since) / 1_000_000;
+                warn!(self.log, "cluster stale"; "cluster" => %stale.cluster, "source" => %stale.source,
+                    "silent_ms" => silent_ms);
             }
             Output::Recovered { cluster, source } => {
-                info!(self.log, "cluster renewed"; "cluster" => %cluster, "source" => %source);
+                info!(self.log, "stale cluster recovered"; "cluster" => %cluster, "source" => %source);
+            }
+            Output::Quarantined(quarantined) => {
+                warn!(self.log, "update quarantined"; "cluster" => %quarantined.cluster,
+                    "source" => %quarantined.source, "reason" => %quarantined);
             }
-            Output::Quarantined(held) => warn!(self.log, "held"; "what" => %held),
             Output::Released { cluster, source, cause } => {
-                info!(self.log, "released"; "cluster" => %cluster, "source" => %source, "because" => %cause);
+                info!(self.log, "quarantine released"; "cluster" => %cluster, "source" => %source,
+                    "reason" => %cause);
             }
             Output::QuarantineDropped { cluster, source } => {
-                info!(self.log, "withdrawn"; "cluster" => %cluster, "source" => %source);
+                info!(self.log, "quarantined update withdrawn"; "cluster" => %cluster, "source" => %source);
+            }
+            Output::Rejected(rejection) => {
+                // Without a key for the cluster: its name may be invalid, and `reason` quotes it.
+                warn!(self.log, "endpoint update rejected"; "source" => %rejection.source,
+                    "reason" => %rejection);
             }
-            Output::Rejected(refusal) => warn!(self.log, "refused"; "what" => %refusal),
             Output::Added(_) | Output::Changed(_) | Output::RefetchRequested { .. } => {}
         }
     }
 
-    /// What to log of a change once it is done; none where one was logged a moment ago. Danger: an endpoint
-    /// that changes ten times a second would fill the log.
+    /// Returns the text to log once a change is applied, or `None` within [`MIN_LOG_INTERVAL_NS`] of the last
+    /// logged change of the cluster. Without this limit, an endpoint that changes ten times a second would
+    /// flood the log.
     pub fn change_message(&mut self, change: &Change, now: Nanos) -> Option<String> {
         let logged = self.logged.entry(change.cluster.clone()).or_default();
         let Change { source, version, removed, upserted, cause, .. } = change;
-        let words = format!(
+        let message = format!(
             "version {version} of {source}: {} removed, {} changed: {cause}",
             removed.len(),
             upserted.len()
         );
-        if now.saturating_sub(logged.at) < MINIMUM_LOG_INTERVAL {
-            (logged.suppressed, logged.last) = (logged.suppressed + 1, words);
+        if now.saturating_sub(logged.at) < MIN_LOG_INTERVAL_NS {
+            (logged.suppressed, logged.last) = (logged.suppressed + 1, message);
             return None;
         }
         (logged.at, logged.suppressed) = (now, 0);
-        Some(words)
+        Some(message)
     }
 
-    /// When [`flush`](Self::flush) is wanted.
+    /// Returns when [`flush`](Self::flush) is due next.
     pub fn due(&self) -> Option<Nanos> {
         self.logged
             .values()
             .filter(|logged| logged.suppressed > 0)
-            .map(|logged| logged.at + MINIMUM_LOG_INTERVAL)
+            .map(|logged| logged.at + MIN_LOG_INTERVAL_NS)
             .min()
     }
 
-    /// Logs the last of the changes that have waited for long enough.
+    /// Logs the last suppressed change of each cluster whose interval has passed.
     pub fn flush(&mut self, now: Nanos) {
         for (cluster, logged) in &mut self.logged {
-            if logged.suppressed > 0 && now.saturating_sub(logged.at) >= MINIMUM_LOG_INTERVAL {
-                info!(self.log, "cluster changed"; "cluster" => %cluster, "last" => &logged.last,
+            if logged.suppressed > 0 && now.saturating_sub(logged.at) >= MIN_LOG_INTERVAL_NS {
+                info!(self.log, "cluster changed"; "cluster" => %cluster, "last_change" => &logged.last,
                     "changes" => logged.suppressed);
                 (logged.at, logged.suppressed) = (now, 0);
             }
         }
     }
 
-    /// Logs all sources, and most clusters.
-    pub fn report(&self, catalog: &Catalog, most: usize) {
+    /// Logs the state of all sources and of at most `max_clusters` clusters.
+    pub fn report(&self, catalog: &Catalog, max_clusters: usize) {
         for source in catalog.sources() {
             let last = self.notices.last.lock().unwrap_or_else(PoisonError::into_inner);
             let last = last.get(&source.source).cloned();
-            let refusal =
-                source.rejection.map(|refusal| format!("{} ms ago: {}", refusal.ms_ago, refusal.reason));
+            let rejection = source
+                .rejection
+                .map(|rejection| format!("{} ms ago: {}", rejection.ms_ago, rejection.reason));
             let silent = source.silent.map(|(silence, ms)| format!("{silence} for {ms} ms"));
-            let is = silent.into_iter().chain(last).chain(refusal).collect::<Vec<_>>().join("; ");
-            let is = if is.is_empty() { "in touch" } else { &is };
-            info!(self.log, "source"; "source" => %source.source, "is" => is);
+            let status = silent.into_iter().chain(last).chain(rejection).collect::<Vec<_>>().join("; ");
+            let status = if status.is_empty() { "healthy" } else { &status };
+            info!(self.log, "source reported"; "source" => %source.source, "status" => status);
         }
         let mut views = catalog.view();
-        let there: BTreeSet<_> = views.iter().map(|view| view.cluster.clone()).collect();
-        for missing in self.named.difference(&there) {
-            warn!(self.log, "cluster"; "is" => format!("{missing}: requests are led here, and no source has it"));
+        let present: BTreeSet<_> = views.iter().map(|view| view.cluster.clone()).collect();
+        for missing in self.routed.difference(&present) {
+            warn!(self.log, "cluster missing"; "cluster" => %missing,
+                "reason" => "requests are routed to it, but no source provides it");
         }
-        let amiss = |feed: &olivecart_membership::SubscriptionView| {
-            feed.quarantine.is_some() || feed.rejection.is_some()
+        let has_problem = |subscription: &olivecart_membership::SubscriptionView| {
+            subscription.quarantine.is_some() || subscription.rejection.is_some()
         };
-        views.sort_by_key(|view| !(view.is_stale || view.subscriptions.iter().any(amiss)));
-        for view in views.iter().take(most) {
+        views.sort_by_key(|view| !(view.is_stale || view.subscriptions.iter().any(has_problem)));
+        for view in views.iter().take(max_clusters) {
             let text = view.to_string();
-            text.lines().for_each(|line| info!(self.log, "cluster"; "is" => line));
+            text.lines().for_each(|line| info!(self.log, "cluster reported"; "status" => line));
         }
-        if views.len() > most {
-            info!(self.log, "cluster"; "is" => format!("{} more; SIGUSR1 tells of all", views.len() - most));
+        if views.len() > max_clusters {
+            info!(self.log, "cluster report truncated"; "omitted" => views.len() - max_clusters,
+                "reason" => "SIGUSR1 reports all clusters");
         }
     }
 }
--- a/crates/proxy/src/catalog/members.rs
+++ b/crates/proxy/src/catalog/members.rs
@@ -1,5 +1,5 @@
-//! The endpoints of one cluster in numbers, as the decisions know them: what a change of the catalog's comes to.
-//! Without I/O.
+//! Numbers the endpoints of a cluster for the decision module and converts changes of the catalog to changes
+//! of numbered endpoints. Does no I/O.
 
 use olivecart_decisions::EndpointState;
 use olivecart_membership::{Arrival, Endpoint, EndpointName, Upserted};
@@ -7,125 +7,135 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Numbers of endpoints that are gone are not used again. When they are this many times those in use, and
-/// [`MINIMUM_SPENT_NUMBERS`] more, the cluster is numbered anew.
-const SPENT_NUMBERS_RATIO: usize = 3;
-/// See [`SPENT_NUMBERS_RATIO`].
-const MINIMUM_SPENT_NUMBERS: usize = 4096;
+/// The numbers of removed endpoints are not reused. The cluster is renumbered once there are more of them
+/// than this many times the numbers in use plus [`MIN_RETIRED_NUMBERS`].
+const RETIRED_NUMBERS_RATIO: usize = 3;
+/// See [`RETIRED_NUMBERS_RATIO`].
+const MIN_RETIRED_NUMBERS: usize = 4096;
 
-/// An endpoint as it is from now on.
+/// An endpoint with its number and new state.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Numbered {
-    /// The decisions' number for it.
+pub struct NumberedEndpoint {
+    /// Its number in the decision module.
     pub number: u32,
-    /// Whether requests go to it.
+    /// Its state in the decision module.
     pub state: EndpointState,
-    /// What it is, or was.
+    /// The endpoint as described by its source; for a removed one, the last description.
     pub endpoint: Arc<Endpoint>,
 }
 
-/// What a change means for the decisions.
+/// The changes for the decision module that follow from a change of the catalog.
 #[derive(Debug, Default, PartialEq)]
 pub struct EndpointChanges {
-    /// Those that take nothing new: to be told first, since an address may pass from one to another.
-    pub stops: Vec<Numbered>,
-    /// Those that take requests.
-    pub takes: Vec<Numbered>,
+    /// Endpoints that receive no new requests. They must be applied first, since the address of one may have
+    /// passed to another endpoint.
+    pub stopping: Vec<NumberedEndpoint>,
+    /// Endpoints that receive requests.
+    pub ready: Vec<NumberedEndpoint>,
 }
 
 /// The endpoints of one cluster.
 #[derive(Debug, Default)]
 pub struct Members {
     numbers: FxHashMap<EndpointName, u32>,
-    /// By number; none for one that left.
-    listed: Vec<Option<Arc<Endpoint>>>,
-    live: usize,
-    /// How many could take requests, by priority.
+    /// The endpoints by number; `None` for a removed one.
+    by_number: Vec<Option<Arc<Endpoint>>>,
+    listed_count: usize,
+    /// The number of endpoints that accept requests, by priority.
     ready_by_priority: BTreeMap<u32, usize>,
 }
 
 impl Members {
-    /// Applies a change of the catalog's.
+    /// Applies a change of the catalog.
     pub fn apply(&mut self, removed: &[EndpointName], upserted: Vec<Upserted>) -> EndpointChanges {
         let before = self.serving_priority();
-        let mut touched = Vec::with_capacity(removed.len() + upserted.len());
+        let mut changed = Vec::with_capacity(removed.len() + upserted.len());
         let mut changes = EndpointChanges::default();
         for name in removed {
             let Some(&number) = self.numbers.get(name) else { continue };
-            if let Some(endpoint) = self.listed.get_mut(number as usize).and_then(Option::take) {
+            if let Some(endpoint) = self.by_number.get_mut(number as usize).and_then(Option::take) {
                 self.uncount_ready(&endpoint);
-                self.live -= 1;
-                changes.stops.push(Numbered { number, state: EndpointState::Removed, endpoint });
+                self.listed_count -= 1;
+                changes.stopping.push(NumberedEndpoint { number, state: EndpointState::Removed, endpoint });
             }
         }
         for Upserted { endpoint, arrival } in upserted {
             let (number, replaced) = self.assign_number(&endpoint.name, arrival);
-            changes.stops.extend(replaced);
+            changes.stopping.extend(replaced);
             self.count_ready(&endpoint);
-            if let Some(old) = self.listed[number as usize].replace(endpoint) {
+            if let Some(old) = self.by_number[number as usize].replace(endpoint) {
                 self.uncount_ready(&old);
             }
-            touched.push(number);
+            changed.push(number);
         }
         let after = self.serving_priority();
         if before != after {
-            // The tier that serves is another: all of both are told anew.
-            let tiers: BTreeSet<u32> = before.into_iter().chain(after).collect();
-            let told: BTreeSet<u32> = touched.iter().copied().collect();
-            let of_tiers = |number: &u32| {
-                !told.contains(number)
-                    && self.get(*number).is_some_and(|e| tiers.contains(&e.priority) && e.takes_requests())
+            // Another priority serves now: the states of all endpoints of both priorities change.
+            let priorities: BTreeSet<u32> = before.into_iter().chain(after).collect();
+            let already_changed: BTreeSet<u32> = changed.iter().copied().collect();
+            let is_affected = |number: &u32| {
+                !already_changed.contains(number)
+                    && self
+                        .get(*number)
+                        .is_some_and(|e| priorities.contains(&e.priority) && e.takes_requests())
             };
-            touched.extend((0..self.listed.len() as u32).filter(of_tiers));
+            changed.extend((0..self.by_number.len() as u32).filter(is_affected));
         }
-        for number in touched {
+        for number in changed {
             let Some(endpoint) = self.get(number).cloned() else { continue };
             match endpoint.takes_requests() && Some(endpoint.priority) == after {
-                true => changes.takes.push(Numbered { number, state: EndpointState::Ready, endpoint }),
-                false => changes.stops.push(Numbered { number, state: EndpointState::Draining, endpoint }),
+                true => {
+                    changes.ready.push(NumberedEndpoint { number, state: EndpointState::Ready, endpoint })
+                }
+                false => changes.stopping.push(NumberedEndpoint {
+                    number,
+                    state: EndpointState::Draining,
+                    endpoint,
+                }),
             }
         }
         changes
     }
 
-    /// Whether so many numbers are spent that the cluster is to be numbered anew.
-    pub fn is_spent(&self) -> bool {
-        self.listed.len() > self.live * (1 + SPENT_NUMBERS_RATIO) + MINIMUM_SPENT_NUMBERS
+    /// Returns whether so many numbers are retired that the cluster should be renumbered.
+    pub fn needs_renumbering(&self) -> bool {
+        self.by_number.len() > self.listed_count * (1 + RETIRED_NUMBERS_RATIO) + MIN_RETIRED_NUMBERS
     }
 
-    /// Numbers the same endpoints anew, from 0.
-    pub fn renew(&mut self) -> EndpointChanges {
+    /// Renumbers the endpoints from 0.
+    pub fn renumber(&mut self) -> EndpointChanges {
         let old = std::mem::take(self);
-        let upserted = old.listed.into_iter().flatten();
+        let upserted = old.by_number.into_iter().flatten();
         self.apply(&[], upserted.map(|endpoint| Upserted { endpoint, arrival: Arrival::New }).collect())
     }
 
-    /// The priority that serves: the first with an endpoint that could take requests.
+    /// Returns the priority that serves: the first with an endpoint that accepts requests.
     fn serving_priority(&self) -> Option<u32> {
         self.ready_by_priority.keys().next().copied()
     }
 
     fn get(&self, number: u32) -> Option<&Arc<Endpoint>> {
-        self.listed.get(number as usize)?.as_ref()
+        self.by_number.get(number as usize)?.as_ref()
     }
 
-    /// The number of an endpoint. One that is new gets another than an earlier one of its id had, whose
-    /// history is not its own; that one, if it is listed still, stops.
-    fn assign_number(&mut self, name: &EndpointName, arrival: Arrival) -> (u32, Option<Numbered>) {
+    /// Returns the number of an endpoint. A new endpoint gets a new number even if an earlier endpoint had
+    /// its name, since it must not inherit that one's history. If the earlier one is still listed, it is
+    /// removed and returned.
+    fn assign_number(&mut self, name: &EndpointName, arrival: Arrival) -> (u32, Option<NumberedEndpoint>) {
         let known = self.numbers.get(name).copied();
         if let Some(number) = known.filter(|_| arrival != Arrival::New) {
-            self.live += usize::from(self.listed[number as usize].is_none());
+            self.listed_count += usize::from(self.by_number[number as usize].is_none());
             return (number, None);
         }
         let replaced = known.and_then(|number| {
-            let endpoint = self.listed.get_mut(number as usize)?.take()?;
+            let endpoint = self.by_number.get_mut(number as usize)?.take()?;
             self.uncount_ready(&endpoint);
-            self.live -= 1;
-            Some(Numbered { number, state: EndpointState::Removed, endpoint })
+            self.listed_count -= 1;
+            Some(NumberedEndpoint { number, state: EndpointState::Removed, endpoint })
         });
-        let number = self.listed.len() as u32;
-        self.listed.push(None);
-        self.live += 1;
+        let number = self.by_number.len() as u32;
+        self.by_number.push(None);
+        self.listed_count += 1;
         self.numbers.insert(name.clone(), number);
         (number, replaced)
     }
@@ -137,13 +147,13 @@
     }
 
     fn uncount_ready(&mut self, endpoint: &Endpoint) {
-        let Some(able) =
+        let Some(ready_count) =
             self.ready_by_priority.get_mut(&endpoint.priority).filter(|_| endpoint.takes_requests())
         else {
             return;
         };
-        *able -= 1;
-        if *able == 0 {
+        *ready_count -= 1;
+        if *ready_count == 0 {
             self.ready_by_priority.remove(&endpoint.priority);
         }
     }
--- a/crates/proxy/src/catalog/mod.rs
+++ b/crates/proxy/src/catalog/mod.rs
@@ -1,15 +1,15 @@
-//! The catalog in the proxy: a thread of its own that runs the sources and the catalog, and tells the event
-//! loop only what each cluster's decisions have to know.
+//! Runs the catalog and its sources on a thread of their own and sends the event loop the steps that the
+//! balancers of the clusters need.
 //!
-//! Weighed against a task of the event loop: a list of 10,000 endpoints takes a parser 30 ms and the catalog
-//! 5 ms in one piece, and no request could be served meanwhile. What crosses over is in numbers already, and
-//! in pieces that the loop takes one after another.
+//! The thread keeps the work off the event loop: for a list of 10,000 endpoints, parsing takes 30 ms and the
+//! catalog 5 ms without interruption, during which the event loop would serve no request. The steps refer to
+//! endpoints by number and the event loop applies them one after another.
 
 mod catalog_log;
 mod members;
 mod source_starter;
 
-pub use members::Numbered;
+pub use members::NumberedEndpoint;
 
 use crate::clock::Clock;
 use crate::cluster_config::{REGISTRY, Source};
@@ -27,136 +27,137 @@
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 use tokio::time::{Instant, interval_at, sleep_until};
 
-/// Most steps that wait for the event loop.
-const MOST_QUEUED_STEPS: usize = 64;
-/// How often all is logged.
+/// Capacity of the queue of steps to the event loop.
+const STEP_QUEUE_CAPACITY: usize = 64;
+/// Interval at which the state of sources and clusters is logged.
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the event loop has to do, in order.
+/// A change for the event loop to apply, in the order of the queue.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A cluster is there, without endpoints yet.
+    /// A cluster was added; its endpoints follow in the next steps.
     Added(ClusterName, ClusterSettings),
-    /// A cluster is no more.
+    /// A cluster was removed.
     Removed(ClusterName),
     /// A cluster has changed.
     Changed {
-        /// Which.
+        /// The cluster.
         cluster: ClusterName,
-        /// Limits that come with it, if they have changed.
+        /// The limits from the source, if they have changed.
         limits: Option<ClusterSettings>,
-        /// Endpoints that take nothing new: to be taken in before the others, and all in one changes.
-        stops: Vec<Numbered>,
-        /// Endpoints that take requests.
-        takes: Vec<Numbered>,
-        /// What to tell the log when it is done.
-        words: Option<String>,
+        /// Changed endpoints that receive no new requests. They are applied first and all at once.
+        stopping: Vec<NumberedEndpoint>,
+        /// Changed endpoints that receive requests.
+        ready: Vec<NumberedEndpoint>,
+        /// The text to log once the step is applied.
+        log_message: Option<String>,
     },
-    /// A cluster begins anew with these endpoints: numbers that are spent are given back.
-    Renewed {
-        /// Which.
+    /// The endpoints of a cluster were renumbered, to free the numbers of removed endpoints. A new balancer
+    /// replaces the one of the cluster.
+    Renumbered {
+        /// The cluster.
         cluster: ClusterName,
-        /// Limits that come with it.
+        /// The limits from the source.
         limits: ClusterSettings,
-        /// Its endpoints that take nothing new.
-        stops: Vec<Numbered>,
-        /// Those that take requests.
-        takes: Vec<Numbered>,
+        /// The endpoints that receive no new requests.
+        stopping: Vec<NumberedEndpoint>,
+        /// The endpoints that receive requests.
+        ready: Vec<NumberedEndpoint>,
     },
 }
 
 impl Step {
-    /// The cluster that it is about.
+    /// Returns the cluster that the step changes.
     pub fn cluster(&self) -> &ClusterName {
         match self {
             Step::Added(cluster, _) | Step::Removed(cluster) => cluster,
-            Step::Changed { cluster, .. } | Step::Renewed { cluster, .. } => cluster,
+            Step::Changed { cluster, .. } | Step::Renumbered { cluster, .. } => cluster,
         }
     }
 }
 
-/// Why the catalog did not start.
+/// The catalog cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A figure of its caution.
+    /// A setting of the policy is out of range.
     #[error(transparent)]
     Policy(#[from] BadPolicy),
-    /// No thread.
-    #[error("no thread for the catalog: {0}")]
+    /// The thread or its runtime cannot be created.
+    #[error("cannot start the catalog thread: {0}")]
     Thread(#[from] io::Error),
 }
 
-/// The catalog's thread, seen from the event loop. It ends when this is dropped.
+/// The event loop's handle to the catalog thread. The thread ends when the handle is dropped.
 pub struct Handle {
-    /// What it says.
+    /// Receives the steps to apply.
     pub steps: Receiver<Step>,
-    /// Whoever asks here has all told to the log.
+    /// Requests a log report of all sources and clusters.
     pub report: Sender<()>,
 }
 
-/// Starts the sources and the catalog. Only the clusters in `named` are told of: nothing leads to others. `seed`
-/// feeds all chance.
+/// Starts the catalog and its sources. Steps are sent only for the clusters in `routed`, to which rules lead.
+/// `seed` is the seed of all random choices.
 ///
 /// # Errors
-/// Nothing has been started.
+/// The policy is invalid or the thread cannot be created. Nothing has been started.
 pub fn start(
     sources: Vec<Source>,
     policy: Policy,
-    named: Vec<ClusterName>,
+    routed: Vec<ClusterName>,
     seed: u64,
     clock: Clock,
     log: Logger,
 ) -> Result<Handle, StartError> {
     let catalog = Catalog::new(policy, sources.iter().map(|source| source.id.clone()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let ((into, steps), (report, reports)) = (channel(MOST_QUEUED_STEPS), channel(1));
-    let named: BTreeSet<_> = named.into_iter().filter(|name| name.as_str() != REGISTRY).collect();
-    let catalog_log = CatalogLog::new(log, named.clone());
-    let (sink, heard) = channel(EVENT_QUEUE_CAPACITY);
-    let starter = SourceStarter { sink, notices: catalog_log.notices(), policy, seed };
+    let ((step_sender, steps), (report, report_requests)) = (channel(STEP_QUEUE_CAPACITY), channel(1));
+    let routed: BTreeSet<_> = routed.into_iter().filter(|name| name.as_str() != REGISTRY).collect();
+    let catalog_log = CatalogLog::new(log, routed.clone());
+    let (event_sender, events) = channel(EVENT_QUEUE_CAPACITY);
+    let starter = SourceStarter { event_sender, notices: catalog_log.notices(), policy, seed };
     let thread = CatalogThread {
         catalog,
-        named,
+        routed,
         members: BTreeMap::new(),
-        steps: into,
-        asks: BTreeMap::new(),
+        steps: step_sender,
+        refetch_senders: BTreeMap::new(),
         clock,
         catalog_log,
     };
-    let keep = move || runtime.block_on(thread.run(sources, starter, heard, reports));
-    std::thread::Builder::new().name("catalog".into()).spawn(keep)?;
+    let run = move || runtime.block_on(thread.run(sources, starter, events, report_requests));
+    std::thread::Builder::new().name("catalog".into()).spawn(run)?;
     Ok(Handle { steps, report })
 }
 
-/// What the thread owns.
+/// The state of the catalog thread.
 struct CatalogThread {
     catalog: Catalog,
-    named: BTreeSet<ClusterName>,
+    routed: BTreeSet<ClusterName>,
     members: BTreeMap<ClusterName, Members>,
     steps: Sender<Step>,
-    asks: BTreeMap<SourceId, Sender<RefetchRequest>>,
+    refetch_senders: BTreeMap<SourceId, Sender<RefetchRequest>>,
     clock: Clock,
     catalog_log: CatalogLog,
 }
 
 impl CatalogThread {
-    /// Runs until the event loop has gone.
+    /// Runs until the event loop drops the receiver of the steps.
     async fn run(
         mut self,
         sources: Vec<Source>,
         starter: SourceStarter,
-        mut heard: Receiver<SourceEvent>,
-        mut reports: Receiver<()>,
+        mut events: Receiver<SourceEvent>,
+        mut report_requests: Receiver<()>,
     ) {
         for source in sources {
-            self.asks.insert(source.id.clone(), starter.start(source));
+            self.refetch_senders.insert(source.id.clone(), starter.start(source));
         }
         drop(starter);
-        let mut every = interval_at(Instant::now() + REPORT_INTERVAL, REPORT_INTERVAL);
+        let mut report_timer = interval_at(Instant::now() + REPORT_INTERVAL, REPORT_INTERVAL);
         loop {
             let due = [self.catalog.deadline(), self.catalog_log.due()].into_iter().flatten().min();
             let due = due.map(|at| self.clock.instant(at));
-            let tick = async {
+            let timer = async {
                 match due {
                     Some(due) => sleep_until(due.into()).await,
                     None => std::future::pending().await,
@@ -164,11 +165,11 @@
             };
             let (event, report) = tokio::select! {
                 () = self.steps.closed() => return,
-                Some(SourceEvent { event, .. }) = heard.recv() => (event, None),
-                () = tick => (Event::Tick, None),
-                // The tick brings the catalog's time up to date.
-                Some(()) = reports.recv() => (Event::Tick, Some(usize::MAX)),
-                _ = every.tick() => (Event::Tick, Some(catalog_log::MOST_REPORTED_CLUSTERS)),
+                Some(SourceEvent { event, .. }) = events.recv() => (event, None),
+                () = timer => (Event::Tick, None),
+                // The tick updates the catalog's time before the report.
+                Some(()) = report_requests.recv() => (Event::Tick, Some(usize::MAX)),
+                _ = report_timer.tick() => (Event::Tick, Some(catalog_log::MAX_REPORTED_CLUSTERS)),
             };
             self.catalog_log.flush(self.clock.now());
             let mut outputs = Vec::new();
@@ -181,14 +182,14 @@
                     }
                 }
             }
-            report.iter().for_each(|most| self.catalog_log.report(&self.catalog, *most));
+            report.iter().for_each(|max_clusters| self.catalog_log.report(&self.catalog, *max_clusters));
         }
     }
 
-    /// What the event loop has to know of an output.
+    /// Converts an output of the catalog to steps for the event loop.
     fn steps(&mut self, output: Output) -> Vec<Step> {
         match output {
-            Output::Added(added) if self.named.contains(&added.cluster) => {
+            Output::Added(added) if self.routed.contains(&added.cluster) => {
                 self.members.insert(added.cluster.clone(), Members::default());
                 vec![Step::Added(added.cluster, added.settings)]
             }
@@ -196,25 +197,27 @@
                 vec![Step::Removed(removed.cluster)]
             }
             Output::Changed(change) => {
-                let words = self.catalog_log.change_message(&change, self.clock.now());
+                let log_message = self.catalog_log.change_message(&change, self.clock.now());
                 let Some(members) = self.members.get_mut(&change.cluster) else { return Vec::new() };
-                let EndpointChanges { stops, takes } = members.apply(&change.removed, change.upserted);
+                let EndpointChanges { stopping, ready } = members.apply(&change.removed, change.upserted);
                 let (cluster, limits) = (change.cluster, change.settings);
-                let mut steps = vec![Step::Changed { cluster: cluster.clone(), limits, stops, takes, words }];
-                if members.is_spent() {
-                    let EndpointChanges { stops, takes } = members.renew();
+                let mut steps =
+                    vec![Step::Changed { cluster: cluster.clone(), limits, stopping, ready, log_message }];
+                if members.needs_renumbering() {
+                    let EndpointChanges { stopping, ready } = members.renumber();
                     let limits = self.catalog.cluster(&cluster).map(|served| *served.settings);
                     let limits = limits.unwrap_or_default();
-                    steps.push(Step::Renewed { cluster, limits, stops, takes });
+                    steps.push(Step::Renumbered { cluster, limits, stopping, ready });
                 }
                 steps
             }
             Output::RefetchRequested { cluster, source } => {
-                // Danger: waiting for a source that waits for us. Without room the catalog asks again later.
-                self.asks
+                // Waiting here for a source that waits for this thread would deadlock. If the queue is full,
+                // the request is dropped, and the catalog repeats it later.
+                self.refetch_senders
                     .get(&source)
                     .into_iter()
-                    .for_each(|asks| _ = asks.try_send(RefetchRequest { cluster: cluster.clone() }));
+                    .for_each(|sender| _ = sender.try_send(RefetchRequest { cluster: cluster.clone() }));
                 Vec::new()
             }
             _ => Vec::new(),
--- a/crates/proxy/src/catalog/source_starter.rs
+++ b/crates/proxy/src/catalog/source_starter.rs
@@ -1,6 +1,6 @@
-//! Starts the tasks of sources, by the kinds that the operators' file names.
+//! Starts the task of each source, according to the kind of the source.
 //!
-//! The catalog's thread calls it once for each source; the tasks end with that thread's runtime.
+//! The catalog thread starts every source once; the tasks end with the runtime of that thread.
 
 use super::catalog_log::{Notices, Severity};
 use crate::cluster_config::{Source, SourceKind, Watched, Xds};
@@ -13,35 +13,36 @@
 use std::hash::BuildHasher;
 use tokio::sync::mpsc::{Sender, channel};
 
-/// What sources are started with.
+/// The parameters that all sources share.
 pub struct SourceStarter {
-    /// Where they put what they hear.
-    pub sink: EventSender,
-    /// Where they log.
+    /// Receives the events of the sources.
+    pub event_sender: EventSender,
+    /// Receives the notices of the sources.
     pub notices: Notices,
-    /// The catalog's figures: what it would refuse, a control plane is told.
+    /// The limits of the catalog. An xDS source rejects resources that exceed them, so that the control plane
+    /// learns of it.
     pub policy: Policy,
-    /// Feeds all chance.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
 impl SourceStarter {
-    /// Starts a source, and returns where it is asked for a cluster.
+    /// Starts a source and returns the sender of refetch requests to it.
     pub fn start(&self, Source { id, kind }: Source) -> Sender<RefetchRequest> {
-        let (asks, asked) = channel(REFETCH_QUEUE_CAPACITY);
+        let (refetch_sender, refetch_receiver) = channel(REFETCH_QUEUE_CAPACITY);
         match kind {
             SourceKind::File(watched) => {
-                self.start_watch(id, watched, Kind::File, watch::parse_documented, asked)
+                self.start_watch(id, watched, Kind::File, watch::parse_documented, refetch_receiver)
             }
             SourceKind::Directory(watched) => {
-                self.start_watch(id, watched, Kind::Directory, watch::parse_documented, asked);
+                self.start_watch(id, watched, Kind::Directory, watch::parse_documented, refetch_receiver);
             }
             SourceKind::Envoy(watched) => {
-                self.start_watch(id, watched, Kind::File, watch::parse_envoy, asked)
+                self.start_watch(id, watched, Kind::File, watch::parse_envoy, refetch_receiver)
             }
-            SourceKind::Xds(xds) => self.start_xds(id, xds, asked),
+            SourceKind::Xds(xds) => self.start_xds(id, xds, refetch_receiver),
         }
-        asks
+        refetch_sender
     }
 
     fn start_watch(
@@ -50,11 +51,11 @@
         watched: Watched,
         kind: Kind,
         parse: Parser,
-        asked: RefetchReceiver,
+        refetch_receiver: RefetchReceiver,
     ) {
         let Watched { path, poll } = watched;
-        let (notices, of) = (self.notices.clone(), source.clone());
-        let tell = move |notice: watch::Notice| {
+        let (notices, source_id) = (self.notices.clone(), source.clone());
+        let on_notice = move |notice: watch::Notice| {
             let severity = match &notice {
                 watch::Notice::Recovered => Severity::Recovered,
                 watch::Notice::Warning(_) => Severity::Info,
@@ -62,21 +63,21 @@
                 | watch::Notice::Unavailable(_)
                 | watch::Notice::EventsUnavailable(_) => Severity::Warning,
             };
-            notices.record(&of, severity, &notice);
+            notices.record(&source_id, severity, &notice);
         };
         let watch = Watch { source, path, kind, poll };
-        tokio::spawn(watch::run(watch, parse, self.sink.clone(), asked, tell));
+        tokio::spawn(watch::run(watch, parse, self.event_sender.clone(), refetch_receiver, on_notice));
     }
 
-    fn start_xds(&self, source: SourceId, xds: Xds, asked: RefetchReceiver) {
-        let (notices, of) = (self.notices.clone(), source.clone());
-        let tell = move |note: &SessionNotice| {
-            let severity = match note {
+    fn start_xds(&self, source: SourceId, xds: Xds, refetch_receiver: RefetchReceiver) {
+        let (notices, source_id) = (self.notices.clone(), source.clone());
+        let on_notice = move |notice: &SessionNotice| {
+            let severity = match notice {
                 SessionNotice::Connected => Severity::Recovered,
-                note if note.is_warning() => Severity::Warning,
+                notice if notice.is_warning() => Severity::Warning,
                 _ => Severity::Info,
             };
-            notices.record(&of, severity, note);
+            notices.record(&source_id, severity, notice);
         };
         let node = Node { id: xds.node, cluster: xds.node_cluster, region: xds.region, zone: xds.zone };
         let config = Config {
@@ -87,10 +88,17 @@
             backoff_base: Config::BACKOFF_BASE.min(xds.backoff),
             max_clusters: self.policy.max_clusters,
             max_endpoints: self.policy.max_endpoints,
-            // Danger: with one seed for all, proxies that lose their control plane together come back together.
+            // A seed of its own for each node: with a common one, proxies that lose their control plane
+            // together would all reconnect at the same time.
             seed: self.seed ^ FxBuildHasher.hash_one((source.as_str(), &node.id)),
             ..Config::new(source, node)
         };
-        tokio::spawn(transport::run(Target::new(xds.address), config, self.sink.clone(), asked, tell));
+        tokio::spawn(transport::run(
+            Target::new(xds.address),
+            config,
+            self.event_sender.clone(),
+            refetch_receiver,
+            on_notice,
+        ));
     }
 }
--- a/crates/proxy/src/cluster_config/mod.rs
+++ b/crates/proxy/src/cluster_config/mod.rs
@@ -1,31 +1,31 @@
-//! The operators' file: where endpoints come from, what each cluster may use, and which request goes to which
-//! cluster. Read and checked here and nowhere else, without I/O.
+//! The operators' file: the sources of endpoints, the overrides of clusters and the routing rules. This
+//! module parses and validates the text of the file, without I/O.
 //!
 //! ```toml
 //! version = 1
-//! default = "cart"                  # for what no rule matches; "registry", the platform's own, if left out
+//! default = "cart"                  # cluster if no rule matches; "registry", the platform's own, if omitted
 //!
 //! [[sources]]
 //! name = "fleet"                    # earlier sources take precedence over later ones
 //! file = "endpoints.toml"           # or: directory = "endpoints.d"
-//! poll = "2s"                       # how often to look where the file system tells nothing; 100ms to 1h
+//! poll = "2s"                       # interval for file systems without change events; 100ms to 1h
 //!
-//! [[clusters]]                      # over what the source says, and over the platform's settings
+//! [[clusters]]                      # override the source and the platform's settings
 //! name = "cart"
 //! connect_timeout = "250ms"
 //! max_connections = 100
 //! max_requests = 200
-//! max_attempts = 2                  # can only restrict what the platform allows; so can probes
+//! max_attempts = 2                  # can only restrict the platform's setting, as can probes
 //! probes = true
 //!
-//! [[rules]]                         # all that a rule gives must fit; the most specific rule wins
+//! [[rules]]                         # all criteria of a rule must match; the most specific rule wins
 //! cluster = "cart"
 //! authority = "*.shop.internal"
-//! path = "/api/cart"                # whole segments: not /api/cartoon
+//! path = "/api/cart"                # matches whole segments: not /api/cartoon
 //! method = "GET"
 //! class = "view"
 //!
-//! [catalog]                         # the figures of its caution, see the membership crate's `Policy`
+//! [catalog]                         # quarantine and size limits, see the membership crate's `Policy`
 //! hold = "30s"
 //! ```
 
@@ -46,126 +46,127 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The version of the form.
+/// The supported version of the file format.
 pub const VERSION: i64 = 1;
 
-/// The cluster that the platform's registry gives.
+/// The name of the platform's own cluster, whose endpoints come from its registry.
 pub const REGISTRY: &str = "registry";
 
-/// What the operators' file says.
+/// The parsed operators' file.
 #[derive(Debug)]
 pub struct ClusterConfig {
-    /// In the order of precedence.
+    /// The sources, in order of precedence.
     pub sources: Vec<Source>,
-    /// The catalog's figures.
+    /// The limits and times of the catalog.
     pub policy: Policy,
-    /// What clusters may use.
+    /// The overrides of the clusters that have any.
     pub clusters: BTreeMap<ClusterName, Overrides>,
-    /// Which request goes where.
+    /// The routing rules.
     pub rules: Rules<ClusterName>,
-    /// Where the rest goes.
+    /// The cluster for requests that no rule matches.
     pub default: ClusterName,
 }
 
 /// A source of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Source {
-    /// Its name.
+    /// The name of the source.
     pub id: SourceId,
-    /// What it is.
+    /// The kind of the source, with its settings.
     pub kind: SourceKind,
 }
 
 /// The kinds of sources.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceKind {
-    /// A watched file in the documented form.
+    /// A watched file in the documented format.
     File(Watched),
     /// A watched directory of such files.
     Directory(Watched),
-    /// A watched file of Envoy's resources, JSON or YAML.
+    /// A watched file of Envoy resources, in JSON or YAML.
     Envoy(Watched),
-    /// A control plane that speaks xDS.
+    /// An xDS control plane.
     Xds(Xds),
 }
 
-/// What is watched.
+/// A watched file or directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Watched {
-    /// The file or directory; one that is not absolute is beside the operators' file.
+    /// The path; a relative one is resolved against the directory of the operators' file.
     pub path: PathBuf,
-    /// How often to look whatever the file system tells.
+    /// The polling interval, in addition to the events of the file system.
     pub poll: Duration,
 }
 
-/// A control plane.
+/// An xDS control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Xds {
-    /// `host:port`.
+    /// The address, as `host:port`.
     pub address: String,
-    /// The node's id, as the control plane knows it.
+    /// The node id of this proxy.
     pub node: String,
-    /// The node's cluster: the service that this proxy stands beside.
+    /// The node cluster: the service that this proxy runs beside.
     pub node_cluster: String,
-    /// The clusters asked for; none: all.
+    /// The clusters to subscribe to; all if empty.
     pub clusters: Vec<ClusterName>,
-    /// How long to wait for the first answer before the source counts as silent.
+    /// The source counts as silent if it has sent no response within this time.
     pub first_fetch: Duration,
-    /// The longest wait before another connection is tried.
+    /// The longest delay between connection attempts.
     pub backoff: Duration,
-    /// Which variant of the protocol is spoken.
+    /// The variant of the protocol.
     pub variant: Variant,
-    /// Where this proxy runs, as the control plane is told; may be empty.
+    /// The region in the node's locality; may be empty.
     pub region: String,
-    /// The same.
+    /// The zone in the node's locality; may be empty.
     pub zone: String,
 }
 
-/// What a cluster may use, whatever its source and the platform's settings say.
+/// The operators' settings of a cluster, which take precedence over its source and the platform's settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Overrides {
-    /// Limits that a source may bring too; these count before the source's.
+    /// Limits that take precedence over those of the source.
     pub limits: ClusterSettings,
-    /// Most attempts of a request, if the platform allows as many.
+    /// The limit of attempts per request; effective if lower than the platform's.
     pub max_attempts: Option<u32>,
-    /// Whether endpoints are probed, if the platform allows it.
+    /// Whether health checks are sent, if the platform allows them.
     pub probes: Option<bool>,
 }
 
 impl Overrides {
-    /// The limits in force where a source brings `given`.
-    pub fn over(&self, given: &ClusterSettings) -> ClusterSettings {
-        let own = &self.limits;
+    /// Returns the effective limits over those of the source.
+    pub fn over(&self, from_source: &ClusterSettings) -> ClusterSettings {
+        let overrides = &self.limits;
         ClusterSettings {
-            connect_timeout: own.connect_timeout.or(given.connect_timeout),
-            max_connections: own.max_connections.or(given.max_connections),
-            max_pending_requests: own.max_pending_requests.or(given.max_pending_requests),
-            max_requests: own.max_requests.or(given.max_requests),
-            max_retries: own.max_retries.or(given.max_retries),
+            connect_timeout: overrides.connect_timeout.or(from_source.connect_timeout),
+            max_connections: overrides.max_connections.or(from_source.max_connections),
+            max_pending_requests: overrides.max_pending_requests.or(from_source.max_pending_requests),
+            max_requests: overrides.max_requests.or(from_source.max_requests),
+            max_retries: overrides.max_retries.or(from_source.max_retries),
         }
     }
 }
 
 impl ClusterConfig {
-    /// The clusters that requests can be put to, the default first, then by name. Clusters of a source that
-    /// are not among these are known and not served.
-    pub fn named(&self) -> Vec<ClusterName> {
-        let mut named: Vec<_> = self.rules.targets().filter(|name| **name != self.default).cloned().collect();
-        named.sort();
-        named.dedup();
-        named.insert(0, self.default.clone());
-        named
+    /// Returns the clusters that requests can be routed to: the default first, then the others by name. No
+    /// requests go to any other cluster of a source.
+    pub fn routed_clusters(&self) -> Vec<ClusterName> {
+        let mut routed: Vec<_> =
+            self.rules.targets().filter(|name| **name != self.default).cloned().collect();
+        routed.sort();
+        routed.dedup();
+        routed.insert(0, self.default.clone());
+        routed
     }
 }
 
 impl fmt::Display for ClusterConfig {
-    /// Lines of what `check` tells, without a line break at the end.
+    /// Writes the summary that `check` prints, without a line break at the end.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for Source { id, kind } in &self.sources {
             writeln!(f, "source     {id}: {kind}")?;
         }
-        let named = self.named();
-        let names: Vec<&str> = named.iter().map(ClusterName::as_str).collect();
+        let routed = self.routed_clusters();
+        let names: Vec<&str> = routed.iter().map(ClusterName::as_str).collect();
         write!(f, "clusters   {}, rules {}, default {}", names.join(" "), self.rules.len(), self.default)
     }
 }
--- a/crates/proxy/src/cluster_config/problem.rs
+++ b/crates/proxy/src/cluster_config/problem.rs
@@ -1,79 +1,79 @@
-//! What is wrong with the operators' file, and where.
+//! Errors in the operators' file, with their positions.
 
 use olivecart_membership::{BadPolicy, Invalid};
 use std::fmt;
 
-/// One thing that is wrong.
+/// An error and its position.
 #[derive(Debug, PartialEq)]
 pub struct Problem {
-    /// From 1.
+    /// The line, from 1.
     pub line: usize,
-    /// In characters, from 1.
+    /// The column in characters, from 1.
     pub column: usize,
-    /// The key, such as `rules[2].path`; empty where the fault is in no key.
+    /// The key, such as `rules[2].path`; empty if the error concerns no single key.
     pub key: String,
-    /// What is wrong.
+    /// The error.
     pub fault: Fault,
 }
 
-/// What can be wrong.
+/// The kinds of errors.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum Fault {
-    /// It is not TOML, or not of the form.
+    /// The text is not TOML or has unknown, missing or mistyped keys.
     #[error("{0}")]
-    Form(String),
-    /// Another version of the form.
-    #[error("version {0} of the form; this build reads version {build}", build = super::VERSION)]
-    Version(i64),
-    /// A value of the wrong form or range.
-    #[error("{found:?} is not {wanted}")]
-    Value {
-        /// What is there.
+    Syntax(String),
+    /// The version of the file format is not supported.
+    #[error("unsupported format version {0}; this build supports version {build}", build = super::VERSION)]
+    UnsupportedVersion(i64),
+    /// A value has the wrong syntax or is out of range.
+    #[error("{found:?} is not {expected}")]
+    InvalidValue {
+        /// The value.
         found: String,
-        /// What would be right.
-        wanted: &'static str,
+        /// The expected syntax or range.
+        expected: &'static str,
     },
-    /// A value that the catalog would not take either.
+    /// A value is not valid in the catalog.
     #[error("{0}")]
     Invalid(#[from] Invalid),
-    /// A figure of the catalog's caution.
+    /// A setting of the catalog is out of range.
     #[error("{0}")]
     Policy(#[from] BadPolicy),
-    /// A name that must be unique stands elsewhere too.
-    #[error("{name:?} is also in line {line}")]
-    Twice {
+    /// A name that must be unique is used twice.
+    #[error("{name:?} is already defined on line {line}")]
+    Duplicate {
         /// The name.
         name: String,
-        /// Where else.
+        /// The line of its previous use.
         line: usize,
     },
-    /// Two rules that fit exactly the same requests.
-    #[error("fits exactly the same requests as the rule in line {line}; one of them can go")]
-    SameRule {
-        /// Where the other stands.
+    /// Two rules match exactly the same requests.
+    #[error("matches exactly the same requests as the rule on line {line}; remove one of them")]
+    DuplicateRule {
+        /// The line of the other rule.
         line: usize,
     },
-    /// A rule without any criterion.
-    #[error("fits every request; write `default = {0:?}` instead")]
-    Everything(String),
-    /// A class that the platform's settings do not name.
-    #[error("the platform's settings have no class {0:?}")]
-    Class(String),
-    /// None or several of the keys that say what a source is.
-    #[error("needs exactly one of file, directory, envoy and xds, and has {0}")]
-    Kind(usize),
-    /// A key that means nothing for this kind of source.
-    #[error("means nothing for a source of this kind")]
-    Beside,
-    /// A key that is needed.
-    #[error("the key is missing")]
-    Missing,
-    /// The platform's name as that of a source.
-    #[error("is the name of the platform's own")]
-    Reserved,
+    /// A rule has no criterion.
+    #[error("matches every request; write `default = {0:?}` instead")]
+    MatchesAll(String),
+    /// A class is not defined in the platform's settings.
+    #[error("unknown class {0:?}: not defined in the platform's settings")]
+    UnknownClass(String),
+    /// A source has none or several of the keys that select its kind.
+    #[error("exactly one of file, directory, envoy and xds is required; {0} are set")]
+    SourceKindCount(usize),
+    /// A key does not apply to this kind of source.
+    #[error("does not apply to a source of this kind")]
+    NotApplicable,
+    /// A required key is missing.
+    #[error("required key is missing")]
+    MissingKey,
+    /// A source has the reserved name of the platform's registry.
+    #[error("this name is reserved for the platform's own registry")]
+    ReservedName,
 }
 
-/// All that is wrong with the file, at least one thing, in the order of the text.
+/// The errors in a file, at least one, in the order of the text.
 #[derive(Debug, PartialEq)]
 pub struct Problems {
     file: String,
@@ -83,12 +83,12 @@
 impl std::error::Error for Problems {}
 
 impl Problems {
-    /// The only one that was found.
+    /// Returns a single error.
     pub fn one(file: &str, problem: Problem) -> Problems {
         Problems { file: file.to_owned(), problems: vec![problem] }
     }
 
-    /// None if there is no problem.
+    /// Returns the errors, sorted by position, or `None` if there are none.
     pub fn of(file: &str, mut problems: Vec<Problem>) -> Option<Problems> {
         problems.sort_by_key(|problem| (problem.line, problem.column));
         (!problems.is_empty()).then(|| Problems { file: file.to_owned(), problems })
--- a/crates/proxy/src/cluster_config/read.rs
+++ b/crates/proxy/src/cluster_config/read.rs
@@ -1,4 +1,4 @@
-//! From the text of the operators' file to what it says, with all that is wrong on the way.
+//! Parses the operators' file and collects all errors in it.
 
 use super::problem::{Fault, Problem, Problems};
 use super::rules::{Criteria, Rules};
@@ -17,7 +17,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ConfigTables {
     version: Spanned<i64>,
     default: Option<Text>,
     #[serde(default)]
@@ -80,54 +80,60 @@
     max_endpoints: Option<usize>,
 }
 
-/// Reads the file. `name` is what problems call it, `beside` is where paths that are not absolute begin, and
-/// `class` knows the platform's classes.
+/// Parses the file. `name` is the file name in error messages, relative paths are resolved against
+/// `directory`, and `class` looks up the classes of the platform by name.
 ///
 /// # Errors
-/// All that is wrong with it; but of what is not TOML or not of the form only the first thing.
+/// All errors in the file, but only the first one if the text is not TOML or has unknown, missing or mistyped
+/// keys.
 pub fn parse(
     name: &str,
     text: &str,
-    beside: &Path,
+    directory: &Path,
     class: &dyn Fn(&str) -> Option<ClassId>,
 ) -> Result<ClusterConfig, Problems> {
-    let file = form(text).map_err(|problem| Problems::one(name, problem))?;
-    let mut reader = Reader { text, beside, class, problems: Vec::new() };
+    let file = parse_tables(text).map_err(|problem| Problems::one(name, problem))?;
+    let mut reader = Reader { text, directory, class, problems: Vec::new() };
     let cluster_config = reader.cluster_config(&file);
     Problems::of(name, reader.problems).map_or(Ok(cluster_config), Err)
 }
 
-/// The text as a tree of the form's types.
-fn form(text: &str) -> Result<File, Problem> {
-    let bad = |key: String, e: toml::de::Error| {
-        let (line, column) = place(text, e.span().map_or(0, |at| at.start));
-        Problem { line, column, key, fault: Fault::Form(e.message().to_owned()) }
+/// Deserializes the text.
+fn parse_tables(text: &str) -> Result<ConfigTables, Problem> {
+    let problem = |key: String, e: toml::de::Error| {
+        let (line, column) = line_and_column(text, e.span().map_or(0, |at| at.start));
+        Problem { line, column, key, fault: Fault::Syntax(e.message().to_owned()) }
     };
-    let tree = toml::Deserializer::parse(text).map_err(|e| bad(String::new(), e))?;
-    serde_path_to_error::deserialize(tree).map_err(|e| bad(path(&e.path().to_string()), e.into_inner()))
+    let tree = toml::Deserializer::parse(text).map_err(|e| problem(String::new(), e))?;
+    serde_path_to_error::deserialize(tree)
+        .map_err(|e| problem(key_path(&e.path().to_string()), e.into_inner()))
 }
 
 struct Reader<'t> {
     text: &'t str,
-    beside: &'t Path,
+    directory: &'t Path,
     class: &'t dyn Fn(&str) -> Option<ClassId>,
     problems: Vec<Problem>,
 }
 
 impl Reader<'_> {
-    fn problem(&mut self, at: Range<usize>, key: String, fault: impl Into<Fault>) {
-        let (line, column) = place(self.text, at.start);
+    fn report(&mut self, at: Range<usize>, key: String, fault: impl Into<Fault>) {
+        let (line, column) = line_and_column(self.text, at.start);
         self.problems.push(Problem { line, column, key, fault: fault.into() });
     }
 
-    fn wrong(&mut self, at: &Text, key: String, wanted: &'static str) {
+    fn report_invalid_value(&mut self, at: &Text, key: String, expected: &'static str) {
         let found = at.get_ref().clone();
-        self.problem(at.span(), key, Fault::Value { found, wanted });
+        self.report(at.span(), key, Fault::InvalidValue { found, expected });
     }
 
-    fn cluster_config(&mut self, file: &File) -> ClusterConfig {
+    fn cluster_config(&mut self, file: &ConfigTables) -> ClusterConfig {
         if *file.version.get_ref() != VERSION {
-            self.problem(file.version.span(), "version".into(), Fault::Version(*file.version.get_ref()));
+            self.report(
+                file.version.span(),
+                "version".into(),
+                Fault::UnsupportedVersion(*file.version.get_ref()),
+            );
         }
         let default = match &file.default {
             Some(name) => self.cluster_name(name, "default".into()),
@@ -135,18 +141,18 @@
         };
         let mut names = BTreeMap::new();
         let mut sources = Vec::new();
-        for (at, table) in file.sources.iter().enumerate() {
-            let (key, name) = (format!("sources[{at}]"), &table.get_ref().name);
-            self.unique(&mut names, name, format!("{key}.name"));
+        for (index, table) in file.sources.iter().enumerate() {
+            let (key, name) = (format!("sources[{index}]"), &table.get_ref().name);
+            self.check_unique(&mut names, name, format!("{key}.name"));
             if name.get_ref() == REGISTRY {
-                self.problem(name.span(), format!("{key}.name"), Fault::Reserved);
+                self.report(name.span(), format!("{key}.name"), Fault::ReservedName);
             }
             sources.extend(self.source(table, &key));
         }
         let (mut names, mut clusters) = (BTreeMap::new(), BTreeMap::new());
-        for (at, table) in file.clusters.iter().enumerate() {
-            let (key, name) = (format!("clusters[{at}]"), &table.get_ref().name);
-            self.unique(&mut names, name, format!("{key}.name"));
+        for (index, table) in file.clusters.iter().enumerate() {
+            let (key, name) = (format!("clusters[{index}]"), &table.get_ref().name);
+            self.check_unique(&mut names, name, format!("{key}.name"));
             let overrides = self.overrides(table, &key);
             clusters.insert(self.cluster_name(name, format!("{key}.name")), overrides);
         }
@@ -154,18 +160,19 @@
         ClusterConfig { sources, policy, clusters, rules: self.rules(&file.rules), default }
     }
 
-    /// Danger: one name for two things, where the second would silently be taken for the first.
-    fn unique<'n>(&mut self, known: &mut BTreeMap<&'n str, usize>, name: &'n Text, key: String) {
-        let (line, _) = place(self.text, name.span().start);
+    /// Checks that a name is unique, since a second item of the same name would otherwise silently replace
+    /// the first.
+    fn check_unique<'n>(&mut self, known: &mut BTreeMap<&'n str, usize>, name: &'n Text, key: String) {
+        let (line, _) = line_and_column(self.text, name.span().start);
         if let Some(line) = known.insert(name.get_ref(), line) {
-            self.problem(name.span(), key, Fault::Twice { name: name.get_ref().clone(), line });
+            self.report(name.span(), key, Fault::Duplicate { name: name.get_ref().clone(), line });
         }
     }
 
     fn cluster_name(&mut self, name: &Text, key: String) -> ClusterName {
         let cluster = ClusterName::new(name.get_ref().as_str());
         if let Err(fault) = cluster.check() {
-            self.problem(name.span(), key, fault);
+            self.report(name.span(), key, fault);
         }
         cluster
     }
@@ -175,11 +182,11 @@
         match humantime::parse_duration(text.get_ref()) {
             Ok(time) if (range.0..=range.1).contains(&time) => Some(time),
             Ok(_) => {
-                self.wrong(text, key.into(), "in the range of this key");
+                self.report_invalid_value(text, key.into(), "in the allowed range of this key");
                 None
             }
             Err(_) => {
-                self.wrong(text, key.into(), "a length of time such as \"250ms\" or \"2s\"");
+                self.report_invalid_value(text, key.into(), "a duration such as \"250ms\" or \"2s\"");
                 None
             }
         }
@@ -187,12 +194,12 @@
 
     fn source(&mut self, table: &Spanned<SourceTable>, key: &str) -> Option<Source> {
         let t = table.get_ref();
-        let given = [&t.file, &t.directory, &t.envoy, &t.xds].into_iter().flatten().count();
-        if given != 1 {
-            self.problem(table.span(), key.into(), Fault::Kind(given));
+        let kinds = [&t.file, &t.directory, &t.envoy, &t.xds].into_iter().flatten().count();
+        if kinds != 1 {
+            self.report(table.span(), key.into(), Fault::SourceKindCount(kinds));
             return None;
         }
-        let of_xds = [
+        let xds_keys = [
             ("node", &t.node),
             ("node_cluster", &t.node_cluster),
             ("first_fetch", &t.first_fetch),
@@ -202,13 +209,15 @@
             ("zone", &t.zone),
         ];
         let is_xds = t.xds.is_some();
-        let beside =
-            of_xds.into_iter().filter(|_| !is_xds).chain([("poll", &t.poll)].into_iter().filter(|_| is_xds));
-        let mut beside: Vec<_> =
-            beside.filter_map(|(name, text)| Some((name, text.as_ref()?.span()))).collect();
-        beside.extend(t.clusters.as_ref().filter(|_| !is_xds).map(|list| ("clusters", list.span())));
-        for (name, at) in beside {
-            self.problem(at, format!("{key}.{name}"), Fault::Beside);
+        let inapplicable = xds_keys
+            .into_iter()
+            .filter(|_| !is_xds)
+            .chain([("poll", &t.poll)].into_iter().filter(|_| is_xds));
+        let mut inapplicable: Vec<_> =
+            inapplicable.filter_map(|(name, text)| Some((name, text.as_ref()?.span()))).collect();
+        inapplicable.extend(t.clusters.as_ref().filter(|_| !is_xds).map(|list| ("clusters", list.span())));
+        for (name, at) in inapplicable {
+            self.report(at, format!("{key}.{name}"), Fault::NotApplicable);
         }
         let kind = if let Some(address) = &t.xds {
             SourceKind::Xds(self.xds(t, address, table.span(), key)?)
@@ -217,11 +226,11 @@
                 .into_iter()
                 .find_map(|(name, text)| Some((name, text.as_ref()?)))?;
             if path.get_ref().is_empty() {
-                self.wrong(path, format!("{key}.{name}"), "a path");
+                self.report_invalid_value(path, format!("{key}.{name}"), "a non-empty path");
             }
             let range = (Duration::from_millis(100), Duration::from_secs(3600));
             let poll = self.duration(t.poll.as_ref(), &format!("{key}.poll"), range);
-            let path = self.beside.join(path.get_ref());
+            let path = self.directory.join(path.get_ref());
             let watched = Watched { path, poll: poll.unwrap_or(Duration::from_secs(2)) };
             match name {
                 "file" => SourceKind::File(watched),
@@ -235,14 +244,14 @@
     fn xds(&mut self, t: &SourceTable, address: &Text, whole: Range<usize>, key: &str) -> Option<Xds> {
         let port = address.get_ref().rsplit_once(':').filter(|(host, _)| !host.is_empty());
         if !port.is_some_and(|(_, port)| port.parse::<u16>().is_ok_and(|port| port > 0)) {
-            self.wrong(address, format!("{key}.xds"), "host:port");
+            self.report_invalid_value(address, format!("{key}.xds"), "host:port");
         }
         if t.node.is_none() {
-            self.problem(whole, format!("{key}.node"), Fault::Missing);
+            self.report(whole, format!("{key}.node"), Fault::MissingKey);
         }
         let listed = t.clusters.as_ref().map(Spanned::get_ref).into_iter().flatten().enumerate();
         let clusters =
-            listed.map(|(at, name)| self.cluster_name(name, format!("{key}.clusters[{at}]"))).collect();
+            listed.map(|(index, name)| self.cluster_name(name, format!("{key}.clusters[{index}]"))).collect();
         let range = (Duration::from_millis(100), Duration::from_secs(3600));
         let first_fetch = self.duration(t.first_fetch.as_ref(), &format!("{key}.first_fetch"), range);
         let backoff = self.duration(t.backoff.as_ref(), &format!("{key}.backoff"), range);
@@ -250,8 +259,10 @@
             None | Some("incremental") => Variant::Incremental,
             Some("state-of-the-world") => Variant::StateOfTheWorld,
             Some(_) => {
-                let wanted = "\"incremental\" or \"state-of-the-world\"";
-                t.variant.iter().for_each(|text| self.wrong(text, format!("{key}.variant"), wanted));
+                let expected = "\"incremental\" or \"state-of-the-world\"";
+                t.variant
+                    .iter()
+                    .for_each(|text| self.report_invalid_value(text, format!("{key}.variant"), expected));
                 Variant::Incremental
             }
         };
@@ -283,31 +294,31 @@
             ..ClusterSettings::default()
         };
         if let Err(fault) = limits.check() {
-            self.problem(table.span(), key.into(), fault);
+            self.report(table.span(), key.into(), fault);
         }
         let max_attempts = t.max_attempts.as_ref().map(|n| *n.get_ref());
         if let (Some(0), Some(at)) = (max_attempts, &t.max_attempts) {
-            let fault = Fault::Value { found: "0".into(), wanted: "at least 1" };
-            self.problem(at.span(), format!("{key}.max_attempts"), fault);
+            let fault = Fault::InvalidValue { found: "0".into(), expected: "at least 1" };
+            self.report(at.span(), format!("{key}.max_attempts"), fault);
         }
         Overrides { limits, max_attempts, probes: t.probes }
     }
 
     fn rules(&mut self, tables: &[Spanned<RuleTable>]) -> Rules<ClusterName> {
         let mut rules: Vec<(Criteria, ClusterName)> = Vec::new();
-        for (at, table) in tables.iter().enumerate() {
-            let (key, t) = (format!("rules[{at}]"), table.get_ref());
+        for (index, table) in tables.iter().enumerate() {
+            let (key, t) = (format!("rules[{index}]"), table.get_ref());
             let cluster = self.cluster_name(&t.cluster, format!("{key}.cluster"));
-            let known = self.problems.len();
+            let problems_before = self.problems.len();
             let criteria = self.criteria(t, &key);
-            if self.problems.len() > known {
-                continue; // what is left of it may look like another rule
+            if self.problems.len() > problems_before {
+                continue; // without its invalid criteria the rule might equal another one
             }
             if criteria == Criteria::default() {
-                self.problem(table.span(), key, Fault::Everything(cluster.as_str().into()));
+                self.report(table.span(), key, Fault::MatchesAll(cluster.as_str().into()));
             } else if let Some(same) = rules.iter().position(|(other, _)| *other == criteria) {
-                let (line, _) = place(self.text, tables[same].span().start);
-                self.problem(table.span(), key, Fault::SameRule { line });
+                let (line, _) = line_and_column(self.text, tables[same].span().start);
+                self.report(table.span(), key, Fault::DuplicateRule { line });
             }
             rules.push((criteria, cluster));
         }
@@ -318,12 +329,12 @@
         let authority = t.authority.as_ref().map(|text| {
             let host = text.get_ref().to_ascii_lowercase();
             let name = host.strip_prefix("*.").unwrap_or(&host);
-            let literal = name.starts_with('[') && name.ends_with(']');
-            let label = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-            let plain = !name.is_empty() && !name.starts_with('.') && name.chars().all(label);
-            if !literal && !plain {
-                let wanted = "a host without a port, or *. and a host";
-                self.wrong(text, format!("{key}.authority"), wanted);
+            let is_ip_literal = name.starts_with('[') && name.ends_with(']');
+            let is_host_char = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+            let is_host_name = !name.is_empty() && !name.starts_with('.') && name.chars().all(is_host_char);
+            if !is_ip_literal && !is_host_name {
+                let expected = "a host without a port, or *. followed by a host";
+                self.report_invalid_value(text, format!("{key}.authority"), expected);
             }
             host.strip_suffix('.').unwrap_or(&host).to_owned()
         });
@@ -332,7 +343,11 @@
             if !path.starts_with('/')
                 || path.contains(|c: char| c == '?' || c == '#' || !c.is_ascii_graphic())
             {
-                self.wrong(text, format!("{key}.path"), "a path that begins with / and has no query");
+                self.report_invalid_value(
+                    text,
+                    format!("{key}.path"),
+                    "a path that starts with / and has no query",
+                );
             }
             path.trim_end_matches('/').to_owned()
         });
@@ -340,14 +355,14 @@
             if text.get_ref().is_empty()
                 || !text.get_ref().bytes().all(|b| b.is_ascii_uppercase() || b == b'-')
             {
-                self.wrong(text, format!("{key}.method"), "a method in capital letters");
+                self.report_invalid_value(text, format!("{key}.method"), "an HTTP method in capital letters");
             }
             text.get_ref().clone()
         });
         let class = t.class.as_ref().and_then(|text| {
             let class = (self.class)(text.get_ref());
             if class.is_none() {
-                self.problem(text.span(), format!("{key}.class"), Fault::Class(text.get_ref().clone()));
+                self.report(text.span(), format!("{key}.class"), Fault::UnknownClass(text.get_ref().clone()));
             }
             class
         });
@@ -355,36 +370,36 @@
     }
 
     fn policy(&mut self, table: &Spanned<CatalogTable>) -> Policy {
-        let (t, usual) = (table.get_ref(), Policy::default());
+        let (t, defaults) = (table.get_ref(), Policy::default());
         let range = (Duration::ZERO, Duration::MAX);
-        let mut time = |text: &Option<Text>, key: &str, usual| {
-            self.duration(text.as_ref(), &format!("catalog.{key}"), range).unwrap_or(usual)
+        let mut duration = |text: &Option<Text>, key: &str, default| {
+            self.duration(text.as_ref(), &format!("catalog.{key}"), range).unwrap_or(default)
         };
         let policy = Policy {
-            hold: time(&t.hold, "hold", usual.hold),
-            most_gone: t.most_gone.unwrap_or(usual.most_gone),
-            returns_within: time(&t.returns_within, "returns_within", usual.returns_within),
-            aged_after: time(&t.aged_after, "aged_after", usual.aged_after),
-            max_clusters: t.max_clusters.unwrap_or(usual.max_clusters),
-            max_endpoints: t.max_endpoints.unwrap_or(usual.max_endpoints),
+            hold: duration(&t.hold, "hold", defaults.hold),
+            most_gone: t.most_gone.unwrap_or(defaults.most_gone),
+            returns_within: duration(&t.returns_within, "returns_within", defaults.returns_within),
+            aged_after: duration(&t.aged_after, "aged_after", defaults.aged_after),
+            max_clusters: t.max_clusters.unwrap_or(defaults.max_clusters),
+            max_endpoints: t.max_endpoints.unwrap_or(defaults.max_endpoints),
         };
-        if let Err(bad) = policy.check() {
-            self.problem(table.span(), format!("catalog.{}", bad.key), bad);
+        if let Err(error) = policy.check() {
+            self.report(table.span(), format!("catalog.{}", error.key), error);
         }
         policy
     }
 }
 
-/// The key as the file has it, without what stands for places.
-fn path(key: &str) -> String {
+/// Returns the key as written in the file, without the parser's placeholders.
+fn key_path(key: &str) -> String {
     key.split('.')
         .filter(|part| !(part.is_empty() || part.starts_with("$__") || *part == "?"))
         .collect::<Vec<_>>()
         .join(".")
 }
 
-/// Line and column of a byte, from 1.
-fn place(text: &str, at: usize) -> (usize, usize) {
+/// Returns the line and column, from 1, of a byte offset.
+fn line_and_column(text: &str, at: usize) -> (usize, usize) {
     let before = text.get(..at).unwrap_or(text);
     let line = before.rsplit('\n').next().unwrap_or_default();
     (before.matches('\n').count() + 1, line.chars().count() + 1)
--- a/crates/proxy/src/cluster_config/rules/tests.rs
+++ b/crates/proxy/src/cluster_config/rules/tests.rs
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn each_criterion_fits_what_it_names_and_nothing_like_it() {
-    for (criterion, fitting, others) in [
+fn each_criterion_matches_its_values_and_no_similar_ones() {
+    for (criterion, matching, others) in [
         ("p=/api", "/api /api/ /api/x /api//", "/ap /apis /v/api /API /%61pi"),
         ("p=", "/ /x /x/y", ""),
         ("a=shop", "shop SHOP shop:80 shop. shop.:80", "shop2 a.shop ashop [::1]:80"),
@@ -29,20 +29,20 @@
         ("a=[::1]", "[::1] [::1]:80", "[::2] ::1 [::1].a"),
     ] {
         let (criteria, _) = rule(criterion);
-        let fits = |value: &str| match criterion.starts_with('p') {
-            true => criteria.fit(&Traits { path: value, ..traits("h / GET 0") }),
-            false => criteria.fit(&Traits { authority: value, ..traits("h / GET 0") }),
+        let matches = |value: &str| match criterion.starts_with('p') {
+            true => criteria.matches(&Traits { path: value, ..traits("h / GET 0") }),
+            false => criteria.matches(&Traits { authority: value, ..traits("h / GET 0") }),
         };
-        fitting.split_whitespace().for_each(|value| assert!(fits(value), "{criterion} {value}"));
-        others.split_whitespace().for_each(|value| assert!(!fits(value), "{criterion} {value}"));
+        matching.split_whitespace().for_each(|value| assert!(matches(value), "{criterion} {value}"));
+        others.split_whitespace().for_each(|value| assert!(!matches(value), "{criterion} {value}"));
     }
     let (criteria, _) = rule("m=GET c=1");
-    assert!(criteria.fit(&traits("h / GET 1")));
-    assert!(!criteria.fit(&traits("h / get 1")) && !criteria.fit(&traits("h / GET 0")));
+    assert!(criteria.matches(&traits("h / GET 1")));
+    assert!(!criteria.matches(&traits("h / get 1")) && !criteria.matches(&traits("h / GET 0")));
 }
 
 #[test]
-fn the_most_specific_rule_counts_whatever_the_order_in_the_file() {
+fn the_most_specific_rule_applies_for_any_order_of_rules() {
     let texts = [
         "c=1",
         "m=GET",
--- a/crates/proxy/src/cluster_runtime/endpoint_list.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 use super::InheritedEndpoints;
 use crate::admin_overrides::{AddressedEntry, AdminOverrides, UnknownEndpoint};
-use crate::membership::{Endpoint, News};
+use crate::membership::{Endpoint, ListUpdate};
 use crate::platform::registry;
 use crate::start_times::{StartTime, StartTimes};
 use crate::stats::Pool;
@@ -105,7 +105,7 @@
         let overrides = self.overrides.borrow();
         let start_times = self.start_times.borrow();
         let endpoints = overrides.listed().map(|listed| named(site, &start_times, listed)).collect();
-        registry::write(&News { version: self.version.get(), full: true, endpoints })
+        registry::write(&ListUpdate { version: self.version.get(), full: true, endpoints })
     }
 
     /// The overrides that operators made.
--- a/crates/proxy/src/cluster_runtime/endpoint_updates.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_updates.rs
@@ -4,7 +4,7 @@
 use super::ClusterRuntime;
 use super::endpoint_list::{ManualOverrides, numbered};
 use crate::admin_overrides::{AddressedEntry, UnknownEndpoint};
-use crate::membership::News;
+use crate::membership::ListUpdate;
 use crate::stages::context::Decisions;
 use crate::start_times::StartTime;
 use crate::stats::Pool;
@@ -17,7 +17,11 @@
 
 impl ClusterRuntime {
     /// Applies a list or a change of it; `update` says as which of these the balancer gets it.
-    pub(super) fn apply_news(&self, news: &News, update: impl Fn(Vec<EndpointEntry>) -> EndpointUpdate) {
+    pub(super) fn apply_news(
+        &self,
+        news: &ListUpdate,
+        update: impl Fn(Vec<EndpointEntry>) -> EndpointUpdate,
+    ) {
         let endpoint_count = news.endpoints.len();
         debug!(self.log, "list"; "version" => news.version, "full" => news.full, "entries" => endpoint_count);
         if news.full {
--- a/crates/proxy/src/cluster_runtime/mod.rs
+++ b/crates/proxy/src/cluster_runtime/mod.rs
@@ -15,7 +15,7 @@
 use crate::clock::Clock;
 use crate::descriptors::Descriptors;
 use crate::discovery::{Discovery, Subscriber};
-use crate::membership::News;
+use crate::membership::ListUpdate;
 use crate::stages::context::{Context, Decisions, Limits};
 use crate::stages::request_table::RequestTable;
 use crate::start_times::StartTime;
@@ -135,7 +135,7 @@
     }
 
     /// Applies the list that was stored by an earlier process, and follows discovery from there.
-    pub fn start_from_cached_list(&self, cached: &News) {
+    pub fn start_from_cached_list(&self, cached: &ListUpdate) {
         self.apply_news(cached, EndpointUpdate::Cached);
         if self.shared.site.borrow().settings.discovery == DiscoveryMode::Automatic {
             self.set_watch(true); // the balancer expects updates without asking for them
@@ -144,7 +144,7 @@
 
     /// Applies the list that the predecessor of a hot restart holds, restores what its balancer learned, and follows
     /// discovery at once: the list is as current as one from discovery.
-    pub fn start_from_predecessor(&self, list: &News, learned_state: Option<&LearnedState>) {
+    pub fn start_from_predecessor(&self, list: &ListUpdate, learned_state: Option<&LearnedState>) {
         self.apply_news(list, EndpointUpdate::Snapshot);
         if let Some(learned_state) = learned_state {
             self.balancer.borrow_mut().restore(learned_state);
@@ -209,7 +209,7 @@
 }
 
 impl Subscriber for ClusterRuntime {
-    fn on_update(&self, update: News<'_>) {
+    fn on_update(&self, update: ListUpdate<'_>) {
         self.apply_news(&update, if update.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
     }
 
--- a/crates/proxy/src/clusters/catalog_steps.rs
+++ b/crates/proxy/src/clusters/catalog_steps.rs
@@ -1,7 +1,7 @@
-//! Applies the catalog's steps: clusters that are added, changed, started anew and removed.
+//! Applies the catalog's steps: adds, changes, renumbers and removes clusters.
 
 use super::Clusters;
-use crate::catalog::{Numbered, Step};
+use crate::catalog::{NumberedEndpoint, Step};
 use crate::cluster_runtime::{ClusterRuntime, RuntimeConfig};
 use olivecart_decisions::{CellId, EndpointEntry, EndpointId, KindId, ZoneId};
 use olivecart_membership::{ClusterName, ClusterSettings};
@@ -13,13 +13,13 @@
 use std::time::Instant;
 use tokio::sync::mpsc::Receiver;
 
-/// Endpoints applied at a time. Each batch costs the balancer a look at all endpoints of the cluster (some 1 ms where
-/// there are 10,000) and some 1 µs for each endpoint in it.
+/// Endpoints in a batch. For each batch the balancer passes over all endpoints of the cluster (about 1 ms for
+/// 10,000) and spends about 1 µs on each endpoint in the batch.
 const BATCH_SIZE: usize = 1024;
 
 impl Clusters {
     /// Applies the catalog's steps until the catalog ends.
-    pub async fn follow(self: Rc<Self>, mut steps: Receiver<Step>) {
+    pub async fn apply_steps(self: Rc<Self>, mut steps: Receiver<Step>) {
         while let Some(step) = steps.recv().await {
             self.apply(step).await;
         }
@@ -31,48 +31,56 @@
         match step {
             Step::Added(cluster, limits) => self.add(cluster, &limits),
             Step::Removed(cluster) => self.remove(&cluster),
-            Step::Changed { cluster, limits, stops, takes, words } => {
+            Step::Changed { cluster, limits, stopping, ready, log_message } => {
                 let Some(runtime) = self.catalog_clusters.borrow().get(&cluster).cloned() else { return };
                 if let Some(limits) = &limits {
                     self.apply_limits(&cluster, &runtime, limits);
                 }
-                self.apply_endpoints(&runtime, stops, takes).await;
-                if let Some(words) = words {
-                    info!(self.log, "cluster changed"; "cluster" => %cluster, "last" => words);
+                self.apply_endpoints(&runtime, stopping, ready).await;
+                if let Some(log_message) = log_message {
+                    info!(self.log, "cluster changed"; "cluster" => %cluster, "last_change" => log_message);
                 }
             }
-            Step::Renewed { cluster, limits, stops, takes } => {
-                let predecessor = self.catalog_clusters.borrow().get(&cluster).cloned();
+            Step::Renumbered { cluster, limits, stopping, ready } => {
+                let old_runtime = self.catalog_clusters.borrow().get(&cluster).cloned();
                 let runtime = self.start_cluster(&cluster, &limits);
-                // Filled before it gets requests; the open ones end at the predecessor.
-                self.apply_endpoints(&runtime, stops, takes).await;
+                // The runtime gets its endpoints before it gets requests; open requests end in the old
+                // runtime.
+                self.apply_endpoints(&runtime, stopping, ready).await;
                 self.serve(cluster, runtime);
-                if let Some(predecessor) = predecessor {
-                    predecessor.retire();
+                if let Some(old_runtime) = old_runtime {
+                    old_runtime.retire();
                 }
             }
         }
     }
 
-    /// Applies changed endpoints: those that stop taking requests at once, the others in batches, between which the
-    /// event loop runs. Danger: 10,000 in one batch hold it for over 5 ms.
-    async fn apply_endpoints(&self, runtime: &ClusterRuntime, stops: Vec<Numbered>, takes: Vec<Numbered>) {
-        let mut stops = stops.into_iter();
-        let mut takes = takes.into_iter();
+    /// Applies changed endpoints: all that stop receiving requests in the first batch, the others in several
+    /// batches. The event loop runs between the batches, since 10,000 endpoints in one batch would block it
+    /// for over 5 ms.
+    async fn apply_endpoints(
+        &self,
+        runtime: &ClusterRuntime,
+        stopping: Vec<NumberedEndpoint>,
+        ready: Vec<NumberedEndpoint>,
+    ) {
+        let mut stopping = stopping.into_iter();
+        let mut ready = ready.into_iter();
         loop {
             let started = Instant::now();
-            let batch: Vec<Numbered> = stops.by_ref().chain(takes.by_ref().take(BATCH_SIZE)).collect();
+            let batch: Vec<NumberedEndpoint> =
+                stopping.by_ref().chain(ready.by_ref().take(BATCH_SIZE)).collect();
             self.apply_batch(runtime, &batch);
             drop(batch);
             self.longest_batch.set(self.longest_batch.get().max(started.elapsed()));
-            if takes.len() == 0 {
+            if ready.len() == 0 {
                 return;
             }
             tokio::task::yield_now().await;
         }
     }
 
-    fn apply_batch(&self, runtime: &ClusterRuntime, batch: &[Numbered]) {
+    fn apply_batch(&self, runtime: &ClusterRuntime, batch: &[NumberedEndpoint]) {
         let site = &self.shared.site;
         let changes = batch.iter().map(|numbered| {
             let entry = endpoint_entry(&mut site.borrow_mut(), numbered);
@@ -118,8 +126,11 @@
     }
 }
 
-/// An endpoint as the balancer knows it.
-fn endpoint_entry(site: &mut Site, Numbered { number, state, endpoint }: &Numbered) -> EndpointEntry {
+/// Converts an endpoint to an entry of the balancer's list.
+fn endpoint_entry(
+    site: &mut Site,
+    NumberedEndpoint { number, state, endpoint }: &NumberedEndpoint,
+) -> EndpointEntry {
     EndpointEntry {
         id: EndpointId(*number),
         name: endpoint.name.as_str().into(),
--- a/crates/proxy/src/clusters/limits.rs
+++ b/crates/proxy/src/clusters/limits.rs
@@ -1,4 +1,5 @@
-//! The settings and limits of a cluster: the platform's, restricted or replaced by the operators' and the source's.
+//! The settings and limits of a cluster: those of the platform, overridden by the operators' file and the
+//! source.
 
 use super::Clusters;
 use crate::cluster_config::REGISTRY;
@@ -9,12 +10,12 @@
 use std::time::Duration;
 
 impl Clusters {
-    /// The settings that a cluster's balancer is started with.
+    /// Returns the settings that a cluster's balancer is started with.
     pub(super) fn settings(&self, cluster: &ClusterName, from_source: &ClusterSettings) -> Settings {
         let overrides = self.overrides.get(cluster).copied().unwrap_or_default();
         let mut settings = self.shared.site.borrow().settings.clone();
         if cluster.as_str() != REGISTRY {
-            settings.discovery = Discovery::Automatic; // the catalog brings updates unasked
+            settings.discovery = Discovery::Automatic; // the catalog pushes updates
         }
         let limits = &mut settings.limits;
         if let Some(timeout) = overrides.over(from_source).connect_timeout {
@@ -27,7 +28,7 @@
         settings
     }
 
-    /// Applies the limits that can change while a cluster serves.
+    /// Applies the limits that can change while a cluster is in use.
     pub(super) fn apply_limits(
         &self,
         cluster: &ClusterName,
@@ -42,7 +43,7 @@
         if limits.max_pending_requests.is_some() || limits.max_retries.is_some() {
             info!(self.log, "cluster limits ignored"; "cluster" => %cluster,
                 "limits" => "max_pending_requests, max_retries",
-                "reason" => "the balancer queues and retries requests within budgets of its own");
+                "reason" => "the balancer limits queued requests and retries by its own budgets");
         }
     }
 }
--- a/crates/proxy/src/clusters/mod.rs
+++ b/crates/proxy/src/clusters/mod.rs
@@ -1,8 +1,9 @@
-//! All clusters of a listener: the platform's own, whose endpoints come from discovery, and those that the catalog
-//! brings.
+//! All clusters of a listener: the platform's own cluster, with endpoints from discovery, and the clusters of
+//! the catalog.
 //!
-//! [`crate::serve`] and [`crate::sidecar`] start them and hand them the catalog's steps; the admin server and hot
-//! restart reach them here. Each cluster is run by a [`ClusterRuntime`]; this module never talks to an endpoint itself.
+//! [`crate::serve`] and [`crate::sidecar`] start the clusters and pass them the catalog's steps; the admin
+//! server and hot restart access them here. Each cluster is run by a [`ClusterRuntime`]; this module does not
+//! connect to endpoints.
 
 mod catalog_steps;
 mod limits;
@@ -29,49 +30,50 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// All clusters, and the routes of requests to them.
+/// The clusters of a listener and the routes to them.
 pub struct Clusters {
-    /// The routing rules, and what the stages need of each cluster.
+    /// The routing rules and, for each cluster, the context of the request stages.
     pub routes: Rc<Routes>,
     shared: Rc<ProxyState>,
-    /// The platform's own cluster; none if no rule leads to it.
+    /// The platform's own cluster; `None` if no rule leads to it.
     platform_cluster: Option<Rc<ClusterRuntime>>,
     catalog_clusters: RefCell<BTreeMap<ClusterName, Rc<ClusterRuntime>>>,
     overrides: BTreeMap<ClusterName, Overrides>,
     seed: u64,
-    /// The longest time that one batch of endpoint changes has held the event loop.
+    /// The longest time that a batch of endpoint changes has blocked the event loop.
     longest_batch: Cell<Duration>,
     log: Logger,
 }
 
 impl Clusters {
-    /// The platform's own cluster, if any rule leads to it.
+    /// Returns the platform's own cluster, if a rule leads to it.
     #[cfg(test)]
     pub fn platform_cluster(&self) -> Option<Rc<ClusterRuntime>> {
         self.platform_cluster.clone()
     }
 
-    /// Adopts what can change of a configuration while the proxy serves.
+    /// Applies the changes of a reloaded configuration.
     pub fn adopt(&self, changes: &Changes) {
         if let Some(runtime) = &self.platform_cluster {
             runtime.set_discovery_address(changes.discovery);
         }
     }
 
-    /// Carries out an operator's request in every cluster that has the endpoint.
+    /// Carries out an operator's request in every cluster that lists the endpoint.
     ///
     /// # Errors
-    /// No cluster has it.
+    /// No cluster lists the endpoint.
     pub fn apply_admin_request(&self, request: &AdminRequest) -> Result<(), AdminError> {
         match request {
             AdminRequest::Detach(target) => self.apply_to_endpoint(target, |runtime| runtime.detach(target)),
             AdminRequest::Attach(target) => self.apply_to_endpoint(target, |runtime| runtime.attach(target)),
-            AdminRequest::Ready | AdminRequest::Vars => Ok(()), // which change nothing
+            AdminRequest::Ready | AdminRequest::Vars => Ok(()), // these only read
         }
     }
 
-    /// Carries out an operator's request to another process. Danger: a change of the list reaches one process before
-    /// the other; an endpoint that only the other one lists when it is detached would be used here once it is listed.
+    /// Carries out an operator's request that another process received. An update of the endpoint list may
+    /// reach that process first: an endpoint that is not listed here yet is detached as well, or it would be
+    /// used once listed.
     pub fn apply_forwarded_admin_request(&self, request: &AdminRequest) {
         let applied = self.apply_admin_request(request);
         if let (AdminRequest::Detach(target), Err(_)) = (request, applied) {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// The state that a successor takes over.
+    /// Returns the state to hand over to a successor.
     pub fn state(&self) -> State {
         let platform_cluster = self.platform_cluster.as_ref();
         let mut state = State {
@@ -100,12 +102,12 @@
         state
     }
 
-    /// Changes the limit on connections to endpoints.
+    /// Sets the limit on connections to endpoints.
     pub fn limit_connections(&self, max_connections: usize) {
         self.shared.descriptors.adopt(max_connections);
     }
 
-    /// The size of all lists together, and how many of their endpoints are avoided now.
+    /// Returns the number of endpoints of all clusters and how many of them are ejected.
     pub fn pool(&self) -> Pool {
         let mut total = Pool::default();
         for runtime in self.runtimes() {
--- a/crates/proxy/src/clusters/report.rs
+++ b/crates/proxy/src/clusters/report.rs
@@ -1,4 +1,4 @@
-//! Logs the traffic of all clusters at intervals and when asked.
+//! Logs the traffic of all clusters periodically and on request.
 
 use super::Clusters;
 use slog::info;
@@ -10,7 +10,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
 impl Clusters {
-    /// Logs all clusters at each interval and at each notification, without end.
+    /// Logs the traffic of all clusters every [`REPORT_INTERVAL`] and at each notification. Never returns.
     pub async fn run_reports(self: Rc<Self>, report_requested: Rc<Notify>) {
         let mut ticks = interval_at(Instant::now() + REPORT_INTERVAL, REPORT_INTERVAL);
         loop {
--- a/crates/proxy/src/clusters/routing.rs
+++ b/crates/proxy/src/clusters/routing.rs
@@ -1,4 +1,4 @@
-//! Which clusters there are, which request goes to which, and what each may use.
+//! The clusters of a listener, the rules that route requests to them, and their overrides.
 
 use crate::cluster_config::{Overrides, REGISTRY, Rules};
 use crate::stages::cluster_selection::Routes;
@@ -8,24 +8,25 @@
 
 /// The routing of requests to clusters, as configured.
 pub struct Routing {
-    /// Every cluster that a rule leads to, the default first.
-    pub named: Vec<ClusterName>,
+    /// Every cluster that a rule leads to, the default cluster first.
+    pub clusters: Vec<ClusterName>,
     /// The routing rules.
     pub rules: Rules<ClusterName>,
-    /// What each cluster may use.
+    /// The overrides of the clusters that have any.
     pub overrides: BTreeMap<ClusterName, Overrides>,
 }
 
 impl Default for Routing {
-    /// Every request goes to the platform's own cluster.
+    /// Returns the routing of all requests to the platform's own cluster.
     fn default() -> Routing {
-        Routing { named: vec![REGISTRY.into()], rules: Rules::default(), overrides: BTreeMap::new() }
+        Routing { clusters: vec![REGISTRY.into()], rules: Rules::default(), overrides: BTreeMap::new() }
     }
 }
 
-/// The table of routes that the stages use; a rule to a cluster that is not named leads to the default.
-pub(super) fn routes(named: &[ClusterName], rules: Rules<ClusterName>) -> Routes {
-    let index_of = |name: ClusterName| named.iter().position(|known| *known == name).unwrap_or(0);
+/// Builds the routing table of the request stages. A rule that leads to an unlisted cluster leads to the
+/// default.
+pub(super) fn routes(clusters: &[ClusterName], rules: Rules<ClusterName>) -> Routes {
+    let index_of = |name: ClusterName| clusters.iter().position(|known| *known == name).unwrap_or(0);
     let rules = rules.map(index_of);
-    Routes::new(named.iter().map(|name| Rc::from(name.as_str())), rules)
+    Routes::new(clusters.iter().map(|name| Rc::from(name.as_str())), rules)
 }
--- a/crates/proxy/src/clusters/start.rs
+++ b/crates/proxy/src/clusters/start.rs
@@ -1,4 +1,5 @@
-//! Starts the clusters, the platform's own one from its cached list or from what a predecessor handed over.
+//! Starts the clusters. The platform's own cluster starts from its cached list or from the state of a
+//! predecessor.
 
 use super::routing::routes;
 use super::{Clusters, Routing};
@@ -8,7 +9,7 @@
 use crate::cluster_runtime::{ClusterRuntime, InheritedEndpoints, ProxyState, RuntimeConfig};
 use crate::descriptors::Descriptors;
 use crate::hot_restart::State;
-use crate::membership::News;
+use crate::membership::ListUpdate;
 use crate::platform::registry;
 use crate::stats::Stats;
 use olivecart_decisions::LearnedState;
@@ -20,32 +21,32 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What [`Clusters::start`] needs.
+/// The parameters of [`Clusters::start`].
 pub struct ClustersConfig {
-    /// Settings, and the numbers of names.
+    /// The platform's settings, and the numbers of zones and kinds.
     pub site: Rc<RefCell<Site>>,
-    /// The clock of all balancers.
+    /// The clock, shared by all balancers.
     pub clock: Clock,
-    /// Seeds all randomness.
+    /// The seed of all random choices.
     pub seed: u64,
     /// The limit on connections to endpoints.
     pub descriptors: Rc<Descriptors>,
-    /// Discovery's address; none if no rule leads to the platform's own cluster.
+    /// The address of discovery; `None` if no rule leads to the platform's own cluster.
     pub discovery: Option<SocketAddr>,
-    /// The platform's list as this proxy last stored it, in discovery's form.
+    /// The cached endpoint list of the platform's own cluster, in the format of discovery.
     pub known: Option<String>,
-    /// Which request goes to which cluster.
+    /// The routing of requests to clusters.
     pub routing: Routing,
     /// The memory limit for long bodies.
     pub budget: Rc<BodyMemoryLimit>,
-    /// Metrics; none if nothing reads them.
+    /// The metrics; `None` without an admin server.
     pub stats: Option<Arc<Stats>>,
-    /// What the predecessor of a hot restart handed over.
+    /// The state handed over by the predecessor in a hot restart.
     pub taken_over: Option<State>,
 }
 
-/// Where the platform's own cluster gets its first list from.
-struct FirstList {
+/// The initial state of the platform's own cluster.
+struct InitialState {
     discovery: Option<SocketAddr>,
     cached: Option<String>,
     handed_over: Option<String>,
@@ -53,12 +54,12 @@
 }
 
 impl Clusters {
-    /// Starts the platform's own cluster with its last known list. The catalog's clusters are started as the catalog
-    /// brings them, see [`follow`](Self::follow).
+    /// Starts the platform's own cluster with its last known list. Clusters of the catalog are started when
+    /// the catalog adds them, see [`apply_steps`](Self::apply_steps).
     ///
-    /// Considered instead: the registry as one more source of the catalog. Its watch and its lists are part of the
-    /// balancer's interface (the balancer says when to ask, and judges silence), and without an operators' file it must
-    /// stay what it is. So it is a cluster beside the catalog's, which rules can lead to.
+    /// The platform's registry is not a source of the catalog: the balancer itself decides when to query it
+    /// and how to treat its silence, and without an operators' file there is no catalog. It is a cluster of
+    /// its own instead, to which rules can lead.
     pub fn start(config: ClustersConfig, log: &Logger) -> Rc<Clusters> {
         let inherited = config.taken_over.unwrap_or_default();
         let shared = Rc::new(ProxyState {
@@ -75,9 +76,9 @@
                 start_times: inherited.start_times,
             },
         });
-        let Routing { named, rules, overrides } = config.routing;
+        let Routing { clusters: routed, rules, overrides } = config.routing;
         let mut clusters = Clusters {
-            routes: Rc::new(routes(&named, rules)),
+            routes: Rc::new(routes(&routed, rules)),
             shared,
             platform_cluster: None,
             catalog_clusters: RefCell::default(),
@@ -86,48 +87,48 @@
             longest_batch: Cell::default(),
             log: log.clone(),
         };
-        let first_list = FirstList {
+        let initial = InitialState {
             discovery: config.discovery,
             cached: config.known,
             handed_over: inherited.list,
             learned_state: inherited.learned_state,
         };
-        clusters.platform_cluster = clusters.start_platform_cluster(&first_list);
+        clusters.platform_cluster = clusters.start_platform_cluster(&initial);
         Rc::new(clusters)
     }
 
-    /// Starts the platform's own cluster, if any rule leads to it.
-    fn start_platform_cluster(&self, first_list: &FirstList) -> Option<Rc<ClusterRuntime>> {
+    /// Starts the platform's own cluster, if a rule leads to it.
+    fn start_platform_cluster(&self, initial: &InitialState) -> Option<Rc<ClusterRuntime>> {
         let route = self.routes.place(REGISTRY)?;
         let name = REGISTRY.into();
         let config = RuntimeConfig {
             settings: self.settings(&name, &ClusterSettings::default()),
             seed: self.seed,
-            discovery: first_list.discovery,
+            discovery: initial.discovery,
             log: self.log.clone(),
         };
         let runtime = ClusterRuntime::start(&self.shared, config);
         self.apply_limits(&name, &runtime, &ClusterSettings::default());
         route.serve(runtime.context.clone());
-        match &first_list.handed_over {
+        match &initial.handed_over {
             Some(list) => {
                 let list = parse_list(Some(list), &self.log);
-                runtime.start_from_predecessor(&list, first_list.learned_state.as_ref());
+                runtime.start_from_predecessor(&list, initial.learned_state.as_ref());
             }
-            None => runtime.start_from_cached_list(&parse_list(first_list.cached.as_deref(), &self.log)),
+            None => runtime.start_from_cached_list(&parse_list(initial.cached.as_deref(), &self.log)),
         }
         Some(runtime)
     }
 }
 
-/// A stored or handed over list; an unreadable one counts as empty.
-pub(super) fn parse_list<'a>(text: Option<&'a str>, log: &Logger) -> News<'a> {
+/// Parses a cached or handed over list. An unreadable list counts as empty.
+pub(super) fn parse_list<'a>(text: Option<&'a str>, log: &Logger) -> ListUpdate<'a> {
     match text.map(|text| registry::read(text.as_bytes())) {
         Some(Ok(list)) => list,
         Some(Err(error)) => {
             warn!(log, "cached endpoint list rejected"; "error" => %error);
-            News::nothing()
+            ListUpdate::empty()
         }
-        None => News::nothing(),
+        None => ListUpdate::empty(),
     }
 }
--- a/crates/proxy/src/clusters/tests.rs
+++ b/crates/proxy/src/clusters/tests.rs
@@ -6,7 +6,7 @@
 use slog::{Discard, o};
 
 #[test]
-fn an_endpoint_detached_in_another_process_before_it_is_listed_here_is_detached_once_it_is() {
+fn endpoint_detached_by_another_process_is_ejected_once_it_is_listed() {
     let settings = r#"{"grades":[{"name":"v","aim-ns":1,"give-up-ns":2,"effect":"repeatable"}],"dcs":["z"]}"#;
     let config = ClustersConfig {
         site: Rc::new(RefCell::new(Site::read(settings).expect("settings"))),
@@ -25,7 +25,7 @@
     actix_rt::System::new().block_on(async {
         let clusters = Clusters::start(config, &Logger::root(Discard, o!()));
         clusters.apply_forwarded_admin_request(&AdminRequest::Detach("a".into()));
-        let runtime = clusters.platform_cluster.as_ref().expect("the platform's own");
+        let runtime = clusters.platform_cluster.as_ref().expect("the platform's own cluster");
         runtime.start_from_cached_list(&parse_list(Some(&list), &clusters.log));
         assert_eq!(clusters.pool(), Pool { size: 2, ejected: 1 });
     });
--- a/crates/proxy/src/discovery/lines.rs
+++ b/crates/proxy/src/discovery/lines.rs
@@ -1,63 +1,63 @@
-//! Splits the body of a discovery response into lines: empty ones, and JSON objects, each on a line of its own or
-//! indented over several.
+//! Splits the body of a discovery response into lines: empty lines and JSON objects, each on a single line or
+//! indented over several lines.
 //!
-//! [`super`] feeds it the chunks as they come. It looks at the form only as far as that tells where an object ends, or
-//! that it never will: a malformed one is seen with the first byte that cannot belong to it, not when all that follows
-//! has been read. It never interprets an object.
+//! [`super`] passes in the chunks of the body as they are received. The splitter checks the syntax only as
+//! far as needed to find the end of an object. It reports a malformed object at the first unexpected byte,
+//! without waiting for the rest of the body. It does not parse the objects.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest object, in bytes, with the white space in it.
-const LARGEST_OBJECT_BYTES: usize = 4 << 20;
-/// Most objects and arrays within each other.
-const DEEPEST_NESTING: usize = 16;
+/// Largest object, in bytes, including white space.
+const MAX_OBJECT_BYTES: usize = 4 << 20;
+/// Deepest nesting of objects and arrays.
+const MAX_NESTING_DEPTH: usize = 16;
 
 /// Why a response cannot be split further.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// Neither an object nor an empty line.
-    #[error("a line that begins with {0:?} and not with an object")]
+    /// A line is neither empty nor the start of an object.
+    #[error("line starts with {0:?} instead of an object")]
     NotAnObject(char),
-    /// The object breaks off.
-    #[error("an object that breaks off: {0:?} at byte {1} of it")]
+    /// An object contains an unexpected character, at this byte.
+    #[error("malformed object: unexpected {0:?} at byte {1}")]
     Malformed(char, usize),
-    /// Something stands behind the object.
-    #[error("a line that goes on with {0:?} behind its object")]
+    /// A line contains more than its object.
+    #[error("unexpected {0:?} after the object")]
     TrailingData(char),
-    /// No end of it.
-    #[error("an object larger than {LARGEST_OBJECT_BYTES} bytes")]
+    /// An object exceeds the size limit.
+    #[error("object is larger than {MAX_OBJECT_BYTES} bytes")]
     TooLarge,
-    /// Too much nesting.
-    #[error("an object nested more than {DEEPEST_NESTING} deep")]
+    /// An object exceeds the nesting limit.
+    #[error("object is nested more than {MAX_NESTING_DEPTH} levels deep")]
     TooDeep,
-    /// The answer has none.
-    #[error("an answer without an object")]
+    /// The response contains no object.
+    #[error("response contains no object")]
     NoData,
-    /// The answer ended within it.
-    #[error("an answer that ends within an object")]
+    /// The response ended within an object.
+    #[error("response ends within an object")]
     Truncated,
 }
 
-/// A whole line, or several that are one object.
+/// An empty line, or an object on one or more lines.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Line {
-    /// An empty one.
+    /// An empty line.
     Empty,
-    /// An object, not yet read.
+    /// The text of an object, not yet parsed.
     Object(Bytes),
 }
 
-/// What came and is not yet split.
+/// Splits received bytes into lines.
 #[derive(Default)]
 pub struct LineSplitter {
     buffer: BytesMut,
-    /// So many bytes of it have been scanned.
+    /// The number of bytes of `buffer` that have been scanned.
     scanned: usize,
-    /// The brackets that are open: `{` or `[`.
+    /// The brackets that are open, each `{` or `[`.
     open_brackets: Vec<u8>,
-    /// The last byte that was not white space; none before an object.
+    /// The last byte of the current object that was not white space; `None` before an object.
     last_byte: Option<u8>,
-    /// Within a string: whether the next byte is escaped.
+    /// Whether the next byte is escaped; `None` outside of strings.
     string: Option<Escape>,
 }
 
@@ -68,19 +68,19 @@
 }
 
 impl LineSplitter {
-    /// Some more came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole line; none if it has not come yet.
+    /// Returns the next complete line, or `None` until it has been received.
     ///
     /// # Errors
-    /// What came is no line; nothing behind it can be split.
+    /// The line is malformed. Nothing after it can be split.
     pub fn next(&mut self) -> Result<Option<Line>, LineError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
-            if self.scanned > LARGEST_OBJECT_BYTES {
+            if self.scanned > MAX_OBJECT_BYTES {
                 return Err(LineError::TooLarge);
             }
             if self.scan(byte)? {
@@ -93,10 +93,10 @@
         Ok(None)
     }
 
-    /// What is left at the end of the response, if it is an object.
+    /// Returns the object at the end of the response, which needs no line end, or `None` if nothing is left.
     ///
     /// # Errors
-    /// It is none, or a part of one.
+    /// The response ended within an object.
     pub fn finish(&mut self) -> Result<Option<Bytes>, LineError> {
         match self.last_byte.take() {
             None => Ok(None),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Whether a line ends with this byte.
+    /// Scans a byte and returns whether it ends a line.
     fn scan(&mut self, byte: u8) -> Result<bool, LineError> {
         match self.string {
             Some(escape) => {
@@ -123,7 +123,7 @@
     fn scan_in_string(&mut self, byte: u8, escape: Escape) -> Result<(), LineError> {
         match escape {
             Escape::Next if byte >= b' ' => self.string = Some(Escape::No),
-            _ if byte < b' ' => return Err(self.malformed(byte)), // above all a line's end
+            _ if byte < b' ' => return Err(self.malformed(byte)), // in particular a line feed
             _ if byte == b'\\' => self.string = Some(Escape::Next),
             _ if byte == b'"' => self.string = None,
             _ => {}
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    /// A byte outside of strings that is no white space.
+    /// Scans a byte outside of strings that is not white space.
     fn scan_token(&mut self, byte: u8) -> Result<(), LineError> {
         let shown = char::from(byte);
         match (byte, self.open_brackets.last(), self.last_byte) {
@@ -146,7 +146,7 @@
             (b'}' | b']', ..) => return Err(self.malformed(byte)),
             _ => {}
         }
-        if self.open_brackets.len() > DEEPEST_NESTING {
+        if self.open_brackets.len() > MAX_NESTING_DEPTH {
             return Err(LineError::TooDeep);
         }
         self.last_byte = Some(byte);
--- a/crates/proxy/src/discovery/lines/tests.rs
+++ b/crates/proxy/src/discovery/lines/tests.rs
@@ -2,75 +2,78 @@
 use crate::platform::registry;
 use proptest::prelude::*;
 
-const ONE: &str = r#"{"version":43,"full":false,"servers":[{"id":"a\"}]{[","state":"ready"}]}"#;
+const SINGLE_LINE: &str = r#"{"version":43,"full":false,"servers":[{"id":"a\"}]{[","state":"ready"}]}"#;
 const INDENTED: &str = "{\r\n  \"version\": 43,\n  \"servers\": [\n    {\n      \"id\": \"a\\\"}]{[\",\n\n\
     \"state\": \"ready\"\n    }\n  ]\n}\n";
 
-/// All lines of a text that comes in pieces of so many bytes, as `.` and what was read, and the error that ended it.
-fn told(text: &[u8], piece: usize) -> (Vec<String>, Option<String>) {
-    let (mut lines, mut told) = (LineSplitter::default(), Vec::new());
-    for piece in text.chunks(piece) {
-        lines.push(piece);
+/// Splits a text received in chunks of `chunk_size` bytes. Returns the lines (`.` for an empty one, version
+/// and number of endpoints for an object) and the error that ended the splitting.
+fn split(text: &[u8], chunk_size: usize) -> (Vec<String>, Option<String>) {
+    let (mut splitter, mut lines) = (LineSplitter::default(), Vec::new());
+    for chunk in text.chunks(chunk_size) {
+        splitter.push(chunk);
         loop {
-            let line = match lines.next() {
+            let line = match splitter.next() {
                 Ok(None) => break,
                 Ok(Some(Line::Empty)) => ".".into(),
                 Ok(Some(Line::Object(text))) => match registry::read(&text) {
-                    Ok(news) => format!("{} {}", news.version, news.endpoints.len()),
-                    Err(error) => return (told, Some(error.to_string())),
+                    Ok(update) => format!("{} {}", update.version, update.endpoints.len()),
+                    Err(error) => return (lines, Some(error.to_string())),
                 },
-                Err(error) => return (told, Some(error.to_string())),
+                Err(error) => return (lines, Some(error.to_string())),
             };
-            told.push(line);
+            lines.push(line);
         }
     }
-    (told, None)
+    (lines, None)
 }
 
 #[test]
-fn objects_are_told_apart_on_a_line_or_indented_however_they_are_cut() {
-    let text = format!("\n{ONE}\n\r\n  \t\n{INDENTED}\n{ONE} \r\n{{\"version\":7,\"servers\":[]}}\n{{");
-    for piece in 1..text.len() {
-        let (told, error) = told(text.as_bytes(), piece);
-        assert_eq!(told, [".", "43 1", ".", ".", "43 1", ".", "43 1", "7 0"], "in pieces of {piece}");
+fn objects_are_split_on_one_or_several_lines_for_every_chunk_size() {
+    let text = format!(
+        "\n{SINGLE_LINE}\n\r\n  \t\n{INDENTED}\n{SINGLE_LINE} \r\n{{\"version\":7,\"servers\":[]}}\n{{"
+    );
+    for chunk_size in 1..text.len() {
+        let (lines, error) = split(text.as_bytes(), chunk_size);
+        assert_eq!(lines, [".", "43 1", ".", ".", "43 1", ".", "43 1", "7 0"], "in chunks of {chunk_size}");
         assert_eq!(error, None);
     }
 }
 
 #[test]
-fn a_line_is_told_with_its_end_and_not_before() {
-    assert_eq!(told(ONE.as_bytes(), 7), (vec![], None), "something may stand behind it");
-    assert_eq!(told(INDENTED.trim_end().as_bytes(), 7), (vec![], None));
+fn a_line_is_returned_only_after_its_line_end() {
+    assert_eq!(split(SINGLE_LINE.as_bytes(), 7), (vec![], None), "the line may continue");
+    assert_eq!(split(INDENTED.trim_end().as_bytes(), 7), (vec![], None));
 }
 
 #[test]
-fn what_is_torn_or_spoilt_ends_with_an_error_that_says_how_and_is_never_told() {
-    let next = format!("\n{ONE}\n");
+fn truncated_and_malformed_lines_are_rejected_with_the_cause() {
+    let next = format!("\n{SINGLE_LINE}\n");
     let deep = format!("{{\"version\":1,\"x\":{}", "[".repeat(16));
     let cases: Vec<(&str, &str)> = vec![
-        // Malformed, and a whole line behind: within a name, a text, a number, behind each mark.
-        (r#"{"vers"#, "breaks off: '\\n'"),
-        (r#"{"version":43,"servers":[{"id":"a"#, "breaks off: '\\n'"),
-        (r#"{"version":43,"servers":[{"id":"a\"#, "breaks off: '\\n'"),
-        (r#"{"version":4"#, "breaks off: '{'"),
-        (r#"{"version":43,"#, "breaks off: '{'"),
-        ("{", "breaks off: '{'"),
-        (r#"{"version":43,"servers":[{"id":"a","state":"ready"}"#, "breaks off: '{'"),
-        (r#"{"version":43,"servers":[{"id":"a","state":"ready"}]"#, "breaks off: '{'"),
-        (r#"{"version":43,"full":fal"#, "breaks off: '{'"),
-        // Spoilt.
-        ("version 43", "begins with 'v'"),
-        ("[]", "begins with '['"),
-        ("}", "begins with '}'"),
-        ("\u{feff}{}", "begins with 'ï'"),
-        ("\0", "begins with '\\0'"),
-        (r#"{"version":43,"servers":[]}]"#, "goes on with ']'"),
-        (r#"{"version":43,"servers":[]}{"version":44,"servers":[]}"#, "goes on with '{'"),
-        (r#"{"version":43,"servers":[]},"#, "goes on with ','"),
-        (r#"{"version":43,"servers":[}]"#, "breaks off: '}'"),
-        (r#"{"version":43,"servers":{]}"#, "breaks off: ']'"),
+        // Truncated within a name, a string, a number and after each token, then followed by a complete line.
+        (r#"{"vers"#, "malformed object: unexpected '\\n'"),
+        (r#"{"version":43,"servers":[{"id":"a"#, "malformed object: unexpected '\\n'"),
+        (r#"{"version":43,"servers":[{"id":"a\"#, "malformed object: unexpected '\\n'"),
+        (r#"{"version":4"#, "malformed object: unexpected '{'"),
+        (r#"{"version":43,"#, "malformed object: unexpected '{'"),
+        ("{", "malformed object: unexpected '{'"),
+        (r#"{"version":43,"servers":[{"id":"a","state":"ready"}"#, "malformed object: unexpected '{'"),
+        (r#"{"version":43,"servers":[{"id":"a","state":"ready"}]"#, "malformed object: unexpected '{'"),
+        (r#"{"version":43,"full":fal"#, "malformed object: unexpected '{'"),
+        // Malformed.
+        ("version 43", "starts with 'v'"),
+        ("[]", "starts with '['"),
+        ("}", "starts with '}'"),
+        ("\u{feff}{}", "starts with 'ï'"),
+        ("\0", "starts with '\\0'"),
+        (r#"{"version":43,"servers":[]}]"#, "unexpected ']' after the object"),
+        (r#"{"version":43,"servers":[]}{"version":44,"servers":[]}"#, "unexpected '{' after the object"),
+        (r#"{"version":43,"servers":[]},"#, "unexpected ',' after the object"),
+        (r#"{"version":43,"servers":[}]"#, "malformed object: unexpected '}'"),
+        (r#"{"version":43,"servers":{]}"#, "malformed object: unexpected ']'"),
         (&deep, "nested more than 16"),
-        // Whole objects that are no list.
+        // Complete objects that are not a valid endpoint list.
         ("{}", "version"),
         (r#"{"version":-1,"servers":[]}"#, "invalid value"),
         (r#"{"version":1e99,"servers":[]}"#, "invalid type"),
@@ -83,20 +86,20 @@
         (r#"{"version":43 44,"servers":[]}"#, "expected"),
         (r#"{"version":43,"servers":[],}"#, "trailing"),
     ];
-    for (bad, wanted) in cases {
-        for piece in [1, 5, 1 << 20] {
-            let (told, error) = told(format!("{ONE}\n{bad}{next}").as_bytes(), piece);
-            assert_eq!(told, ["43 1"], "{bad}: only what came before");
-            let error = error.unwrap_or_else(|| panic!("{bad}: no error"));
-            assert!(error.contains(wanted), "{bad}: {error}");
+    for (line, expected) in cases {
+        for chunk_size in [1, 5, 1 << 20] {
+            let (lines, error) = split(format!("{SINGLE_LINE}\n{line}{next}").as_bytes(), chunk_size);
+            assert_eq!(lines, ["43 1"], "{line}: only the line before it");
+            let error = error.unwrap_or_else(|| panic!("{line}: no error"));
+            assert!(error.contains(expected), "{line}: {error}");
         }
     }
-    let (told, error) = told(b"{\"version\":43,\"servers\":[{\"id\":\"\xff\",\"state\":\"ready\"}]}\n", 3);
-    assert!(told.is_empty() && error.is_some(), "not UTF-8");
+    let (lines, error) = split(b"{\"version\":43,\"servers\":[{\"id\":\"\xff\",\"state\":\"ready\"}]}\n", 3);
+    assert!(lines.is_empty() && error.is_some(), "not UTF-8");
 }
 
 #[test]
-fn an_object_without_end_is_ended_by_its_size_and_held_no_longer() {
+fn an_object_without_end_is_rejected_at_the_size_limit() {
     let mut lines = LineSplitter::default();
     lines.push(br#"{"version":43,"servers":["#);
     let part = br#"{"id":"a","state":"ready"},"#.repeat(1000);
@@ -105,41 +108,46 @@
         lines.push(&part);
         pushed += part.len();
         match lines.next() {
-            Ok(None) => assert!(pushed <= LARGEST_OBJECT_BYTES + part.len()),
+            Ok(None) => assert!(pushed <= MAX_OBJECT_BYTES + part.len()),
             Ok(Some(line)) => panic!("{line:?}"),
             Err(error) => break error,
         }
     };
     assert_eq!(error, LineError::TooLarge);
-    assert!(pushed > LARGEST_OBJECT_BYTES);
+    assert!(pushed > MAX_OBJECT_BYTES);
     let mut lines = LineSplitter::default();
-    lines.push(&vec![b' '; LARGEST_OBJECT_BYTES + 1]);
-    assert_eq!(lines.next(), Err(LineError::TooLarge), "nor does white space go on");
+    lines.push(&vec![b' '; MAX_OBJECT_BYTES + 1]);
+    assert_eq!(lines.next(), Err(LineError::TooLarge), "white space counts towards the limit");
 }
 
 #[test]
-fn a_whole_answer_needs_no_line_end_and_half_of_one_is_none() {
-    let ends = |text: &str| {
+fn finish_returns_an_object_without_line_end_and_rejects_a_truncated_one() {
+    let split_and_finish = |text: &str| {
         let mut lines = LineSplitter::default();
         lines.push(text.as_bytes());
         let line = lines.next();
         (line, lines.finish().map(|rest| rest.map(|rest| registry::read(&rest).expect("read").version)))
     };
-    assert_eq!(ends(ONE), (Ok(None), Ok(Some(43))));
-    assert_eq!(ends(INDENTED.trim_end()), (Ok(None), Ok(Some(43))));
-    assert_eq!(ends(""), (Ok(None), Ok(None)));
-    assert_eq!(ends(" "), (Ok(None), Ok(None)));
-    for cut in 1..ONE.len() {
-        assert_eq!(ends(&ONE[..cut]).1, Err(LineError::Truncated), "{}", &ONE[..cut]);
+    assert_eq!(split_and_finish(SINGLE_LINE), (Ok(None), Ok(Some(43))));
+    assert_eq!(split_and_finish(INDENTED.trim_end()), (Ok(None), Ok(Some(43))));
+    assert_eq!(split_and_finish(""), (Ok(None), Ok(None)));
+    assert_eq!(split_and_finish(" "), (Ok(None), Ok(None)));
+    for cut in 1..SINGLE_LINE.len() {
+        assert_eq!(
+            split_and_finish(&SINGLE_LINE[..cut]).1,
+            Err(LineError::Truncated),
+            "{}",
+            &SINGLE_LINE[..cut]
+        );
     }
 }
 
 proptest! {
     #[test]
-    fn what_the_reader_would_take_is_told_apart_the_same_and_what_is_torn_is_never_taken(
+    fn valid_lists_are_split_as_the_parser_reads_them_and_truncated_ones_never_are(
         names in proptest::collection::vec("[ -~é\n]{0,8}", 0..4),
         indented in any::<bool>(),
-        piece in 1usize..40,
+        chunk_size in 1usize..40,
         cut in any::<prop::sample::Index>(),
     ) {
         let servers: Vec<_> =
@@ -147,16 +155,19 @@
         let list = serde_json::json!({ "version": 5, "full": true, "servers": servers });
         let text = if indented { serde_json::to_string_pretty(&list) } else { serde_json::to_string(&list) };
         let text = text.expect("written");
-        let whole = format!("5 {}", names.len());
+        let expected = format!("5 {}", names.len());
         let both = format!("{text}\n\n{text}\n");
-        prop_assert_eq!(told(both.as_bytes(), piece), (vec![whole.clone(), ".".into(), whole], None));
-        // Malformed anywhere, with whole lines behind: what is taken has all names, and comes from a whole line.
+        prop_assert_eq!(
+            split(both.as_bytes(), chunk_size),
+            (vec![expected.clone(), ".".into(), expected], None)
+        );
+        // Truncated at any byte and followed by complete lines, the object is never returned.
         let cut = cut.index(text.len());
         if cut > 0 {
-            let torn = format!("{}\n{text}\n{text}\n", String::from_utf8_lossy(&text.as_bytes()[..cut]));
-            let (told, error) = told(torn.as_bytes(), piece);
-            prop_assert!(told.is_empty(), "{:?} of {}", told, torn);
-            // Else it never ends, and the watch falls silent.
+            let truncated = format!("{}\n{text}\n{text}\n", String::from_utf8_lossy(&text.as_bytes()[..cut]));
+            let (lines, error) = split(truncated.as_bytes(), chunk_size);
+            prop_assert!(lines.is_empty(), "{:?} of {}", lines, truncated);
+            // Without an error the object never ends, and the watch is abandoned as silent.
             prop_assert!(error.is_some() || cut < text.len());
         }
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,14 +1,15 @@
-//! Client of the discovery service: keeps a watch on changes open, and fetches the whole list on demand.
+//! Client of the discovery service: keeps a watch for changes open and fetches the full endpoint list on
+//! demand.
 //!
-//! A cluster runtime owns a [`Discovery`] and is its [`Subscriber`]. Two tasks, one a [`Query`], run for as long as it
-//! lives: dropping it ends both. [`watch`] decides when to call, when to abandon a call and when to call again; this
-//! module does the I/O. It never interprets a list beyond its version.
+//! A cluster runtime owns a [`Discovery`] and is its [`Subscriber`]. One task per [`Query`] runs until the
+//! [`Discovery`] is dropped. [`watch`] decides when a call starts, is abandoned and is retried; this module
+//! does the I/O. It reads nothing from an update but its version.
 
 mod lines;
 mod watch;
 
 use crate::backends;
-use crate::membership::News;
+use crate::membership::ListUpdate;
 use crate::platform::registry;
 use crate::response_monitor::ResponseMonitor;
 use awc::error::{PayloadError, SendRequestError};
@@ -26,53 +27,53 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 use tokio::time::sleep_until;
-use watch::{Action, CallId, Event, HeldList, Query, ReceivedUpdate, StaleUpdate, Watch};
+use watch::{Action, CallId, CurrentList, Event, Query, ReceivedUpdate, StaleUpdate, Watch};
 
-/// Longer than any call: the timeouts in [`watch`] end it.
-const NO_TIMEOUT: Duration = Duration::from_secs(3600);
+/// Timeout of the HTTP client, longer than any call: the timeouts in [`watch`] apply first.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3600);
 
 /// Why a call to discovery ended.
 #[derive(Debug, thiserror::Error)]
 enum CallEnd {
-    #[error("no connection or no answer: {0}")]
+    #[error("connection or request failed: {0}")]
     Request(#[from] SendRequestError),
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
-    #[error("the answer broke off: {0}")]
+    #[error("response body interrupted: {0}")]
     Truncated(#[from] PayloadError),
-    #[error("unreadable: {0}")]
+    #[error("malformed response: {0}")]
     Line(#[from] LineError),
-    #[error("unreadable: {0}")]
+    #[error("invalid endpoint list: {0}")]
     Object(#[from] serde_json::Error),
-    #[error("a list that goes back: {0}")]
+    #[error("stale update: {0}")]
     Stale(#[from] StaleUpdate),
-    #[error("no answer in time")]
+    #[error("response timeout")]
     ResponseTimeout,
-    #[error("no whole line in time")]
+    #[error("no complete line before the silence timeout")]
     SilenceTimeout,
-    #[error("its end")]
+    #[error("response ended")]
     StreamEnded,
 }
 
-/// Receives what discovery says.
+/// Receives the updates from discovery.
 pub trait Subscriber {
-    /// A list or a change came.
-    fn on_update(&self, update: News<'_>);
-    /// Discovery says that the list as it was last told is complete at this moment.
+    /// Called for each full list and each change.
+    fn on_update(&self, update: ListUpdate<'_>);
+    /// Called when discovery confirms that the list, with all updates delivered so far, is current.
     fn on_list_complete(&self);
 }
 
-/// The client. Calls go on until it is dropped.
+/// The client of the discovery service. Dropping it ends its calls.
 pub struct Discovery {
     shared: Rc<Shared>,
     tasks: [JoinHandle<()>; 2],
 }
 
-/// What the two tasks and the handle share.
+/// State shared by the two query tasks and the [`Discovery`] handle.
 struct Shared {
     subscriber: Weak<dyn Subscriber>,
     address: Cell<SocketAddr>,
-    /// Of the list that is held.
+    /// The version of the current list.
     version: Cell<u64>,
     origin: Instant,
     changes: QueryState,
@@ -80,10 +81,10 @@
     log: Logger,
 }
 
-/// One query: its state machine, and what its task has to do next.
+/// The state machine of a query and the next action of its task.
 struct QueryState {
     watch: RefCell<Watch>,
-    /// Only the last action counts: each drops the current call.
+    /// Only the latest action is kept, since every action drops the current call.
     pending_action: Cell<Option<Action>>,
     action_set: Notify,
 }
@@ -99,8 +100,8 @@
 }
 
 impl Discovery {
-    /// No call is made until [`watch`](Self::watch) or [`refresh`](Self::refresh). `seed` has to differ between
-    /// replicas, or they call in step.
+    /// Creates a client that makes no call before [`watch`](Self::watch) or [`refresh`](Self::refresh). With
+    /// the same `seed`, replicas would call discovery at the same times.
     pub fn new(address: SocketAddr, subscriber: Weak<dyn Subscriber>, seed: u64, log: Logger) -> Discovery {
         let shared = Rc::new(Shared {
             subscriber,
@@ -116,20 +117,20 @@
         Discovery { shared, tasks }
     }
 
-    /// Notes the version of the list that is held.
+    /// Sets the version of the current list, from which the next watch continues.
     pub fn set_version(&self, version: u64) {
         self.shared.version.set(version);
     }
 
-    /// Keeps a watch open from now on, or no longer.
+    /// Starts or stops keeping a watch open.
     pub fn watch(&self, on: bool) {
         let event = if on { Event::Start } else { Event::Stop };
         self.shared.signal(&self.shared.changes, event);
     }
 
-    /// Discovery has this address from now on: asks there, within moments, for what changed after the version held.
-    /// Danger: an update that is still under way from the old address must not overwrite the new one's, so that
-    /// the current calls are dropped first.
+    /// Changes the address of discovery. The watch is reopened there after a short random delay, from the
+    /// current version. The current calls are dropped first, so that a late update from the old address
+    /// cannot overwrite one from the new address.
     pub fn set_address(&self, address: SocketAddr) {
         if self.shared.address.replace(address) != address {
             self.shared.signal(&self.shared.changes, Event::AddressChanged);
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Fetches the whole list once, retrying until it has come.
+    /// Fetches the full list once, with retries until it is received.
     pub fn refresh(&self) {
         self.shared.signal(&self.shared.snapshot, Event::Start);
     }
@@ -163,7 +164,8 @@
         state.watch.borrow_mut().handle(self.origin.elapsed(), event)
     }
 
-    /// Puts an event from outside of the query's task to its state machine, and has the task do what follows.
+    /// Passes an event from outside the query's task to its state machine and wakes the task for the
+    /// resulting action.
     fn signal(&self, state: &QueryState, event: Event) {
         if let Some(action) = self.handle(state, event) {
             state.pending_action.set(Some(action));
@@ -171,14 +173,15 @@
         }
     }
 
-    /// Does what the state machine says, until the task is aborted.
+    /// Carries out the actions of the state machine until the task is aborted.
     async fn run_query(self: Rc<Self>, query: Query) {
         let state = self.state(query);
         let mut call: Option<(CallId, CallFuture)> = None;
         loop {
             let due = state.watch.borrow().due().map(|due| self.origin + due);
-            // Danger, in this order: a dropped call still speaks; and a watch whose lines wait to be read, since the
-            // process stood still, is abandoned for its silence.
+            // The order matters: a pending action first, since it drops the call whose result is otherwise
+            // handled; received data before the timer, since after a pause of the process a watch would
+            // otherwise be abandoned as silent while its lines wait to be read.
             let action = tokio::select! {
                 biased;
                 () = state.action_set.notified() => state.pending_action.take(),
@@ -225,11 +228,11 @@
             "reason" => %end);
     }
 
-    /// One call, on a connection of its own, to its end.
+    /// Makes one call on a connection of its own and reads its response to the end.
     async fn call(self: Rc<Self>, query: Query, id: CallId) -> Result<(), CallEnd> {
         let address = self.address.get();
         let target = self.target(query);
-        let client = backends::client(address, NO_TIMEOUT, &Rc::new(ResponseMonitor::new(usize::MAX)));
+        let client = backends::client(address, CLIENT_TIMEOUT, &Rc::new(ResponseMonitor::new(usize::MAX)));
         debug!(self.log, "discovery call started"; "peer" => %address, "target" => &target);
         let uri = Uri::builder().scheme("http").authority(address.to_string()).path_and_query(&*target);
         let request = client.get(uri.build().unwrap_or_default()).no_decompress();
@@ -245,7 +248,7 @@
         }
     }
 
-    /// Passes on each object of a watch as it comes.
+    /// Applies each object of a watch as it is received.
     async fn read_changes(
         &self,
         id: CallId,
@@ -265,7 +268,7 @@
         Err(CallEnd::StreamEnded)
     }
 
-    /// Reads the one object of a response to its end, and passes it on.
+    /// Reads the response to its end and applies the single object in it.
     async fn read_snapshot(
         &self,
         id: CallId,
@@ -290,7 +293,7 @@
         self.apply(Query::Snapshot, id, &text)
     }
 
-    /// Passes an object on to the subscriber, unless its call was dropped meanwhile.
+    /// Passes an object to the subscriber unless its call has been dropped.
     fn apply(&self, query: Query, id: CallId, text: &[u8]) -> Result<(), CallEnd> {
         let update = registry::read(text)?;
         if !self.state(query).watch.borrow().is_current(id) {
@@ -298,11 +301,11 @@
         }
         let Some(subscriber) = self.subscriber.upgrade() else { return Ok(()) };
         let is_watched = self.changes.watch.borrow().is_streaming();
-        let held = HeldList { version: self.version.get(), is_watched };
+        let current = CurrentList { version: self.version.get(), is_watched };
         let received = ReceivedUpdate { version: update.version, is_snapshot: update.full };
-        if let Err(stale) = watch::check_version(query, held, received) {
+        if let Err(stale) = watch::check_version(query, current, received) {
             if query == Query::Changes {
-                // Discovery counts otherwise than what is held: only the entire list tells how things stand.
+                // Discovery has restarted its version numbers: the next watch fetches the full list.
                 self.version.set(0);
             }
             return Err(stale.into());
@@ -312,7 +315,8 @@
         Ok(())
     }
 
-    /// Passes on that nothing has changed since the last object of a watch, unless that was dropped meanwhile.
+    /// Notifies the subscriber that the list is unchanged since the last object of a watch, unless the watch
+    /// has been dropped.
     fn confirm_list(&self, id: CallId) {
         if !self.changes.watch.borrow().is_current(id) {
             return;
@@ -323,7 +327,7 @@
     }
 }
 
-/// Resolves with the result of the current call; never if there is none.
+/// Resolves with the result of the current call, or never if there is no call.
 async fn call_result(call: &mut Option<(CallId, CallFuture)>) -> (CallId, Result<(), CallEnd>) {
     match call {
         Some((id, future)) => (*id, future.await),
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,56 +1,59 @@
-//! State machine of the calls to discovery: when one starts, when it is abandoned, and when the next one starts.
+//! State machine of the calls to discovery: decides when a call starts, is abandoned and is retried.
 //!
-//! It owns the retry and liveness timing of one [`Query`]. `discovery/mod.rs` drives it and does the I/O. It does no I/O
-//! itself and reads no clock: time is passed in, and chance comes from a seed.
+//! It owns the retry and liveness timing of one [`Query`]. `discovery/mod.rs` drives it and does the I/O. It
+//! does no I/O itself and reads no clock: time is passed in, and random delays come from a seeded generator.
 //!
-//! All timeouts and delays are parts of one sum: a change is known [`CHANGE_BUDGET_MS`] after discovery has it and can
-//! be reached, with room for a second try. [`WORST_CASE_SEQUENCES`] adds them up, and a build in which one is too long
-//! does not compile.
+//! All timeouts and delays share one budget: a replica knows of a change within [`CHANGE_BUDGET_MS`] of the
+//! moment when discovery has it and is reachable, even if one call fails meanwhile. [`WORST_CASE_SEQUENCES`]
+//! adds up the delays; the build fails if a sum exceeds its bound.
 
 use std::time::Duration;
 
-/// A change is known this long after discovery has it and can be reached. All constants below are milliseconds.
+/// Longest time until a replica knows of a change, from the moment when discovery has it and is reachable.
 const CHANGE_BUDGET_MS: u64 = 6000;
-/// What the network, the runtime and parsing a list may take of the budget.
+/// The part of the budget for the network, the runtime and parsing a list.
 const RESERVE_MS: u64 = 300;
-/// A watch brings a line this often, if only an empty one.
+/// Interval at which discovery sends a line on a watch; an empty one if nothing has changed.
 const HEARTBEAT_INTERVAL_MS: u64 = 2000;
-/// A heartbeat may be this late.
+/// Tolerated delay of a heartbeat.
 const HEARTBEAT_TOLERANCE_MS: u64 = 400;
-/// A watch that has brought no whole line for this long is abandoned.
+/// A watch without a complete line for this long is abandoned.
 const SILENCE_TIMEOUT_MS: u64 = HEARTBEAT_INTERVAL_MS + HEARTBEAT_TOLERANCE_MS;
-/// Longest delay before the call that follows a silent watch or a change of address. Danger: without it all replicas
-/// call at the same moment, since what befell one befell all.
+/// Longest delay before the call that follows a silent watch or a change of address. Both affect all replicas
+/// at once; without the random delay all would call at the same moment.
 const REOPEN_DELAY_MS: u64 = 300;
-/// Longest delay after a watch that ended, or after the first call that failed. Danger: a replica without a watch is
-/// held to what changed since after the time that the settings give for asking, which may be 2 s.
+/// Longest delay after a watch that ended or after the first failed call. A replica without a watch must
+/// learn of changes within the interval that the settings give for asking, which may be 2 s.
 const FIRST_RETRY_DELAY_MS: u64 = 800;
-/// From the second failure on a replica calls in time slots of its own, this far apart; where the first one falls is
-/// chance. Danger: a queue at discovery that is longer than its patience answers nobody, and three hundred replicas that
-/// call in bursts, or again sooner than it can work off their calls, keep it so for good.
+/// Interval between the retry slots of a replica, used from the second failure on. The offset of the first
+/// slot is random. If the queue at discovery is longer than its queueing timeout, no call succeeds; 300
+/// replicas that call in bursts, or again before discovery has worked off their calls, would keep it in that
+/// state.
 const RETRY_SLOT_INTERVAL_MS: u64 = 2300;
-/// A slot that comes sooner than this after a second failure is skipped. It is more than what is left of a slot by a
-/// call that waited until it was refused: discovery is busy then, and called half as often.
+/// A slot that begins sooner than this after a failure is skipped. It is longer than the rest of a slot
+/// interval after a call that discovery queued and then rejected: such a replica calls a busy discovery half
+/// as often.
 const RETRY_SLOT_MARGIN_MS: u64 = 400;
-/// The longest delay that follows from the slots.
+/// Longest delay until a retry slot that is not skipped.
 const LONGEST_RETRY_DELAY_MS: u64 = RETRY_SLOT_INTERVAL_MS + RETRY_SLOT_MARGIN_MS;
-/// Longest delay after a call that was abandoned: these spread out by themselves, as they began.
+/// Longest delay after a call that was abandoned. It is short, since these calls are as spread out as their
+/// starts.
 const RETRY_AFTER_TIMEOUT_DELAY_MS: u64 = 250;
-/// A call that has no response after this long is abandoned. Danger: a busy discovery lets calls wait for their turn
-/// (2 s was seen) before it refuses them. A caller that gives up before leaves a call behind that takes somebody's turn,
-/// and never learns that it was refused.
+/// A call without a response after this long is abandoned. A busy discovery queues calls for 2 s before it
+/// rejects them. A client that gives up earlier leaves a call in the queue that delays others, and never sees
+/// the rejection.
 const RESPONSE_TIMEOUT_MS: u64 = 2150;
-/// What a discovery with spare capacity takes to respond (0.25 s was seen).
+/// Response time of a discovery with spare capacity (0.25 s), with a margin.
 const EXPECTED_RESPONSE_MS: u64 = 600;
-/// A new address is given with SIGHUP, and its list has to be known after this.
+/// Longest time from a SIGHUP that changes the address until the list at the new address is known.
 const ADDRESS_CHANGE_BUDGET_MS: u64 = 4000;
 
-/// The longest ways from the moment at which discovery has a change and can be reached to the line that brings it, by
-/// the state of the replica at that moment, with a call that hangs on the way; but for a call that was refused at the
-/// end of its wait. Beside each is its bound.
+/// The longest sequences of delays, in milliseconds, between the moment when discovery has a change and is
+/// reachable, and the receipt of the change, each with its bound. They are listed by the state of the replica
+/// at that moment, and all but the one in which a queued call is rejected include one call that hangs.
 const WORST_CASE_SEQUENCES: [(&str, u64, u64); 6] = [
     (
-        "a watch has fallen silent",
+        "a watch is silent",
         SILENCE_TIMEOUT_MS
             + REOPEN_DELAY_MS
             + RESPONSE_TIMEOUT_MS
@@ -73,17 +76,17 @@
         CHANGE_BUDGET_MS,
     ),
     (
-        "many calls have failed",
+        "repeated calls have failed",
         LONGEST_RETRY_DELAY_MS + RESPONSE_TIMEOUT_MS + RETRY_AFTER_TIMEOUT_DELAY_MS + EXPECTED_RESPONSE_MS,
         CHANGE_BUDGET_MS,
     ),
     (
-        "a call waits and is refused",
+        "a queued call is rejected",
         RESPONSE_TIMEOUT_MS + LONGEST_RETRY_DELAY_MS + EXPECTED_RESPONSE_MS,
         CHANGE_BUDGET_MS,
     ),
     (
-        "discovery moves",
+        "the address of discovery changes",
         REOPEN_DELAY_MS + RESPONSE_TIMEOUT_MS + RETRY_AFTER_TIMEOUT_DELAY_MS + EXPECTED_RESPONSE_MS,
         ADDRESS_CHANGE_BUDGET_MS,
     ),
@@ -93,94 +96,94 @@
     let mut index = 0;
     while index < WORST_CASE_SEQUENCES.len() {
         let (_, sum, bound) = WORST_CASE_SEQUENCES[index];
-        assert!(sum + RESERVE_MS <= bound, "a sequence is longer than its bound");
+        assert!(sum + RESERVE_MS <= bound, "a worst-case sequence exceeds its bound");
         index += 1;
     }
 };
 
-/// What discovery is asked for.
+/// The kinds of calls to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// The changes, on a watch that is kept open.
+    /// The changes, read from a watch that is kept open.
     Changes,
-    /// The whole list, once.
+    /// The full list, fetched once.
     Snapshot,
 }
 
-/// The number of a call; each has another.
+/// The number of a call, unique within its query.
 pub type CallId = u64;
 
-/// What happened.
+/// The inputs of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The query is wanted from now on. No effect if it already is.
+    /// Start the query. No effect if it is already running.
     Start,
-    /// The query is no longer wanted.
+    /// Stop the query.
     Stop,
-    /// Discovery has another address from now on.
+    /// The address of discovery has changed.
     AddressChanged,
-    /// The head of a response came, with status 200.
+    /// A response head with status 200 was received.
     ResponseStarted(CallId),
-    /// A whole line came; an empty one too.
+    /// A complete line, possibly empty, was received.
     LineReceived(CallId),
-    /// The whole list came.
+    /// The full list was received.
     SnapshotReceived(CallId),
-    /// A call was refused, broke off or brought something unreadable.
+    /// A call was rejected, was interrupted or had a malformed response.
     CallFailed(CallId),
-    /// The time that [`Watch::due`] names may have come.
+    /// The time of [`Watch::due`] may have been reached.
     TimerFired,
 }
 
-/// What is to be done. Each drops the current call, if there is one.
+/// The outputs of the state machine. Every action drops the current call, if there is one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start a call.
+    /// Start the call with this number.
     StartCall(CallId),
-    /// No call is wanted.
+    /// Make no call until the next action.
     DropCall,
-    /// The current call has had no response in time.
+    /// Abandon the current call: its response timed out.
     AbandonUnanswered,
-    /// The current watch has fallen silent.
+    /// Abandon the current watch: no complete line was received before the silence timeout.
     AbandonSilent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Idle,
-    /// No call until then.
+    /// Waiting until this time before the next call.
     Backoff(Duration),
-    /// The current call was started then, and has no response so far.
+    /// The current call was started at this time and has no response yet.
     AwaitingResponse(Duration),
-    /// The current call was started at `since` and its response has begun; the last whole line came at `last`.
+    /// The response of the call started at `since` has begun; the last complete line was received at `last`.
     Streaming {
         since: Duration,
         last: Duration,
     },
 }
 
-/// The calls of one query.
+/// The state machine of one query.
 #[derive(Debug)]
 pub struct Watch {
     query: Query,
     state: State,
-    /// The current call, or the last one.
+    /// The number of the current call or, without one, of the last.
     call: CallId,
-    /// Calls that failed at once, in a row.
+    /// The number of consecutive failures; at most 8.
     failures: u32,
-    /// When its first retry slot is.
+    /// The time of the first retry slot.
     first_retry_slot: Duration,
     rng: fastrand::Rng,
 }
 
 impl Watch {
-    /// A query that is not wanted yet. `seed` has to differ between replicas.
+    /// Creates a stopped query. `seed` must differ between replicas.
     pub fn new(query: Query, seed: u64) -> Watch {
         let mut rng = fastrand::Rng::with_seed(seed);
         let first_retry_slot = Duration::from_micros(rng.u64(0..RETRY_SLOT_INTERVAL_MS * 1000));
         Watch { query, state: State::Idle, call: 0, failures: 0, first_retry_slot, rng }
     }
 
-    /// Takes one event at time `now`.
+    /// Handles an event at time `now` and returns the action to carry out, if any.
     pub fn handle(&mut self, now: Duration, event: Event) -> Option<Action> {
         match event {
             Event::Start if self.state == State::Idle => Some(self.start_call(now)),
@@ -224,7 +227,7 @@
         }
     }
 
-    /// When [`Event::TimerFired`] is due, unless another event comes first.
+    /// Returns when [`Event::TimerFired`] is due, unless another event is handled before.
     pub fn due(&self) -> Option<Duration> {
         match self.state {
             State::Idle => None,
@@ -234,12 +237,12 @@
         }
     }
 
-    /// Whether a call is the current one. What another brings does not count.
+    /// Returns whether a call is the current one. Data from any other call is ignored.
     pub fn is_current(&self, call: CallId) -> bool {
         call == self.call && matches!(self.state, State::AwaitingResponse(_) | State::Streaming { .. })
     }
 
-    /// Whether a response has begun and goes on.
+    /// Returns whether a response is being received.
     pub fn is_streaming(&self) -> bool {
         matches!(self.state, State::Streaming { .. })
     }
@@ -253,7 +256,8 @@
                 Some(Action::AbandonUnanswered)
             }
             State::Streaming { .. } => {
-                // After a row of failures the replicas have spread out already, and the sum has no room for more.
+                // After consecutive failures the replicas are spread out already, and the budget allows no
+                // more delay.
                 let longest_ms = if self.failures > 0 { 0 } else { REOPEN_DELAY_MS };
                 self.failures = 0;
                 self.back_off(now, longest_ms);
@@ -268,8 +272,9 @@
         Action::StartCall(self.call)
     }
 
-    /// Danger: a response that begins well and breaks off at once, each time. Only one that went on for as long as the
-    /// first retry delay ends the row of failures.
+    /// Schedules the next call after a failure. Only a response that lasted at least as long as the longest
+    /// first retry delay resets the count of failures: without this, a discovery that breaks off each
+    /// response at its start would be called again and again without a longer delay.
     fn on_failure(&mut self, now: Duration) {
         if let State::Streaming { since, .. } = self.state
             && now >= since + ms(FIRST_RETRY_DELAY_MS)
@@ -277,8 +282,8 @@
             self.failures = 0;
         }
         self.failures = (self.failures + 1).min(8);
-        // Danger: what befell all befell them within one slot, and every second slot would be empty. The first that may
-        // be skipped is, by half of the replicas.
+        // A fault that affects all replicas does so within one slot interval. If all skipped the same slot,
+        // every second slot would stay empty, so half of the replicas skip at the second failure.
         let skips_next_slot = match self.failures {
             1 => return self.back_off(now, FIRST_RETRY_DELAY_MS),
             2 => self.rng.bool(),
@@ -288,7 +293,7 @@
         self.state = State::Backoff(self.next_retry_slot(from));
     }
 
-    /// Its first retry slot from a time on.
+    /// Returns the first retry slot at or after `from`.
     fn next_retry_slot(&self, from: Duration) -> Duration {
         let interval = ms(RETRY_SLOT_INTERVAL_MS);
         let since_first = from.saturating_sub(self.first_retry_slot);
@@ -296,7 +301,8 @@
         self.first_retry_slot + interval * slots as u32
     }
 
-    /// Full jitter: any delay up to the longest is as likely, so that replicas that failed together spread out.
+    /// Waits for a uniformly random delay up to the longest (full jitter), so that replicas that fail
+    /// together spread out.
     fn back_off(&mut self, now: Duration, longest_ms: u64) {
         let delay = self.rng.u64(0..=longest_ms * 1000);
         self.state = State::Backoff(now + Duration::from_micros(delay));
@@ -307,47 +313,52 @@
     Duration::from_millis(ms)
 }
 
-/// An update that is older than the list held.
+/// An update is older than the current list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("version {received}, and version {held} is held")]
+#[error("version {received} is older than the current version {current}")]
 pub struct StaleUpdate {
-    /// The version that came.
+    /// The version of the update.
     pub received: u64,
-    /// The version held.
-    pub held: u64,
+    /// The version of the current list.
+    pub current: u64,
 }
 
-/// The list as it is held when an update comes.
+/// The current list when an update is received.
 #[derive(Clone, Copy, Debug)]
-pub struct HeldList {
+pub struct CurrentList {
     /// Its version.
     pub version: u64,
-    /// A watch keeps it up to date.
+    /// Whether a watch is keeping it up to date.
     pub is_watched: bool,
 }
 
-/// An update that came.
+/// A received update.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedUpdate {
-    /// The version that it brings the list to.
+    /// The version of the list after the update.
     pub version: u64,
-    /// It is the whole list.
+    /// Whether it contains the full list.
     pub is_snapshot: bool,
 }
 
-/// Whether an update may be applied to the list held. A whole list on a watch is discovery's word on how things stand
-/// and is taken as it is, also where it goes back. A change that goes back is not: it would undo what is newer. Nor is a
-/// whole list that was asked for on the side, and that the watch has overtaken: the watch does not tell that part again.
+/// Checks that an update may be applied to the current list. A full list on a watch is authoritative and
+/// always accepted, even with an older version. An older change is rejected, since it would undo newer
+/// changes. An older snapshot is rejected while a watch is open, since the watch would not send the changes
+/// after it again.
 ///
 /// # Errors
-/// It is older than what is held.
-pub fn check_version(query: Query, held: HeldList, received: ReceivedUpdate) -> Result<(), StaleUpdate> {
+/// The update is older than the current list and must not be.
+pub fn check_version(
+    query: Query,
+    current: CurrentList,
+    received: ReceivedUpdate,
+) -> Result<(), StaleUpdate> {
     let must_be_newer = match query {
         Query::Changes => !received.is_snapshot,
-        Query::Snapshot => held.is_watched,
+        Query::Snapshot => current.is_watched,
     };
-    if must_be_newer && received.version < held.version {
-        return Err(StaleUpdate { received: received.version, held: held.version });
+    if must_be_newer && received.version < current.version {
+        return Err(StaleUpdate { received: received.version, current: current.version });
     }
     Ok(())
 }
--- a/crates/proxy/src/discovery/watch/tests/model.rs
+++ b/crates/proxy/src/discovery/watch/tests/model.rs
@@ -1,40 +1,40 @@
-//! A small model of discovery and of the copies that call it, in virtual time. It handles calls one after another,
-//! and does to them what a script says.
+//! A model, in virtual time, of discovery and of the replicas that call it. Discovery handles calls one after
+//! another and fails as a script says.
 
 use super::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What a copy is told of its calls.
+/// The events that a replica receives.
 #[derive(Clone, Copy, Debug)]
 pub enum Input {
-    Begin,
-    Moved,
-    Head(CallId),
-    /// Bytes that make no line.
-    Bytes(CallId),
-    Empty(CallId),
-    Object(CallId),
-    Failed(CallId),
-    Due,
+    Start,
+    AddressChanged,
+    ResponseStarted(CallId),
+    /// Bytes that do not complete a line.
+    PartialLine(CallId),
+    EmptyLine(CallId),
+    ObjectLine(CallId),
+    CallFailed(CallId),
+    TimerFired,
 }
 
-/// Whoever decides when to call.
-pub trait Copy {
+/// The rules by which a replica calls discovery.
+pub trait RetryRules {
     fn handle(&mut self, now: Duration, input: Input) -> Option<Action>;
     fn due(&self) -> Option<Duration>;
 }
 
-impl Copy for Watch {
+impl RetryRules for Watch {
     fn handle(&mut self, now: Duration, input: Input) -> Option<Action> {
         let event = match input {
-            Input::Begin => Event::Start,
-            Input::Moved => Event::AddressChanged,
-            Input::Head(call) => Event::ResponseStarted(call),
-            Input::Bytes(_) => return None,
-            Input::Empty(call) | Input::Object(call) => Event::LineReceived(call),
-            Input::Failed(call) => Event::CallFailed(call),
-            Input::Due => Event::TimerFired,
+            Input::Start => Event::Start,
+            Input::AddressChanged => Event::AddressChanged,
+            Input::ResponseStarted(call) => Event::ResponseStarted(call),
+            Input::PartialLine(_) => return None,
+            Input::EmptyLine(call) | Input::ObjectLine(call) => Event::LineReceived(call),
+            Input::CallFailed(call) => Event::CallFailed(call),
+            Input::TimerFired => Event::TimerFired,
         };
         Watch::handle(self, now, event)
     }
@@ -44,193 +44,204 @@
     }
 }
 
-/// What befalls discovery, or all that is open there.
+/// A step of a script: what happens to discovery or to the open watches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// The list changes.
-    Change,
-    /// It answers.
+    ListChanges,
+    /// Discovery answers calls.
     Up,
-    /// It ends all that is out, and refuses calls.
+    /// Discovery ends all calls and watches, and refuses new calls at once.
     Down,
-    /// It answers 503 at once; watches go on.
-    Refuses,
-    /// It ends all that is out, and refuses calls when their patience is over.
-    Stuck,
-    /// It vanishes: nothing is said from then on, also of what is open.
-    Vanishes,
-    /// Open watches say nothing any more; or bytes that make no line.
-    Silence,
-    Drip,
-    /// Open watches are reset; or bring what is unreadable.
-    Reset,
-    Spoilt,
-    /// It is elsewhere; the old place says nothing of it.
-    Moves,
-    /// The next call hangs before its head, or right behind it, or is refused.
+    /// Discovery answers new calls with 503 at once; open watches continue.
+    Rejecting,
+    /// Discovery ends all calls and watches, and rejects new calls after the queueing timeout.
+    Overloaded,
+    /// Discovery is unreachable: new calls and open ones get no data and no error.
+    Unreachable,
+    /// Open watches send no more data.
+    WatchesStall,
+    /// Open watches send bytes that do not complete a line.
+    WatchesTrickle,
+    /// Open watches are reset.
+    WatchesReset,
+    /// Open watches send a malformed line.
+    WatchesMalformed,
+    /// The address of discovery changes; calls to the old address continue.
+    AddressChanges,
+    /// The next call gets no response.
     NextHangs,
+    /// The next call gets a response head and no data.
     NextStalls,
-    NextRefused,
+    /// The next call is rejected.
+    NextRejected,
 }
 
-/// What became of it.
+/// The result of a script. Times are in milliseconds.
 #[derive(Debug, Default)]
-pub struct Played {
-    /// The longest that a change was not known to a copy although it could have been, by the most, in milliseconds.
-    pub worst: u64,
-    /// How long the last copy took to know the last change, whatever befell it.
-    pub last: u64,
-    /// The most calls within a second, and in all.
-    pub busiest: usize,
+pub struct Measured {
+    /// The longest time that a replica took to learn of a change, as [`Model::longest_delay`] counts it.
+    pub longest_delay: u64,
+    /// The time until every replica knew of the last change, including outages.
+    pub last_change_delay: u64,
+    /// The highest number of calls within one second.
+    pub peak_calls: usize,
+    /// The number of calls.
     pub calls: usize,
+    /// The duration of the run.
     pub end: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Conn {
+enum Connection {
     None,
-    /// Not answered so far, and perhaps never.
-    Asked,
-    Live,
-    Mute,
-    Drips,
+    /// A call without a response.
+    AwaitingResponse,
+    Streaming,
+    Stalled,
+    Trickling,
 }
 
-struct Seat<C> {
-    copy: C,
+struct Replica<R> {
+    rules: R,
     call: CallId,
-    conn: Conn,
-    known: usize,
-    /// When each change was known.
-    told: Vec<u64>,
-    /// Beginnings of what befell its calls; and of times in which discovery could not be reached, and their ends.
+    connection: Connection,
+    known_changes: usize,
+    /// When the replica learned of each change.
+    learned_at: Vec<u64>,
+    /// When a fault affected its call.
     faults: Vec<u64>,
-    /// Its next heartbeat is the one of this number.
-    beat: u64,
+    /// The number of its next heartbeat; earlier ones in the queue are ignored.
+    heartbeat: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Coming {
-    Start { seat: usize },
+enum Scheduled {
+    Start { replica: usize },
     Script(usize),
-    Head { seat: usize, call: CallId, stalls: bool },
-    Refused { seat: usize, call: CallId },
-    Beat { seat: usize, call: CallId, beat: u64 },
-    Drip { seat: usize, call: CallId },
-    Due { seat: usize },
+    ResponseHead { replica: usize, call: CallId, stalls: bool },
+    Rejected { replica: usize, call: CallId },
+    Heartbeat { replica: usize, call: CallId, heartbeat: u64 },
+    Trickle { replica: usize, call: CallId },
+    Timer { replica: usize },
 }
 
-/// How long discovery lets a call wait for its turn, as was seen on two deployments.
-pub const PATIENCE: u64 = 2000;
+/// Discovery rejects a call that has been queued for this long.
+pub const QUEUE_TIMEOUT_MS: u64 = 2000;
 
-pub struct Model<C> {
-    seats: Vec<Seat<C>>,
-    coming: BinaryHeap<Reverse<(u64, u64, Coming)>>,
-    number: u64,
+/// The model; times are in milliseconds.
+pub struct Model<R> {
+    replicas: Vec<Replica<R>>,
+    /// By time, then in the order of scheduling.
+    scheduled: BinaryHeap<Reverse<(u64, u64, Scheduled)>>,
+    sequence: u64,
     now: u64,
     condition: Step,
     next: Option<Step>,
-    /// When discovery has done with the calls so far; and what each takes.
-    free: u64,
-    service: u64,
+    /// When discovery has worked off all calls so far.
+    busy_until: u64,
+    /// The time that discovery spends on a call.
+    service_time: u64,
     /// When each change was made.
     changes: Vec<u64>,
-    /// From when to when it could not be reached.
-    away: Vec<(u64, u64)>,
+    /// The start and end of each outage.
+    outages: Vec<(u64, u64)>,
     calls: Vec<u64>,
 }
 
-impl<C: Copy> Model<C> {
-    /// `service`: what a call takes, in milliseconds.
-    pub fn new(copies: impl Iterator<Item = C>, service: u64) -> Model<C> {
-        let seat = |copy| Seat {
-            copy,
+impl<R: RetryRules> Model<R> {
+    pub fn new(rules: impl Iterator<Item = R>, service_time: u64) -> Model<R> {
+        let replica = |rules| Replica {
+            rules,
             call: 0,
-            conn: Conn::None,
-            known: 0,
-            told: Vec::new(),
+            connection: Connection::None,
+            known_changes: 0,
+            learned_at: Vec::new(),
             faults: Vec::new(),
-            beat: 0,
+            heartbeat: 0,
         };
         Model {
-            seats: copies.map(seat).collect(),
-            coming: BinaryHeap::new(),
-            number: 0,
+            replicas: rules.map(replica).collect(),
+            scheduled: BinaryHeap::new(),
+            sequence: 0,
             now: 0,
             condition: Step::Up,
             next: None,
-            free: 0,
-            service,
+            busy_until: 0,
+            service_time,
             changes: Vec::new(),
-            away: Vec::new(),
+            outages: Vec::new(),
             calls: Vec::new(),
         }
     }
 
-    /// Plays steps, each so many milliseconds after the one before, and a while with discovery up behind them.
-    pub fn play(mut self, script: &[(u64, Step)]) -> Played {
+    /// Runs a script of steps, each with its delay after the step before, and 30 s more.
+    pub fn run(mut self, script: &[(u64, Step)]) -> Measured {
         let mut at = 0;
         for (index, (after, _)) in script.iter().enumerate() {
             at += after;
-            self.push(at, Coming::Script(index));
+            self.schedule(at, Scheduled::Script(index));
         }
-        // Copies do not start in the same moment.
-        for seat in 0..self.seats.len() {
-            self.push(seat as u64 * 1000 / self.seats.len() as u64, Coming::Start { seat });
+        // The starts of the replicas are spread over a second.
+        for replica in 0..self.replicas.len() {
+            self.schedule(replica as u64 * 1000 / self.replicas.len() as u64, Scheduled::Start { replica });
         }
         let end = at + 30_000;
-        while let Some(Reverse((at, _, coming))) = self.coming.pop().filter(|next| next.0.0 <= end) {
+        while let Some(Reverse((at, _, event))) = self.scheduled.pop().filter(|next| next.0.0 <= end) {
             self.now = at;
-            self.comes(script, coming);
+            self.handle(script, event);
         }
         self.now = end;
-        self.sum_up(end)
+        self.measure(end)
     }
 
-    fn push(&mut self, at: u64, coming: Coming) {
-        self.number += 1;
-        self.coming.push(Reverse((at, self.number, coming)));
+    fn schedule(&mut self, at: u64, event: Scheduled) {
+        self.sequence += 1;
+        self.scheduled.push(Reverse((at, self.sequence, event)));
     }
 
-    fn comes(&mut self, script: &[(u64, Step)], coming: Coming) {
-        match coming {
-            Coming::Start { seat } => self.input(seat, Input::Begin),
-            Coming::Script(index) => self.step(script[index].1),
-            Coming::Head { seat, call, stalls } => {
-                if self.is_current(seat, call) {
-                    self.seats[seat].conn = if stalls { Conn::Mute } else { Conn::Live };
-                    self.input(seat, Input::Head(call));
+    fn handle(&mut self, script: &[(u64, Step)], event: Scheduled) {
+        match event {
+            Scheduled::Start { replica } => self.input(replica, Input::Start),
+            Scheduled::Script(index) => self.apply(script[index].1),
+            Scheduled::ResponseHead { replica, call, stalls } => {
+                if self.is_current(replica, call) {
+                    self.replicas[replica].connection =
+                        if stalls { Connection::Stalled } else { Connection::Streaming };
+                    self.input(replica, Input::ResponseStarted(call));
                     if stalls {
-                        self.fault(seat);
+                        self.fault(replica);
                     } else {
-                        self.tell(seat);
-                        self.beats(seat);
+                        self.send_changes(replica);
+                        self.schedule_heartbeat(replica);
                     }
                 }
             }
-            Coming::Refused { seat, call } => {
-                if self.is_current(seat, call) {
-                    self.on_failure(seat);
+            Scheduled::Rejected { replica, call } => {
+                if self.is_current(replica, call) {
+                    self.on_failure(replica);
                 }
             }
-            Coming::Beat { seat, call, beat } => {
-                if self.is_current(seat, call)
-                    && self.seats[seat].conn == Conn::Live
-                    && self.seats[seat].beat == beat
+            Scheduled::Heartbeat { replica, call, heartbeat } => {
+                if self.is_current(replica, call)
+                    && self.replicas[replica].connection == Connection::Streaming
+                    && self.replicas[replica].heartbeat == heartbeat
                 {
-                    self.input(seat, Input::Empty(call));
-                    self.beats(seat);
+                    self.input(replica, Input::EmptyLine(call));
+                    self.schedule_heartbeat(replica);
                 }
             }
-            Coming::Drip { seat, call } => {
-                if self.is_current(seat, call) && self.seats[seat].conn == Conn::Drips {
-                    self.input(seat, Input::Bytes(call));
-                    self.push(self.now + 500, coming);
+            Scheduled::Trickle { replica, call } => {
+                if self.is_current(replica, call)
+                    && self.replicas[replica].connection == Connection::Trickling
+                {
+                    self.input(replica, Input::PartialLine(call));
+                    self.schedule(self.now + 500, event);
                 }
             }
-            Coming::Due { seat } => {
-                if self.seats[seat].copy.due().is_some_and(|due| due <= self.time()) {
-                    self.input(seat, Input::Due);
+            Scheduled::Timer { replica } => {
+                if self.replicas[replica].rules.due().is_some_and(|due| due <= self.time()) {
+                    self.input(replica, Input::TimerFired);
                 }
             }
         }
@@ -240,181 +251,192 @@
         ms(self.now)
     }
 
-    fn is_current(&self, seat: usize, call: CallId) -> bool {
-        self.seats[seat].call == call && self.seats[seat].conn != Conn::None
+    fn is_current(&self, replica: usize, call: CallId) -> bool {
+        self.replicas[replica].call == call && self.replicas[replica].connection != Connection::None
     }
 
-    fn fault(&mut self, seat: usize) {
-        self.seats[seat].faults.push(self.now);
+    fn fault(&mut self, replica: usize) {
+        self.replicas[replica].faults.push(self.now);
     }
 
-    fn beats(&mut self, seat: usize) {
-        self.seats[seat].beat += 1;
-        let (call, beat) = (self.seats[seat].call, self.seats[seat].beat);
-        self.push(self.now + HEARTBEAT_INTERVAL_MS, Coming::Beat { seat, call, beat });
+    fn schedule_heartbeat(&mut self, replica: usize) {
+        self.replicas[replica].heartbeat += 1;
+        let (call, heartbeat) = (self.replicas[replica].call, self.replicas[replica].heartbeat);
+        self.schedule(self.now + HEARTBEAT_INTERVAL_MS, Scheduled::Heartbeat { replica, call, heartbeat });
     }
 
-    /// Tells what a watch has not told.
-    fn tell(&mut self, seat: usize) {
+    /// Sends the changes that a replica does not know yet.
+    fn send_changes(&mut self, replica: usize) {
         let (now, changes) = (self.now, self.changes.len());
-        let s = &mut self.seats[seat];
-        if s.known < changes {
-            s.told.resize(changes, now);
-            s.known = changes;
-            let call = s.call;
-            self.input(seat, Input::Object(call));
+        let r = &mut self.replicas[replica];
+        if r.known_changes < changes {
+            r.learned_at.resize(changes, now);
+            r.known_changes = changes;
+            let call = r.call;
+            self.input(replica, Input::ObjectLine(call));
         }
     }
 
-    fn on_failure(&mut self, seat: usize) {
-        let call = self.seats[seat].call;
-        self.seats[seat].conn = Conn::None;
-        self.input(seat, Input::Failed(call));
+    fn on_failure(&mut self, replica: usize) {
+        let call = self.replicas[replica].call;
+        self.replicas[replica].connection = Connection::None;
+        self.input(replica, Input::CallFailed(call));
     }
 
-    fn input(&mut self, seat: usize, input: Input) {
+    fn input(&mut self, replica: usize, input: Input) {
         let now = self.time();
-        match self.seats[seat].copy.handle(now, input) {
+        match self.replicas[replica].rules.handle(now, input) {
             Some(Action::StartCall(call)) => {
-                (self.seats[seat].call, self.seats[seat].conn) = (call, Conn::Asked);
-                self.called(seat, call);
+                (self.replicas[replica].call, self.replicas[replica].connection) =
+                    (call, Connection::AwaitingResponse);
+                self.on_call(replica, call);
             }
-            Some(_) => self.seats[seat].conn = Conn::None,
+            Some(_) => self.replicas[replica].connection = Connection::None,
             None => {}
         }
-        if let Some(due) = self.seats[seat].copy.due() {
+        if let Some(due) = self.replicas[replica].rules.due() {
             let at = due.as_micros().div_ceil(1000) as u64;
-            self.push(at.max(self.now), Coming::Due { seat });
+            self.schedule(at.max(self.now), Scheduled::Timer { replica });
         }
     }
 
-    fn called(&mut self, seat: usize, call: CallId) {
+    fn on_call(&mut self, replica: usize, call: CallId) {
         self.calls.push(self.now);
         match (self.condition, self.next.take()) {
-            (Step::Down | Step::Refuses, next) => {
+            (Step::Down | Step::Rejecting, next) => {
                 self.next = next;
-                self.push(self.now, Coming::Refused { seat, call });
+                self.schedule(self.now, Scheduled::Rejected { replica, call });
             }
-            (Step::Stuck, next) => {
+            (Step::Overloaded, next) => {
                 self.next = next;
-                self.push(self.now + PATIENCE, Coming::Refused { seat, call });
+                self.schedule(self.now + QUEUE_TIMEOUT_MS, Scheduled::Rejected { replica, call });
             }
-            (Step::Vanishes, next) => self.next = next,
-            (_, Some(Step::NextHangs)) => self.fault(seat),
-            (_, Some(Step::NextRefused)) => {
-                self.fault(seat);
-                self.push(self.now, Coming::Refused { seat, call });
+            (Step::Unreachable, next) => self.next = next,
+            (_, Some(Step::NextHangs)) => self.fault(replica),
+            (_, Some(Step::NextRejected)) => {
+                self.fault(replica);
+                self.schedule(self.now, Scheduled::Rejected { replica, call });
             }
             (_, next) => {
-                // Danger: it has the work of every call, whether or not somebody still waits for it.
-                let turn = self.free.max(self.now);
-                self.free = turn + self.service;
-                if turn - self.now > PATIENCE {
-                    self.fault(seat);
-                    return self.push(self.now + PATIENCE, Coming::Refused { seat, call });
+                // Discovery works off every call in its queue, also those that the client has abandoned.
+                let begins = self.busy_until.max(self.now);
+                self.busy_until = begins + self.service_time;
+                if begins - self.now > QUEUE_TIMEOUT_MS {
+                    self.fault(replica);
+                    return self.schedule(self.now + QUEUE_TIMEOUT_MS, Scheduled::Rejected { replica, call });
                 }
                 let stalls = next == Some(Step::NextStalls);
-                self.push(self.free, Coming::Head { seat, call, stalls });
+                self.schedule(self.busy_until, Scheduled::ResponseHead { replica, call, stalls });
             }
         }
     }
 
-    fn step(&mut self, step: Step) {
-        let all = 0..self.seats.len();
-        let open = |s: &Seat<C>| matches!(s.conn, Conn::Live | Conn::Mute | Conn::Drips);
+    fn apply(&mut self, step: Step) {
+        let all = 0..self.replicas.len();
+        let is_watching = |r: &Replica<R>| {
+            matches!(r.connection, Connection::Streaming | Connection::Stalled | Connection::Trickling)
+        };
         match step {
-            Step::Change => {
+            Step::ListChanges => {
                 self.changes.push(self.now);
-                for seat in all {
-                    if self.seats[seat].conn == Conn::Live {
-                        self.tell(seat);
-                        self.beats(seat);
+                for replica in all {
+                    if self.replicas[replica].connection == Connection::Streaming {
+                        self.send_changes(replica);
+                        self.schedule_heartbeat(replica);
                     }
                 }
             }
-            Step::Up | Step::Down | Step::Refuses | Step::Stuck | Step::Vanishes => {
+            Step::Up | Step::Down | Step::Rejecting | Step::Overloaded | Step::Unreachable => {
                 let was_up = std::mem::replace(&mut self.condition, step) == Step::Up;
                 match (was_up, step == Step::Up) {
-                    (true, false) => self.away.push((self.now, u64::MAX)),
-                    (false, true) => self.away.last_mut().expect("it was away").1 = self.now,
+                    (true, false) => self.outages.push((self.now, u64::MAX)),
+                    (false, true) => self.outages.last_mut().expect("an outage has begun").1 = self.now,
                     _ => {}
                 }
-                for seat in all {
+                for replica in all {
                     match step {
-                        Step::Down | Step::Stuck if self.seats[seat].conn != Conn::None => {
-                            self.on_failure(seat)
+                        Step::Down | Step::Overloaded
+                            if self.replicas[replica].connection != Connection::None =>
+                        {
+                            self.on_failure(replica)
                         }
-                        Step::Vanishes if self.seats[seat].conn != Conn::None => {
-                            self.seats[seat].conn = Conn::Mute;
+                        Step::Unreachable if self.replicas[replica].connection != Connection::None => {
+                            self.replicas[replica].connection = Connection::Stalled;
                         }
                         _ => {}
                     }
                 }
-                if step == Step::Vanishes {
-                    self.coming.retain(|next| !matches!(next.0.2, Coming::Head { .. }));
+                if step == Step::Unreachable {
+                    self.scheduled.retain(|next| !matches!(next.0.2, Scheduled::ResponseHead { .. }));
                 }
             }
-            Step::Silence | Step::Drip | Step::Reset | Step::Spoilt => {
-                for seat in all {
-                    if !open(&self.seats[seat]) {
+            Step::WatchesStall | Step::WatchesTrickle | Step::WatchesReset | Step::WatchesMalformed => {
+                for replica in all {
+                    if !is_watching(&self.replicas[replica]) {
                         continue;
                     }
-                    self.fault(seat);
-                    let call = self.seats[seat].call;
+                    self.fault(replica);
+                    let call = self.replicas[replica].call;
                     match step {
-                        Step::Silence => self.seats[seat].conn = Conn::Mute,
-                        Step::Drip => {
-                            self.seats[seat].conn = Conn::Drips;
-                            self.push(self.now, Coming::Drip { seat, call });
+                        Step::WatchesStall => self.replicas[replica].connection = Connection::Stalled,
+                        Step::WatchesTrickle => {
+                            self.replicas[replica].connection = Connection::Trickling;
+                            self.schedule(self.now, Scheduled::Trickle { replica, call });
                         }
-                        _ => self.on_failure(seat),
+                        _ => self.on_failure(replica),
                     }
                 }
             }
-            Step::Moves => {
-                for seat in all {
-                    self.fault(seat);
-                    self.input(seat, Input::Moved);
+            Step::AddressChanges => {
+                for replica in all {
+                    self.fault(replica);
+                    self.input(replica, Input::AddressChanged);
                 }
             }
-            Step::NextHangs | Step::NextStalls | Step::NextRefused => self.next = Some(step),
+            Step::NextHangs | Step::NextStalls | Step::NextRejected => self.next = Some(step),
         }
     }
 
-    fn sum_up(&self, end: u64) -> Played {
-        let worst = self.seats.iter().map(|seat| self.unknown(seat, end)).max().unwrap_or(0);
-        let within = |at: usize| self.calls[at..].iter().take_while(|t| **t < self.calls[at] + 1000).count();
-        let busiest = (0..self.calls.len()).map(within).max().unwrap_or(0);
-        let knows =
-            |seat: &Seat<C>| seat.told.get(self.changes.len().wrapping_sub(1)).copied().unwrap_or(end);
-        let last =
-            self.seats.iter().map(knows).max().unwrap_or(0) - self.changes.last().copied().unwrap_or(end);
-        Played { worst, last, busiest, calls: self.calls.len(), end }
+    fn measure(&self, end: u64) -> Measured {
+        let longest_delay =
+            self.replicas.iter().map(|replica| self.longest_delay(replica, end)).max().unwrap_or(0);
+        let within_a_second =
+            |at: usize| self.calls[at..].iter().take_while(|t| **t < self.calls[at] + 1000).count();
+        let peak_calls = (0..self.calls.len()).map(within_a_second).max().unwrap_or(0);
+        let learned_last = |replica: &Replica<R>| {
+            replica.learned_at.get(self.changes.len().wrapping_sub(1)).copied().unwrap_or(end)
+        };
+        let last_change_delay = self.replicas.iter().map(learned_last).max().unwrap_or(0)
+            - self.changes.last().copied().unwrap_or(end);
+        Measured { longest_delay, last_change_delay, peak_calls, calls: self.calls.len(), end }
     }
 
-    /// The longest that a change could have been known, and was not. Its clock starts with the change, with the
-    /// return of discovery, or with the last fault but one, whichever is latest: there is room for one more.
-    fn unknown(&self, seat: &Seat<C>, end: u64) -> u64 {
-        let ends = self.away.iter().flat_map(|(from, to)| [*from, *to]);
-        let mut marks: Vec<u64> = seat.faults.iter().copied().chain(ends).filter(|at| *at < end).collect();
+    /// Returns the longest time that a replica did not know of a change while discovery was reachable. The
+    /// time counts from the change, the end of the last outage or the last fault but one, whichever is
+    /// latest: the budget allows for one fault.
+    fn longest_delay(&self, replica: &Replica<R>, end: u64) -> u64 {
+        let bounds = self.outages.iter().flat_map(|(from, to)| [*from, *to]);
+        let mut marks: Vec<u64> =
+            replica.faults.iter().copied().chain(bounds).filter(|at| *at < end).collect();
         marks.sort_unstable();
         marks.push(end);
-        let mut worst = 0;
+        let mut longest = 0;
         for (index, made) in self.changes.iter().enumerate() {
-            let known = seat.told.get(index).copied().unwrap_or(end);
+            let learned = replica.learned_at.get(index).copied().unwrap_or(end);
             let mut from = 0;
             let mut before = 0;
             for mark in &marks {
-                // Between two marks all is as it was at the first.
-                let is_away = self.away.iter().any(|(a, b)| *a <= from && from < *b);
-                let back = self.away.iter().map(|(_, b)| *b).filter(|b| *b <= from).max().unwrap_or(0);
-                let clock = (*made).max(before).max(back);
-                if !is_away {
-                    worst = worst.max(known.min(*mark).saturating_sub(clock));
+                // Nothing changes between two marks.
+                let is_unreachable = self.outages.iter().any(|(a, b)| *a <= from && from < *b);
+                let reachable_since =
+                    self.outages.iter().map(|(_, b)| *b).filter(|b| *b <= from).max().unwrap_or(0);
+                let since = (*made).max(before).max(reachable_since);
+                if !is_unreachable {
+                    longest = longest.max(learned.min(*mark).saturating_sub(since));
                 }
                 (before, from) = (from, *mark);
             }
         }
-        worst
+        longest
     }
 }
--- a/crates/proxy/src/discovery/watch/tests/old.rs
+++ b/crates/proxy/src/discovery/watch/tests/previous_rules.rs
@@ -1,22 +1,22 @@
-//! The rules before this state machine, for comparison: 1.5 s until an answer, 3 s of silence counted in bytes, and
-//! the decisions' waits after a failure.
+//! The rules that the state machine replaced, for comparison: a response timeout of 1.5 s, a silence timeout
+//! of 3 s that any byte resets, and the retry delays of the decision module.
 
-use super::model::{Copy, Input};
+use super::model::{Input, RetryRules};
 use super::*;
 
-/// The time in which a view of the list has to be renewed, of most settings.
-const MUST_ASK: u64 = 10_000;
+/// The time in which the list must be refreshed by most settings, in milliseconds.
+const REFRESH_DEADLINE_MS: u64 = 10_000;
 
-pub struct Old {
+pub struct PreviousRules {
     state: State,
     call: CallId,
     failures: u32,
     rng: fastrand::Rng,
 }
 
-impl Old {
-    pub fn new(seed: u64) -> Old {
-        Old { state: State::Idle, call: 0, failures: 0, rng: fastrand::Rng::with_seed(seed) }
+impl PreviousRules {
+    pub fn new(seed: u64) -> PreviousRules {
+        PreviousRules { state: State::Idle, call: 0, failures: 0, rng: fastrand::Rng::with_seed(seed) }
     }
 
     fn start_call(&mut self, now: Duration) -> Option<Action> {
@@ -27,36 +27,36 @@
 
     fn on_failure(&mut self, now: Duration) -> Option<Action> {
         self.failures = (self.failures + 1).min(3);
-        let wait = (MUST_ASK / 16) << self.failures;
-        self.state = State::Backoff(now + ms(wait + self.rng.u64(0..=wait)));
+        let delay_ms = (REFRESH_DEADLINE_MS / 16) << self.failures;
+        self.state = State::Backoff(now + ms(delay_ms + self.rng.u64(0..=delay_ms)));
         Some(Action::DropCall)
     }
 }
 
-impl Copy for Old {
+impl RetryRules for PreviousRules {
     fn handle(&mut self, now: Duration, input: Input) -> Option<Action> {
         match (input, self.state) {
-            (Input::Begin | Input::Moved, _) => self.start_call(now),
-            (Input::Head(call), State::AwaitingResponse(since)) if call == self.call => {
+            (Input::Start | Input::AddressChanged, _) => self.start_call(now),
+            (Input::ResponseStarted(call), State::AwaitingResponse(since)) if call == self.call => {
                 self.state = State::Streaming { since, last: now };
                 None
             }
             (
-                Input::Bytes(call) | Input::Empty(call) | Input::Object(call),
+                Input::PartialLine(call) | Input::EmptyLine(call) | Input::ObjectLine(call),
                 State::Streaming { since, .. },
             ) if call == self.call => {
                 self.state = State::Streaming { since, last: now };
-                if matches!(input, Input::Object(_)) {
+                if matches!(input, Input::ObjectLine(_)) {
                     self.failures = 0;
                 }
                 None
             }
-            (Input::Failed(call), State::AwaitingResponse(_) | State::Streaming { .. })
+            (Input::CallFailed(call), State::AwaitingResponse(_) | State::Streaming { .. })
                 if call == self.call =>
             {
                 self.on_failure(now)
             }
-            (Input::Due, state) if self.due().is_some_and(|due| due <= now) => match state {
+            (Input::TimerFired, state) if self.due().is_some_and(|due| due <= now) => match state {
                 State::Backoff(_) => self.start_call(now),
                 _ => self.on_failure(now),
             },
--- a/crates/proxy/src/membership.rs
+++ b/crates/proxy/src/membership.rs
@@ -1,43 +1,43 @@
-//! What a list of endpoints is, in the list's own words: names, not the module's numbers. Whoever reads a
-//! list, and whoever acts on one, knows this and not each other.
+//! The types of a parsed endpoint list, which refer to endpoints, zones and kinds by name. They separate the
+//! code that parses a list from the code that applies it.
 
 use olivecart_decisions::{EndpointState, Nanos};
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-/// A list or a change of it. Its words may be borrowed from the text it was read from.
-pub struct News<'a> {
-    /// The version it brings the list to.
+/// A full endpoint list or a change of it. Its strings may be borrowed from the text it was parsed from.
+pub struct ListUpdate<'a> {
+    /// The version of the list after the update.
     pub version: u64,
-    /// The whole list: what it does not name is gone.
+    /// Whether this is the full list: endpoints that it does not contain are removed.
     pub full: bool,
-    /// The endpoints, in the order of the list.
+    /// The endpoints, in the order of the text.
     pub endpoints: Vec<Endpoint<'a>>,
 }
 
-/// One endpoint as a list describes it.
+/// An endpoint as described by a list.
 pub struct Endpoint<'a> {
-    /// Its name, the same for everybody.
+    /// The name, the same for all proxies.
     pub name: Cow<'a, str>,
-    /// Whether it takes requests.
+    /// The state of the endpoint.
     pub state: EndpointState,
-    /// The zone's name.
+    /// The name of the zone.
     pub zone: Cow<'a, str>,
-    /// The machine kind's name.
+    /// The name of the machine kind.
     pub kind: Cow<'a, str>,
-    /// Its cell.
+    /// The cell.
     pub cell: u64,
-    /// Its size relative to others; 1 where nothing is known.
+    /// The size relative to other endpoints; 1 if unknown.
     pub size: f64,
-    /// When it last started, in nanoseconds of Unix time; none if long ago.
+    /// The time of its last start, in nanoseconds of Unix time; `None` if unknown or long ago.
     pub started: Option<Nanos>,
-    /// Where it is reached; none if it cannot be.
+    /// The address; `None` if the list has no valid one.
     pub addr: Option<SocketAddr>,
 }
 
-impl News<'_> {
-    /// A whole list that names nobody, ahead of any version.
-    pub fn nothing() -> News<'static> {
-        News { version: 0, full: true, endpoints: Vec::new() }
+impl ListUpdate<'_> {
+    /// Returns an empty full list with version 0, which precedes all others.
+    pub fn empty() -> ListUpdate<'static> {
+        ListUpdate { version: 0, full: true, endpoints: Vec::new() }
     }
 }
--- a/crates/proxy/src/platform/registry.rs
+++ b/crates/proxy/src/platform/registry.rs
@@ -1,6 +1,6 @@
 //! Discovery's form: the paths asked and the lists that come back.
 
-use crate::membership::{Endpoint, News};
+use crate::membership::{Endpoint, ListUpdate};
 use olivecart_decisions::EndpointState;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -14,7 +14,7 @@
 }
 
 /// Writes what [`read`] reads.
-pub fn write(news: &News) -> String {
+pub fn write(news: &ListUpdate) -> String {
     let servers = news.endpoints.iter().map(|e| Written {
         id: &e.name,
         addr: e.addr.map(|addr| addr.to_string()).unwrap_or_default(),
@@ -80,10 +80,10 @@
 }
 
 /// Reads one object. A state never heard of counts as draining: known, and not to be sent anything.
-pub fn read(text: &[u8]) -> Result<News<'_>, serde_json::Error> {
+pub fn read(text: &[u8]) -> Result<ListUpdate<'_>, serde_json::Error> {
     let document: Document = serde_json::from_slice(text)?;
     let endpoints = document.servers.into_iter().map(endpoint).collect();
-    Ok(News { version: document.version, full: document.full, endpoints })
+    Ok(ListUpdate { version: document.version, full: document.full, endpoints })
 }
 
 fn endpoint(server: Server<'_>) -> Endpoint<'_> {
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -158,16 +158,16 @@
     clock: Clock,
     log: &Logger,
 ) -> Result<(Routing, catalog::Handle), catalog::StartError> {
-    let named = cluster_config.named();
+    let named = cluster_config.routed_clusters();
     let ClusterConfig { sources, policy, clusters: overrides, rules, .. } = cluster_config;
     let handle = catalog::start(sources, policy, named.clone(), seed, clock, log.clone())?;
-    Ok((Routing { named, rules, overrides }, handle))
+    Ok((Routing { clusters: named, rules, overrides }, handle))
 }
 
 /// Has the clusters follow the catalog, and both report to the log at each SIGUSR1.
 fn follow_catalog(clusters: &Rc<Clusters>, catalog: catalog::Handle, report_signal: Signal) {
     let asked = Rc::new(Notify::new());
-    actix_rt::spawn(clusters.clone().follow(catalog.steps));
+    actix_rt::spawn(clusters.clone().apply_steps(catalog.steps));
     actix_rt::spawn(clusters.clone().run_reports(asked.clone()));
     actix_rt::spawn(pass_on_report_signal(report_signal, asked, catalog.report));
 }
--- a/crates/proxy/src/sidecar/application.rs
+++ b/crates/proxy/src/sidecar/application.rs
@@ -2,7 +2,7 @@
 //!
 //! [`super`] starts one task of [`Application::watch`], which ends with the runtime.
 
-use crate::catalog::{Numbered, Step};
+use crate::catalog::{NumberedEndpoint, Step};
 use crate::clusters::Clusters;
 use olivecart_decisions::EndpointState;
 use olivecart_membership::{ClusterSettings, Endpoint};
@@ -66,7 +66,8 @@
     pub async fn set(&self, most: u32) {
         self.most.set(most);
         let (cluster, limits) = (CLUSTER.into(), Some(self.settings()));
-        let step = Step::Changed { cluster, limits, stops: Vec::new(), takes: Vec::new(), words: None };
+        let step =
+            Step::Changed { cluster, limits, stopping: Vec::new(), ready: Vec::new(), log_message: None };
         self.clusters.apply(step).await;
     }
 
@@ -115,9 +116,9 @@
         let clusters = &self.limit.clusters;
         clusters.apply(Step::Added(CLUSTER.into(), self.limit.settings())).await;
         let endpoint = Arc::new(Endpoint::ready(CLUSTER, self.address));
-        let takes = vec![Numbered { number: 0, state: EndpointState::Ready, endpoint }];
-        let (cluster, stops) = (CLUSTER.into(), Vec::new());
-        clusters.apply(Step::Changed { cluster, limits: None, stops, takes, words: None }).await;
+        let ready = vec![NumberedEndpoint { number: 0, state: EndpointState::Ready, endpoint }];
+        let (cluster, stopping) = (CLUSTER.into(), Vec::new());
+        clusters.apply(Step::Changed { cluster, limits: None, stopping, ready, log_message: None }).await;
         self.ready.set(true);
     }
 }
--- a/crates/proxy/src/sidecar/mod.rs
+++ b/crates/proxy/src/sidecar/mod.rs
@@ -256,7 +256,8 @@
     ) -> Result<Option<Inbound>, SidecarError> {
         let (Some(own), Some(site)) = (&proxy.inbound, site) else { return Ok(None) };
         let socket = bind("inbound", own.listen)?;
-        let routing = Routing { named: vec![ClusterName::from(application::CLUSTER)], ..Routing::default() };
+        let routing =
+            Routing { clusters: vec![ClusterName::from(application::CLUSTER)], ..Routing::default() };
         let bound = self.start("inbound", socket, site, routing, self.shares.inbound);
         let most_requests = own.max_requests.unwrap_or(olivecart_config::resolve::MAX_REQUESTS);
         let limit = Rc::new(Limit::new(most_requests, bound.listener.clusters.clone()));
@@ -329,7 +330,7 @@
     let rules = Rules::new(settings::rules(&call.routes, class));
     let overrides = Overrides { max_attempts: Some(call.attempts), ..Overrides::default() };
     let overrides = named.iter().map(|name| (name.clone(), overrides)).collect();
-    Routing { named, rules, overrides }
+    Routing { clusters: named, rules, overrides }
 }
 
 /// Applies the steps of the catalog to the listeners that lead to their cluster.
