--- a/crates/proxy/tests/clusters.rs
+++ b/crates/proxy/tests/clusters.rs
@@ -110,7 +110,7 @@
     for (text, message) in [
         (
             "version = 1\n[[rules]]\ncluster = \"x\"\nclass = \"steal\"\n",
-            ":4:9: rules[0].class: the platform's",
+            ":4:9: rules[0].class: unknown class \"steal\"",
         ),
         (xds, ":5:11: sources[0].variant: \"new\" is not \"incremental\" or"),
     ] {
@@ -303,7 +303,7 @@
          e send 200 | 1
          c expect 200 | 1
          disk list fleet.toml cart=d,e book=e
-         proxy expect log withdrawn
+         proxy expect log quarantined update withdrawn
          disk remove fleet.toml
          proxy expect log cannot be read, the last good one stands
          c send GET /2
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew() {
-    learns_after(vec![Answer::lines("\n", End::Silence)], "no whole line in time");
+    learns_after(vec![Answer::lines("\n", End::Silence)], "no complete line before the silence timeout");
 }
 
 #[test]
@@ -95,7 +95,7 @@
     assert!(discovery.call().ends_with("after=41"));
     proxy.waits_to_list(3);
     drop(discovery);
-    proxy.program.line("the answer broke off");
+    proxy.program.line("response body interrupted");
     let less = CHANGE.replace("42", "43");
     let discovery = Discovery::start_at(at, vec![], Answer::lines(&format!("{less}\n"), End::Beats));
     assert!(discovery.call().ends_with("after=42"));
@@ -104,28 +104,34 @@
 
 #[test]
 fn half_a_line_and_then_silence_is_no_line() {
-    learns_after(vec![Answer::lines(r#"{"version":42,"serv"#, End::Silence)], "no whole line in time");
+    learns_after(
+        vec![Answer::lines(r#"{"version":42,"serv"#, End::Silence)],
+        "no complete line before the silence timeout",
+    );
 }
 
 #[test]
 fn bytes_that_never_make_a_line_are_silence() {
-    learns_after(vec![Answer::lines("\n", End::Drips(" "))], "no whole line in time");
+    learns_after(vec![Answer::lines("\n", End::Drips(" "))], "no complete line before the silence timeout");
 }
 
 #[test]
 fn an_object_that_never_ends_is_silence_however_many_lines_it_has() {
     let begun = "{\"version\":42,\"servers\":[],\"more\":[\n";
-    learns_after(vec![Answer::lines(begun, End::Drips("1,\n"))], "no whole line in time");
+    learns_after(
+        vec![Answer::lines(begun, End::Drips("1,\n"))],
+        "no complete line before the silence timeout",
+    );
 }
 
 #[test]
 fn an_answer_that_stalls_in_its_head_is_given_up() {
-    learns_after(vec![Answer::Raw("HTTP/1.1 200 OK\r\nTransfer-Enc", End::Silence)], "no answer in time");
+    learns_after(vec![Answer::Raw("HTTP/1.1 200 OK\r\nTransfer-Enc", End::Silence)], "response timeout");
 }
 
 #[test]
 fn a_call_that_nothing_answers_is_given_up() {
-    learns_after(vec![Answer::Raw("", End::Silence)], "no answer in time");
+    learns_after(vec![Answer::Raw("", End::Silence)], "response timeout");
 }
 
 #[test]
@@ -152,16 +158,16 @@
 fn a_bad_line_ends_the_watch_with_its_name_and_leaves_the_list_as_it_is() {
     let gone = CHANGE.trim_end_matches('}');
     let cases = [
-        (format!("{CHANGE}x\n"), "goes on with 'x'"),
-        (format!("{CHANGE},\n"), "goes on with ','"),
-        (format!("{gone}\n{CHANGE}\n"), "breaks off"),
-        (format!("x{CHANGE}\n"), "begins with 'x'"),
-        (format!("[{CHANGE}]\n"), "begins with '['"),
+        (format!("{CHANGE}x\n"), "unexpected 'x' after the object"),
+        (format!("{CHANGE},\n"), "unexpected ',' after the object"),
+        (format!("{gone}\n{CHANGE}\n"), "malformed object: unexpected '{'"),
+        (format!("x{CHANGE}\n"), "starts with 'x'"),
+        (format!("[{CHANGE}]\n"), "starts with '['"),
         (format!("{gone},\"version\":43}}\n"), "duplicate field"),
         (format!("{gone},\"full\":2}}\n"), "expected a boolean"),
-        (CHANGE.replace("42", "-42") + "\n", "unreadable"),
+        (CHANGE.replace("42", "-42") + "\n", "invalid endpoint list"),
         (CHANGE.replace("\"state\":\"gone\"", "\"stat\":\"gone\"") + "\n", "missing field"),
-        (CHANGE.replace("gone", "go\nne") + "\n", "breaks off"),
+        (CHANGE.replace("gone", "go\nne") + "\n", "malformed object: unexpected '\\n'"),
         (CHANGE.replace("gone", &"x".repeat(5 << 20)) + "\n", "larger than"),
         (format!("{gone},\"x\":{}", "[".repeat(20)), "nested more than"),
     ];
@@ -189,7 +195,7 @@
         Answer::lines(&format!("{entire}\n"), End::Beats),
     );
     let proxy = Proxy::start(discovery.addr, 256);
-    proxy.program.line("a list that goes back: version 49, and version 50 is held");
+    proxy.program.line("stale update: version 49 is older than the current version 50");
     assert!(discovery.call().ends_with("after=41"));
     assert!(discovery.call().ends_with("after=0"));
     proxy.waits_to_list(1);
@@ -216,7 +222,7 @@
 fn discovery_that_is_down_at_the_start_is_found_when_it_comes() {
     let at = free_port();
     let proxy = Proxy::start(at, 256);
-    (0..3).for_each(|_| _ = proxy.program.line("no connection or no answer"));
+    (0..3).for_each(|_| _ = proxy.program.line("connection or request failed"));
     let discovery = Discovery::start_at(at, vec![], Answer::lines(&format!("{CHANGE}\n"), End::Beats));
     assert!(discovery.call().ends_with("after=41"));
     proxy.waits_to_list(1);
@@ -234,7 +240,7 @@
     ];
     let discovery = Discovery::start(bad, Answer::lines(&format!("{CHANGE}\n"), End::Beats));
     let proxy = Proxy::with(&settings, discovery.addr, 256);
-    for said in ["status 503", "no answer in time", "no whole line in time"] {
+    for said in ["status 503", "response timeout", "no complete line before the silence timeout"] {
         assert!(discovery.call().ends_with("after=41"));
         proxy.program.line(said);
     }
@@ -312,7 +318,7 @@
     let mut log = Vec::new();
     let mut is_down = || {
         let (end, from) = (Instant::now() + NEVER, log.len());
-        while !log[from..].iter().any(|line: &String| line.contains("no connection or no answer")) {
+        while !log[from..].iter().any(|line: &String| line.contains("connection or request failed")) {
             assert!(Instant::now() < end, "discovery is down: {log:#?}");
             log.extend(proxy.program.lines());
         }
--- a/crates/proxy/tests/xds.rs
+++ b/crates/proxy/tests/xds.rs
@@ -110,7 +110,7 @@
         "plane list cart=d,e
          proxy expect log cluster changed
          plane list cart=
-         proxy expect log held
+         proxy expect log update quarantined
          proxy send USR1
          proxy expect log cart: from plane, 2 ready
          c send GET /1
