--- a/crates/proxy/src/cluster_runtime/tests.rs
+++ b/crates/proxy/src/cluster_runtime/tests.rs
@@ -34,7 +34,7 @@
         seed: 0,
         descriptors: Rc::new(Descriptors::new(1)),
         discovery: None,
-        known: known.map(str::to_owned),
+        cached_list: known.map(str::to_owned),
         routing: Routing::default(),
         budget: Rc::default(),
         stats: None,
--- a/crates/proxy/src/clusters/start.rs
+++ b/crates/proxy/src/clusters/start.rs
@@ -34,7 +34,7 @@
     /// The address of discovery; `None` if no rule leads to the platform's own cluster.
     pub discovery: Option<SocketAddr>,
     /// The cached endpoint list of the platform's own cluster, in the format of discovery.
-    pub known: Option<String>,
+    pub cached_list: Option<String>,
     /// The routing of requests to clusters.
     pub routing: Routing,
     /// The memory limit for long bodies.
@@ -89,7 +89,7 @@
         };
         let initial = InitialState {
             discovery: config.discovery,
-            cached: config.known,
+            cached: config.cached_list,
             handed_over: inherited.list,
             learned_state: inherited.learned_state,
         };
--- a/crates/proxy/src/clusters/tests.rs
+++ b/crates/proxy/src/clusters/tests.rs
@@ -14,7 +14,7 @@
         seed: 0,
         descriptors: Rc::new(Descriptors::new(1)),
         discovery: None,
-        known: None,
+        cached_list: None,
         routing: Routing::default(),
         budget: Rc::default(),
         stats: None,
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -64,7 +64,7 @@
         seed,
         descriptors: Rc::new(Descriptors::new(sockets.backends)),
         discovery: Some(discovery),
-        known,
+        cached_list: known,
         routing,
         budget: budget.clone(),
         stats: stats.clone(),
--- a/crates/proxy/src/sidecar/mod.rs
+++ b/crates/proxy/src/sidecar/mod.rs
@@ -283,7 +283,7 @@
             seed: self.seed,
             descriptors: self.descriptors.clone(),
             discovery: None,
-            known: None,
+            cached_list: None,
             routing,
             budget: self.budget.clone(),
             stats: None,
