--- a/crates/proxy/src/cluster_runtime/endpoint_updates.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_updates.rs
@@ -5,7 +5,7 @@
 use super::ClusterRuntime;
 use super::endpoint_list::{ManualOverrides, to_entry};
 use crate::admin_overrides::{AddressedEntry, UnknownEndpoint};
-use crate::membership::News;
+use crate::membership::ListUpdate;
 use crate::stages::context::EventSink;
 use crate::start_times::StartTime;
 use crate::stats::Pool;
@@ -19,7 +19,11 @@
 impl ClusterRuntime {
     /// Applies a snapshot or a delta of the list; `update` wraps the entries in the kind of update that the
     /// balancer gets.
-    pub(super) fn apply_news(&self, news: &News, update: impl Fn(Vec<EndpointEntry>) -> EndpointUpdate) {
+    pub(super) fn apply_news(
+        &self,
+        news: &ListUpdate,
+        update: impl Fn(Vec<EndpointEntry>) -> EndpointUpdate,
+    ) {
         let endpoint_count = news.endpoints.len();
         debug!(self.log, "endpoint list received"; "version" => news.version, "full" => news.full,
             "entries" => endpoint_count);
--- a/crates/proxy/src/cluster_runtime/tests.rs
+++ b/crates/proxy/src/cluster_runtime/tests.rs
@@ -35,7 +35,7 @@
         seed: 0,
         descriptors: Rc::new(Descriptors::new(1)),
         discovery: None,
-        known: cached.map(str::to_owned),
+        cached_list: cached.map(str::to_owned),
         routing: Routing::default(),
         budget: Rc::default(),
         stats: None,
--- a/crates/proxy/src/platform/registry.rs
+++ b/crates/proxy/src/platform/registry.rs
@@ -1,6 +1,6 @@
 //! The format of discovery: the request paths, and the endpoint lists in the responses.
 
-use crate::membership::{Endpoint, News};
+use crate::membership::{Endpoint, ListUpdate};
 use olivecart_decisions::EndpointState;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -14,7 +14,7 @@
 }
 
 /// Serializes an update in the format that [`read`] parses.
-pub fn write(news: &News) -> String {
+pub fn write(news: &ListUpdate) -> String {
     let servers = news.endpoints.iter().map(|e| SerializedServer {
         id: &e.name,
         addr: e.addr.map(|addr| addr.to_string()).unwrap_or_default(),
@@ -81,10 +81,10 @@
 
 /// Parses a response of discovery. An unknown state counts as draining: the endpoint stays listed and takes
 /// no requests.
-pub fn read(text: &[u8]) -> Result<News<'_>, serde_json::Error> {
+pub fn read(text: &[u8]) -> Result<ListUpdate<'_>, serde_json::Error> {
     let document: Document = serde_json::from_slice(text)?;
     let endpoints = document.servers.into_iter().map(endpoint).collect();
-    Ok(News { version: document.version, full: document.full, endpoints })
+    Ok(ListUpdate { version: document.version, full: document.full, endpoints })
 }
 
 fn endpoint(server: Server<'_>) -> Endpoint<'_> {
