--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a batch could not be played, and why the adapter ends.
+//! The errors of processing a batch, and those that end the adapter.
 
 use base64::DecodeError;
 use olivecart_settings::SettingsError;
 use std::io;
 
-/// Why an event could not be given to its instance, or an action of the instance not be written.
+/// An event that an instance could not process, or an action that could not be sent to the simulator.
 #[derive(Debug, thiserror::Error)]
 pub enum InstanceError {
     #[error(transparent)]
@@ -19,17 +19,17 @@
     UnknownClass(String),
     #[error("unknown result {0:?}")]
     UnknownOutcome(String),
-    #[error("peer bytes: {0}")]
+    #[error("peer message is not valid Base64: {0}")]
     PeerBytes(#[from] DecodeError),
     #[error("the decision module panicked: {0}")]
     Panicked(String),
-    #[error("an action for a request that is gone")]
+    #[error("the decision module returned an action for a request that is not open")]
     UnknownRequest,
-    #[error("an action for an unknown endpoint")]
+    #[error("the decision module returned an action for an unknown endpoint")]
     UnknownEndpoint,
 }
 
-/// A batch that could not be played, and the instance concerned.
+/// The error of an event in a batch, with the instance that the event was for.
 #[derive(Debug, thiserror::Error)]
 #[error("instance {instance}: {error}")]
 pub struct BatchError {
@@ -37,21 +37,21 @@
     pub error: InstanceError,
 }
 
-/// Why the adapter ends with a failure.
+/// The errors that end the adapter.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     #[error("standard input: {0}")]
     Input(io::Error),
     #[error("standard output: {0}")]
     Output(io::Error),
-    /// A line is no batch.
+    /// A line is not a valid batch.
     #[error("{line}: {error}")]
     Line {
-        /// Which line, in words.
+        /// A description of the line, such as `batch 7`.
         line: String,
         error: serde_json::Error,
     },
-    /// A batch could not be played.
+    /// An event of a batch could not be processed.
     #[error("batch {number}: {error}")]
     Batch { number: u64, error: BatchError },
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,33 +1,34 @@
-//! The table of instances: gives each event of a batch to its instance and collects what the instances want done.
+//! The table of instances. Dispatches each event of a batch to its instance and collects the orders that
+//! result.
 
 use crate::error::{BatchError, InstanceError};
-use crate::instance::{Catalogs, Instance, guarded};
+use crate::instance::{Catalogs, Instance, catch_panic};
 use crate::wire::{Batch, Catalog, Configure, Element, Order, WireEvent};
 use olivecart_decisions::{Action, Event, Nanos};
 use std::collections::BTreeMap;
 
-/// All instances of this process. They share nothing but the catalogs of the wire.
+/// All instances of this process. They share only the catalogs that the simulator sent.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
     catalogs: Catalogs,
-    /// The actions of one event; empty between events.
+    /// The actions that result from one event; empty between events.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Plays one batch and adds to `orders` what the instances decide.
+    /// Processes one batch and adds the resulting orders to `orders`.
     ///
     /// # Errors
-    /// The first event that could not be played; those before it were.
-    pub fn play(&mut self, batch: Batch, orders: &mut Vec<Order>) -> Result<(), BatchError> {
+    /// Returns the error of the first event that failed. The events before it were processed.
+    pub fn process_batch(&mut self, batch: Batch, orders: &mut Vec<Order>) -> Result<(), BatchError> {
         for event in batch.events {
-            self.play_event(batch.now_ns, event, orders)?;
+            self.process_event(batch.now_ns, event, orders)?;
         }
         Ok(())
     }
 
-    fn play_event(
+    fn process_event(
         &mut self,
         now: Nanos,
         event: WireEvent,
@@ -43,29 +44,29 @@
                 self.instances.remove(&instance);
                 Ok(())
             }
-            WireEvent::Membership(event) => self
-                .deliver(event.instance, now, orders, |instance, lists| instance.membership(&event, lists)),
+            WireEvent::Membership(event) => self.dispatch(event.instance, now, orders, |instance, lists| {
+                instance.translate_membership(&event, lists)
+            }),
             WireEvent::Incoming(event) => {
-                self.deliver(event.instance, now, orders, |instance, _| instance.incoming(event))
+                self.dispatch(event.instance, now, orders, |instance, _| instance.translate_incoming(event))
             }
             WireEvent::Ring { instance, cookie } => {
-                self.deliver(instance, now, orders, |_, _| Ok(Some(Instance::timer_fired(cookie))))
-            }
-            WireEvent::PeerData(event) => {
-                self.deliver(event.instance, now, orders, |_, _| Instance::peer_data(&event).map(Some))
+                self.dispatch(instance, now, orders, |_, _| Ok(Some(Instance::translate_timer(cookie))))
             }
+            WireEvent::PeerData(event) => self.dispatch(event.instance, now, orders, |_, _| {
+                Instance::translate_peer_data(&event).map(Some)
+            }),
             WireEvent::Response(event) => {
-                self.deliver(event.instance, now, orders, |instance, _| instance.response(event))
-            }
-            WireEvent::Aborted(event) => {
-                self.deliver(event.instance, now, orders, |instance, _| Ok(instance.aborted(&event)))
+                self.dispatch(event.instance, now, orders, |instance, _| instance.translate_response(event))
             }
+            WireEvent::Aborted(event) => self
+                .dispatch(event.instance, now, orders, |instance, _| Ok(instance.translate_aborted(&event))),
             WireEvent::Health(event) => {
-                self.deliver(event.instance, now, orders, |instance, _| instance.health(event))
-            }
-            WireEvent::ResponseStarted(event) => {
-                self.deliver(event.instance, now, orders, |instance, _| Ok(instance.response_started(&event)))
+                self.dispatch(event.instance, now, orders, |instance, _| instance.translate_health(event))
             }
+            WireEvent::ResponseStarted(event) => self.dispatch(event.instance, now, orders, |instance, _| {
+                Ok(instance.translate_response_started(&event))
+            }),
         }
     }
 
@@ -76,16 +77,16 @@
 
     fn start_instance(&mut self, now: Nanos, configure: &Configure) -> Result<(), BatchError> {
         let id = configure.instance;
-        let started = guarded(|| Instance::new(configure.settings.get(), configure.seed, now));
+        let started = catch_panic(|| Instance::new(configure.settings.get(), configure.seed, now));
         let instance =
             started.and_then(|instance| instance).map_err(|error| BatchError { instance: id, error })?;
         self.instances.insert(id, instance);
         Ok(())
     }
 
-    /// Has one instance handle an event, which `translate` puts in the terms of the decisions. Events for an instance
-    /// that is not running are left over from before it was killed and mean nothing.
-    fn deliver(
+    /// Passes an event to an instance. `translate` converts it to an event of the decision module. Events for
+    /// an instance that is not running are ignored: they were sent before it was killed.
+    fn dispatch(
         &mut self,
         id: u64,
         now: Nanos,
@@ -98,7 +99,7 @@
             instance.handle(now, event, &mut self.actions).map_err(failed)?;
         }
         for action in self.actions.drain(..) {
-            orders.push(instance.order(id, action).map_err(failed)?);
+            orders.push(instance.translate_action(id, action).map_err(failed)?);
         }
         Ok(())
     }
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! One instance: its decisions, and the names of the wire against the numbers that the decisions know.
+//! One instance of the decision module. Translates between the names on the wire and the ids that the module
+//! uses.
 
 use crate::error::InstanceError;
 use crate::wire::{
@@ -17,32 +18,32 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-/// The lists of endpoints that batches have brought, by their numbers.
+/// The endpoint lists that batches have sent, by number.
 pub type Catalogs = BTreeMap<u64, Vec<Element<'static>>>;
 
-/// The form of a list that says that discovery failed.
-const DISCOVERY_FAILED: u8 = 3;
+/// The `form` of a membership event that reports a discovery failure.
+const FORM_DISCOVERY_FAILED: u8 = 3;
 
-/// A request, until it has ended and its last attempt is accounted for.
+/// A request that has not ended yet, or that still has attempts in flight.
 struct OpenRequest {
-    /// Its name on the wire.
+    /// The name of the request on the wire.
     name: Rc<str>,
     has_ended: bool,
     attempts_in_flight: u32,
 }
 
-/// One instance of the decisions.
+/// One instance of the decision module.
 pub struct Instance {
     balancer: Balancer,
     site: Site,
-    /// The numbers of open requests, by their names on the wire.
+    /// The ids of open requests, by their names on the wire.
     request_ids: FxHashMap<Rc<str>, u64>,
     open_requests: FxHashMap<u64, OpenRequest>,
-    next_request: u64,
+    next_request_id: u64,
 }
 
 impl Instance {
-    /// Starts an instance with a settings object.
+    /// Creates an instance from the JSON text of a settings object.
     pub fn new(settings: &str, seed: u64, now: Nanos) -> Result<Instance, InstanceError> {
         let site = Site::read(settings)?;
         Ok(Instance {
@@ -50,31 +51,32 @@
             site,
             request_ids: FxHashMap::default(),
             open_requests: FxHashMap::default(),
-            next_request: 0,
+            next_request_id: 0,
         })
     }
 
-    /// Has the decisions handle an event; their actions are added to `actions`.
+    /// Passes an event to the balancer and adds the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         now: Nanos,
         event: Event,
         actions: &mut Vec<Action>,
     ) -> Result<(), InstanceError> {
-        guarded(|| self.balancer.handle(now, event, actions))
+        catch_panic(|| self.balancer.handle(now, event, actions))
     }
 
-    /// A list of endpoints, from one of the catalogs.
-    pub fn membership(
+    /// Translates a notification of an endpoint list, which is one of `catalogs`.
+    pub fn translate_membership(
         &mut self,
         event: &Membership,
         catalogs: &Catalogs,
     ) -> Result<Option<Event>, InstanceError> {
-        if event.form == DISCOVERY_FAILED {
+        if event.form == FORM_DISCOVERY_FAILED {
             return Ok(Some(Event::Endpoints(EndpointUpdate::Failed)));
         }
         let elements = catalogs.get(&event.set_id).ok_or(InstanceError::UnknownCatalog(event.set_id))?;
-        let entries = elements.iter().map(|element| self.entry(element)).collect::<Result<_, _>>()?;
+        let entries =
+            elements.iter().map(|element| self.intern_element(element)).collect::<Result<_, _>>()?;
         let update = match event.form {
             0 => EndpointUpdate::Delta(entries),
             1 => EndpointUpdate::Snapshot(entries),
@@ -84,14 +86,14 @@
         Ok(Some(Event::Endpoints(update)))
     }
 
-    fn entry(&mut self, element: &Element) -> Result<EndpointEntry, InstanceError> {
+    fn intern_element(&mut self, element: &Element) -> Result<EndpointEntry, InstanceError> {
         let state = match element.state {
             0 => EndpointState::Removed,
             1 => EndpointState::Ready,
             2 => EndpointState::Draining,
             other => return Err(InstanceError::UnknownEndpointState(other)),
         };
-        Ok(self.site.entry(&ListedEndpoint {
+        Ok(self.site.intern_endpoint(&ListedEndpoint {
             name: &element.name,
             state,
             zone: &element.zone,
@@ -102,8 +104,8 @@
         }))
     }
 
-    /// A request that arrives.
-    pub fn incoming(&mut self, event: Incoming) -> Result<Option<Event>, InstanceError> {
+    /// Translates the arrival of a request, and gives the request an id.
+    pub fn translate_incoming(&mut self, event: Incoming) -> Result<Option<Event>, InstanceError> {
         let class = self.site.classes.get(&event.class);
         let class = class.ok_or_else(|| InstanceError::UnknownClass(event.class.into_owned()))?;
         let tenant = match &event.tenant {
@@ -123,20 +125,20 @@
         })))
     }
 
-    /// A timer that fired.
-    pub fn timer_fired(cookie: u64) -> Event {
-        Event::TimerFired(timer_of(cookie))
+    /// Translates the firing of a timer.
+    pub fn translate_timer(cookie: u64) -> Event {
+        Event::TimerFired(decode_timer(cookie))
     }
 
-    /// A message from another replica.
-    pub fn peer_data(event: &PeerData) -> Result<Event, InstanceError> {
+    /// Translates a message from another replica.
+    pub fn translate_peer_data(event: &PeerData) -> Result<Event, InstanceError> {
         let bytes = BASE64.decode(event.bytes.as_bytes())?;
         Ok(Event::PeerMessage { from: event.from, bytes })
     }
 
-    /// An attempt that ended; none if its request is not open any more.
-    pub fn response(&mut self, event: Response) -> Result<Option<Event>, InstanceError> {
-        let outcome = outcome_of(&event.outcome)?;
+    /// Translates the end of an attempt. Returns `None` if its request is no longer open.
+    pub fn translate_response(&mut self, event: Response) -> Result<Option<Event>, InstanceError> {
+        let outcome = parse_outcome(&event.outcome)?;
         let Some(request) = self.request_id(&event.request) else { return Ok(None) };
         self.close_attempt(request, event.is_final);
         Ok(Some(Event::AttemptEnded(AttemptEnd {
@@ -146,35 +148,35 @@
             outcome,
             duration: event.duration_ns,
             request_completed: event.is_final,
-            load: event.load.map(|row| self.site.load_row(row)),
+            load: event.load.map(|row| self.site.load_report_from_row(row)),
         })))
     }
 
-    /// A client that gave its request up.
-    pub fn aborted(&mut self, event: &Aborted) -> Option<Event> {
+    /// Translates the abort of a request. Returns `None` if the request is no longer open.
+    pub fn translate_aborted(&mut self, event: &Aborted) -> Option<Event> {
         let request = self.request_id(&event.request)?;
         self.end_request(request);
         Some(Event::RequestAborted(request))
     }
 
-    /// A health check that ended.
-    pub fn health(&mut self, event: Health) -> Result<Option<Event>, InstanceError> {
+    /// Translates the end of a health check.
+    pub fn translate_health(&mut self, event: Health) -> Result<Option<Event>, InstanceError> {
         Ok(Some(Event::HealthCheckCompleted {
             endpoint: self.endpoint_id(&event.endpoint),
-            outcome: outcome_of(&event.outcome)?,
+            outcome: parse_outcome(&event.outcome)?,
             duration: event.duration_ns,
-            load: event.load.map(|row| self.site.load_row(row)),
+            load: event.load.map(|row| self.site.load_report_from_row(row)),
         }))
     }
 
-    /// A response that began to arrive.
-    pub fn response_started(&mut self, event: &ResponseStarted) -> Option<Event> {
+    /// Translates the start of a response. Returns `None` if its request is no longer open.
+    pub fn translate_response_started(&mut self, event: &ResponseStarted) -> Option<Event> {
         let request = self.request_id(&event.request)?;
         Some(Event::ResponseStarted { request, attempt: event.attempt })
     }
 
-    /// An action of the decisions as the wire has it; `i` is the instance's number there.
-    pub fn order(&mut self, i: u64, action: Action) -> Result<Order, InstanceError> {
+    /// Translates an action of the balancer to an order on the wire. `i` is the number of the instance there.
+    pub fn translate_action(&mut self, i: u64, action: Action) -> Result<Order, InstanceError> {
         Ok(match action {
             Action::StartAttempt { request, endpoint, timeout, .. } => {
                 self.open_attempt(request);
@@ -198,7 +200,7 @@
                 Order::Sample { i, endpoint: self.endpoint_name(endpoint)? }
             }
             Action::SetTimer { at, timer } => {
-                Order::SetTimer { i, alarm_time_ns: at, cookie: cookie_of(timer) }
+                Order::SetTimer { i, alarm_time_ns: at, cookie: encode_timer(timer) }
             }
             Action::WatchEndpoints(enable) => Order::Watch { i, enable },
             Action::RefreshEndpoints => Order::Refresh { i },
@@ -213,10 +215,10 @@
         })
     }
 
-    /// Gives a new request its number.
+    /// Registers a new request and returns its id.
     fn open_request(&mut self, name: Rc<str>) -> RequestId {
-        let id = self.next_request;
-        self.next_request += 1;
+        let id = self.next_request_id;
+        self.next_request_id += 1;
         self.request_ids.insert(name.clone(), id);
         self.open_requests.insert(id, OpenRequest { name, has_ended: false, attempts_in_flight: 0 });
         RequestId(id)
@@ -243,7 +245,7 @@
         self.remove_if_settled(id);
     }
 
-    /// Removes a request that has ended, once none of its attempts is in flight.
+    /// Removes a request that has ended and has no attempts in flight.
     fn remove_if_settled(&mut self, id: RequestId) {
         let is_settled = |request: &OpenRequest| request.has_ended && request.attempts_in_flight == 0;
         if self.open_requests.get(&id.0).is_some_and(is_settled)
@@ -263,7 +265,7 @@
     }
 
     fn endpoint_id(&mut self, name: &str) -> EndpointId {
-        EndpointId(self.site.endpoints.id(name))
+        EndpointId(self.site.endpoints.intern(name))
     }
 
     fn endpoint_name(&self, id: EndpointId) -> Result<Rc<str>, InstanceError> {
@@ -271,7 +273,7 @@
     }
 }
 
-fn outcome_of(word: &str) -> Result<Outcome, InstanceError> {
+fn parse_outcome(word: &str) -> Result<Outcome, InstanceError> {
     match word {
         "ok" => Ok(Outcome::Ok),
         "error" => Ok(Outcome::Error),
@@ -285,8 +287,9 @@
     }
 }
 
-/// A timer as the wire has it: its kind in the last two bits, above them the number that it is for.
-fn cookie_of(timer: Timer) -> u64 {
+/// Encodes a timer as a cookie: its kind in the lowest two bits, and the id that it belongs to in the bits
+/// above.
+fn encode_timer(timer: Timer) -> u64 {
     match timer {
         Timer::HealthCheck(EndpointId(id)) => u64::from(id) << 2,
         Timer::Request(RequestId(id)) => id << 2 | 1,
@@ -294,7 +297,7 @@
     }
 }
 
-fn timer_of(cookie: u64) -> Timer {
+fn decode_timer(cookie: u64) -> Timer {
     match cookie & 3 {
         0 => Timer::HealthCheck(EndpointId((cookie >> 2) as u32)),
         1 => Timer::Request(RequestId(cookie >> 2)),
@@ -302,8 +305,8 @@
     }
 }
 
-/// Runs code of the decisions; a panic becomes an error.
-pub fn guarded<T>(run: impl FnOnce() -> T) -> Result<T, InstanceError> {
+/// Runs code of the decision module and turns a panic into an error.
+pub fn catch_panic<T>(run: impl FnOnce() -> T) -> Result<T, InstanceError> {
     catch_unwind(AssertUnwindSafe(run)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! Puts the decisions on the simulator's wire: one JSON object a line in, one a line out.
+//! Connects the decision module to the simulator's wire protocol: one JSON object per line on standard input,
+//! and one reply per line on standard output.
 //!
-//! It decides nothing. What cannot be read ends the process with a message on standard error and, where
-//! the number of the batch is known, an `internal-error` in reply.
+//! The adapter makes no decisions. A line that cannot be processed ends the process with a message on
+//! standard error and, if the number of the batch is known, a reply with an `internal-error`.
 
 mod error;
 mod host;
@@ -14,12 +15,12 @@
 use std::process::ExitCode;
 use wire::{Batch, BatchNumber, Order, Reply};
 
-/// Batches of megabytes come in one line.
-const INPUT_BUFFER: usize = 1 << 20;
-const OUTPUT_BUFFER: usize = 1 << 18;
+/// A batch is one line of up to several megabytes.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+const OUTPUT_BUFFER_BYTES: usize = 1 << 18;
 
 fn main() -> ExitCode {
-    // A panic's text goes out as `internal-error`; the hook's own print would only repeat it.
+    // The message of a panic is sent as `internal-error`; the default hook would print it a second time.
     std::panic::set_hook(Box::new(|_| {}));
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
@@ -30,14 +31,14 @@
     }
 }
 
-/// Plays all batches of standard input.
+/// Processes the batches on standard input until its end.
 fn serve() -> Result<(), AdapterError> {
-    let mut input = io::BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(OUTPUT_BUFFER, io::stdout().lock());
+    let mut input = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
     let mut host = Host::default();
     let mut orders = Vec::new();
     let mut line = Vec::new();
-    let mut last_number = None;
+    let mut previous_number = None;
     loop {
         line.clear();
         let length = input.read_until(b'\n', &mut line).map_err(AdapterError::Input)?;
@@ -49,12 +50,12 @@
         }
         let batch: Batch = match serde_json::from_slice(&line) {
             Ok(batch) => batch,
-            Err(error) => return Err(refuse_line(&mut output, &line, error, last_number)?),
+            Err(error) => return Err(reject_line(&mut output, &line, error, previous_number)?),
         };
         let number = batch.number;
-        last_number = Some(number);
+        previous_number = Some(number);
         orders.clear();
-        if let Err(error) = host.play(batch, &mut orders) {
+        if let Err(error) = host.process_batch(batch, &mut orders) {
             let instance = error.instance;
             let error = AdapterError::Batch { number, error };
             reply_with_error(&mut output, number, instance, &error)?;
@@ -64,15 +65,16 @@
     }
 }
 
-/// Replies to a line that is no batch, if its number can be read; the error that ends the adapter.
-fn refuse_line(
+/// Replies to a line that is not a valid batch if its batch number can be parsed. Returns the error that ends
+/// the adapter.
+fn reject_line(
     output: &mut impl Write,
     line: &[u8],
     error: serde_json::Error,
-    last_number: Option<u64>,
+    previous_number: Option<u64>,
 ) -> Result<AdapterError, AdapterError> {
     let number = serde_json::from_slice::<BatchNumber>(line).ok().map(|batch| batch.number);
-    let line = match (number, last_number) {
+    let line = match (number, previous_number) {
         (Some(number), _) => format!("batch {number}"),
         (None, Some(last)) => format!("the line after batch {last}"),
         (None, None) => "the first line".to_owned(),
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,15 +1,15 @@
-//! The messages of the simulator's wire, as serde types. Fields have the standard names; the keys are the simulator's,
-//! given to each field where the two differ. Nothing here decides anything.
+//! The messages of the simulator's wire protocol as serde types. A `rename` attribute gives the simulator's
+//! key where it differs from the field's name. Error messages show the names of these types.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::rc::Rc;
 
-/// One line in.
+/// One line of input.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Batch<'a> {
-    /// The time of all its events, in nanoseconds.
+    /// The time of all events of the batch, in nanoseconds.
     #[serde(rename = "at-time-ns")]
     pub now_ns: u64,
     #[serde(rename = "batch")]
@@ -18,14 +18,14 @@
     pub events: Vec<WireEvent<'a>>,
 }
 
-/// Enough of a line to answer it when the rest cannot be read.
+/// The batch number alone, for replies to a line whose events cannot be parsed.
 #[derive(Deserialize)]
 pub struct BatchNumber {
     #[serde(rename = "batch")]
     pub number: u64,
 }
 
-/// What happened, each to one instance but for a catalog.
+/// An event. All but `Catalog` concern one instance.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WireEvent<'a> {
@@ -59,7 +59,7 @@
     ResponseStarted(ResponseStarted<'a>),
 }
 
-/// An instance starts.
+/// Starts an instance.
 #[derive(Deserialize)]
 pub struct Configure<'a> {
     #[serde(rename = "i")]
@@ -70,7 +70,7 @@
     pub settings: &'a serde_json::value::RawValue,
 }
 
-/// A list of endpoints, to which later events refer by its number.
+/// A list of endpoints. Later events refer to it by its number.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Catalog<'a> {
@@ -83,8 +83,8 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Element<'a> {
-    /// Its size relative to others.
-    #[serde(rename = "power-hint", default = "one")]
+    /// The endpoint's capacity relative to others.
+    #[serde(rename = "power-hint", default = "default_size")]
     pub size: f64,
     /// 0: removed, 1: ready, 2: draining.
     #[serde(rename = "stage-state", default)]
@@ -93,22 +93,22 @@
     pub zone: Cow<'a, str>,
     #[serde(rename = "endpoint", borrow)]
     pub name: Cow<'a, str>,
-    /// The kind of its machine.
+    /// The endpoint's machine kind.
     #[serde(rename = "family-type", borrow, default)]
     pub kind: Cow<'a, str>,
-    /// 0 if it started long ago.
+    /// The time of its last start; 0 if it started long ago.
     #[serde(default)]
     pub started_at_ns: u64,
     #[serde(rename = "unit-group", default)]
     pub cell: u64,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
 impl Element<'_> {
-    /// The same with names of its own: a catalog outlives the line that it came in.
+    /// Returns the element with owned strings, since a catalog outlives the line that it was parsed from.
     pub fn into_owned(self) -> Element<'static> {
         Element {
             size: self.size,
@@ -122,7 +122,7 @@
     }
 }
 
-/// An instance is notified of a list of endpoints.
+/// Notifies an instance of a list of endpoints or of a discovery failure.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Membership {
@@ -144,13 +144,13 @@
     pub instance: u64,
     #[serde(rename = "txn", borrow)]
     pub request: Cow<'a, str>,
-    /// Its routing key.
+    /// The routing key of the request.
     #[serde(rename = "entity")]
     pub key: Option<u64>,
-    /// Time until its client's deadline; negative when that has passed.
+    /// The time until the client's deadline; negative if the deadline has passed.
     #[serde(rename = "left-ns", default)]
     pub time_left_ns: i64,
-    /// The work that it is expected to take.
+    /// The estimated work of the request.
     #[serde(rename = "cost-ns")]
     pub estimated_work_ns: Option<u64>,
     #[serde(default)]
@@ -179,7 +179,7 @@
     /// The index of the replica that sent it.
     #[serde(rename = "author", default)]
     pub from: u32,
-    /// Its bytes in Base64.
+    /// The bytes of the message in Base64.
     #[serde(rename = "raw", borrow, default)]
     pub bytes: Cow<'a, str>,
 }
@@ -192,7 +192,7 @@
     pub instance: u64,
     #[serde(rename = "txn", borrow)]
     pub request: Cow<'a, str>,
-    /// The number of the attempt.
+    /// The index of the attempt within its request.
     #[serde(rename = "leg", default)]
     pub attempt: u32,
     #[serde(borrow)]
@@ -201,15 +201,15 @@
     pub outcome: Cow<'a, str>,
     #[serde(default)]
     pub duration_ns: u64,
-    /// The request has its final response.
+    /// Whether this response completes the request.
     #[serde(rename = "over", default)]
     pub is_final: bool,
-    /// The endpoint's load, in the order that the settings give.
+    /// The endpoint's load values, in the order of the settings.
     #[serde(rename = "telemetry")]
     pub load: Option<Vec<Option<f64>>>,
 }
 
-/// A client gave a request up.
+/// A client aborted a request.
 #[derive(Deserialize)]
 pub struct Aborted<'a> {
     #[serde(rename = "i")]
@@ -230,53 +230,53 @@
     pub endpoint: Cow<'a, str>,
     #[serde(default)]
     pub duration_ns: u64,
-    /// The endpoint's load, in the order that the settings give.
+    /// The endpoint's load values, in the order of the settings.
     #[serde(rename = "telemetry")]
     pub load: Option<Vec<Option<f64>>>,
 }
 
 /// An attempt's response began to arrive.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Begun")] // as messages have always called it
+#[serde(expecting = "struct Begun")] // keeps the type name that error messages show
 pub struct ResponseStarted<'a> {
     #[serde(rename = "i")]
     pub instance: u64,
     #[serde(rename = "txn", borrow)]
     pub request: Cow<'a, str>,
-    /// The number of the attempt.
+    /// The index of the attempt within its request.
     #[serde(rename = "leg", default)]
     pub attempt: u32,
 }
 
-/// One line out.
+/// One line of output.
 #[derive(Serialize)]
 pub struct Reply<'a> {
     pub batch: u64,
     pub orders: &'a [Order],
 }
 
-/// What an instance wants to be done. The field `i` is the number of the instance on the wire.
+/// An action that an instance asks the simulator to take. `i` is the number of the instance on the wire.
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub enum Order {
-    /// Start an attempt; it must be over after `cap_ns`, if that is not 0.
+    /// Starts an attempt with the timeout `cap_ns`; 0 means no timeout.
     HandOff {
         i: u64,
         txn: Rc<str>,
         cap_ns: u64,
         endpoint: Rc<str>,
     },
-    /// The batch could not be played.
+    /// Reports that the batch could not be processed.
     InternalError {
         i: u64,
         what: String,
     },
-    /// A line for the log.
+    /// Adds a line to the log.
     Remark {
         i: u64,
         what: String,
     },
-    /// Send a message to other replicas.
+    /// Sends a message to other replicas.
     Publish {
         i: u64,
         recipient: Recipient,
@@ -287,37 +287,37 @@
         alarm_time_ns: u64,
         cookie: u64,
     },
-    /// Watch the list of endpoints, or stop that.
+    /// Starts or stops watching the list of endpoints.
     Watch {
         i: u64,
         enable: bool,
     },
-    /// Answer a request with a failure.
+    /// Fails a request.
     EndFailed {
         i: u64,
         txn: Rc<str>,
     },
-    /// Close idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     Disconnect {
         i: u64,
         endpoint: Rc<str>,
     },
-    /// Start a health check.
+    /// Starts a health check.
     Sample {
         i: u64,
         endpoint: Rc<str>,
     },
-    /// Reject a request; the client may come back after a while.
+    /// Sheds a request; the client may retry after `come_back_ns`.
     Shed {
         i: u64,
         txn: Rc<str>,
         come_back_ns: u64,
     },
-    /// Ask for the list of endpoints.
+    /// Requests the list of endpoints from discovery.
     Refresh {
         i: u64,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     DropAttempt {
         i: u64,
         txn: Rc<str>,
@@ -325,7 +325,7 @@
     },
 }
 
-/// Who gets a message: one replica, or all others.
+/// The recipients of a message: one replica, or all other replicas.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum Recipient {
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,22 +1,22 @@
-//! The adapter run as a process on hand-made lines.
+//! Runs the adapter as a process on hand-written batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn play(lines: &[&str]) -> Output {
+fn run_adapter(lines: &[&str]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_olivecart-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("adapter starts");
     let mut input = child.stdin.take().expect("piped");
     for line in lines {
-        // The adapter may have ended on a bad line; what follows is then not read.
+        // The write fails if the adapter has ended at an invalid line.
         let _ = writeln!(input, "{line}");
     }
     drop(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("adapter exits")
 }
 
 fn replies(out: &Output) -> Vec<serde_json::Value> {
@@ -33,7 +33,7 @@
 
 const CATALOG: &str = r#"{"catalog":{"set-id":0,"elements":[{"power-hint":1,"stage-state":1,"dc":"z1","endpoint":"endpoint_a","family-type":"k","unit-group":0},{"stage-state":1,"dc":"z2","endpoint":"endpoint_b","family-type":"k","started-at-ns":5,"unit-group":0}]}}"#;
 
-fn member(i: u32) -> String {
+fn membership(i: u32) -> String {
     format!(r#"{{"membership":{{"i":{i},"form":2,"gen":1,"set-id":0}}}}"#)
 }
 
@@ -46,7 +46,7 @@
 }
 
 fn start(i: u32) -> Vec<String> {
-    vec![configure(i, i % 4), CATALOG.into(), member(i)]
+    vec![configure(i, i % 4), CATALOG.into(), membership(i)]
 }
 
 fn orders(reply: &serde_json::Value) -> &Vec<serde_json::Value> {
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn a_request_is_handed_off_answered_and_forgotten() {
+fn request_is_handed_off_and_removed_after_its_final_response() {
     let mut first = start(0);
     first.push(incoming(0, "r1"));
     let ok = r#"{"response":{"i":0,"txn":"r1","leg":0,"endpoint":"endpoint_a","result":"ok","duration-ns":5,"over":true,"telemetry":[0.5,3]}}"#;
     let stale = r#"{"aborted":{"i":0,"txn":"r1"}}"#;
-    let out = play(&[
+    let out = run_adapter(&[
         &batch(1, 10, &first),
         &batch(2, 20, &[ok.into(), stale.into()]),
         &batch(3, 30, &[ok.into()]),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_what_the_instance_held() {
+fn restart_within_one_batch_discards_open_requests() {
     let mut first = start(0);
     first.push(incoming(0, "r1"));
     let mut second = vec![r#"{"detach":{"i":0}}"#.into()];
@@ -89,7 +89,7 @@
             .into(),
     );
     second.push(incoming(0, "r2"));
-    let out = play(&[&batch(1, 10, &first), &batch(2, 20, &second)]);
+    let out = run_adapter(&[&batch(1, 10, &first), &batch(2, 20, &second)]);
     assert!(out.status.success());
     let replies = replies(&out);
     assert_eq!(order(&replies[1], "hand-off").expect("handed off")["txn"], "r2");
@@ -97,57 +97,57 @@
 }
 
 #[test]
-fn a_catalog_number_is_resolved_by_the_order_of_events() {
+fn membership_uses_the_latest_catalog_before_it_with_that_number() {
     let only_b = CATALOG.replace("endpoint_a", "endpoint_c");
     let mut events = start(0);
-    events.extend([configure(1, 1), only_b, member(1), incoming(0, "r1"), incoming(1, "r2")]);
-    let out = play(&[&batch(1, 10, &events)]);
+    events.extend([configure(1, 1), only_b, membership(1), incoming(0, "r1"), incoming(1, "r2")]);
+    let out = run_adapter(&[&batch(1, 10, &events)]);
     let text = String::from_utf8(out.stdout).expect("utf-8");
     assert!(text.contains(r#""txn":"r1","cap-ns":0,"endpoint":"endpoint_a""#), "{text}");
     assert!(text.contains(r#""txn":"r2","cap-ns":0,"endpoint":"endpoint_c""#), "{text}");
 }
 
 #[test]
-fn actions_do_not_depend_on_how_instances_share_processes() {
+fn orders_do_not_depend_on_how_instances_share_processes() {
     let events = |i: u32| {
         let mut events = start(i);
         (0..5).for_each(|n| events.push(incoming(i, &format!("r{i}-{n}"))));
         events
     };
-    let together = play(&[&batch(1, 10, &[events(0), events(1), events(2)].concat())]);
-    let of = |out: &Output, i: u64| -> Vec<serde_json::Value> {
+    let together = run_adapter(&[&batch(1, 10, &[events(0), events(1), events(2)].concat())]);
+    let orders_of = |out: &Output, i: u64| -> Vec<serde_json::Value> {
         let replies = replies(out);
         let mine =
             |o: &&serde_json::Value| o.as_object().and_then(|o| o.values().next()).map(|o| o["i"] == i);
         orders(&replies[0]).iter().filter(|o| mine(o) == Some(true)).cloned().collect()
     };
     for i in 0..3 {
-        let alone = play(&[&batch(1, 10, &events(i))]);
-        assert_eq!(of(&alone, u64::from(i)), of(&together, u64::from(i)));
-        assert!(of(&alone, u64::from(i)).len() > 5);
+        let alone = run_adapter(&[&batch(1, 10, &events(i))]);
+        assert_eq!(orders_of(&alone, u64::from(i)), orders_of(&together, u64::from(i)));
+        assert!(orders_of(&alone, u64::from(i)).len() > 5);
     }
 }
 
 #[test]
-fn what_cannot_be_read_is_reported_and_ends_the_process() {
-    let bad_event = batch(9, 10, &[r#"{"unheard-of":{"i":0}}"#.into()]);
-    let no_field = batch(9, 10, &[r#"{"incoming":{"i":0,"left-ns":5,"qos":"buy"}}"#.into()]);
-    let mut bad_class = start(0);
-    bad_class.push(incoming(0, "r1").replace("\"buy\"", "\"steal\""));
-    let unusable = configure(0, 9);
+fn unreadable_batch_is_reported_and_ends_the_process() {
+    let unknown_event = batch(9, 10, &[r#"{"unheard-of":{"i":0}}"#.into()]);
+    let missing_field = batch(9, 10, &[r#"{"incoming":{"i":0,"left-ns":5,"qos":"buy"}}"#.into()]);
+    let mut unknown_class = start(0);
+    unknown_class.push(incoming(0, "r1").replace("\"buy\"", "\"steal\""));
+    let invalid_settings = configure(0, 9);
     let cases = [
-        (bad_event, "unheard-of", true),
-        (no_field, "txn", true),
-        (batch(9, 10, &bad_class), "steal", true),
-        (batch(9, 10, &[unusable]), "outside its group", true),
+        (unknown_event, "unheard-of", true),
+        (missing_field, "txn", true),
+        (batch(9, 10, &unknown_class), "steal", true),
+        (batch(9, 10, &[invalid_settings]), "outside its group", true),
         ("{\"batch\":9,".to_string(), "the first line", false),
         ("nonsense".to_string(), "the first line", false),
     ];
     for (line, cause, answered) in cases {
-        let out = play(&[&line, &batch(10, 20, &[])]);
+        let out = run_adapter(&[&line, &batch(10, 20, &[])]);
         assert!(!out.status.success(), "{line}");
         let message = String::from_utf8_lossy(&out.stderr);
-        assert!(message.contains(cause), "{message} does not name {cause}");
+        assert!(message.contains(cause), "{message} does not contain {cause}");
         let replies = replies(&out);
         assert_eq!(replies.len(), usize::from(answered), "{line}");
         if answered {
@@ -158,14 +158,14 @@
 }
 
 #[test]
-fn a_batch_of_megabytes_is_answered() {
+fn batch_of_megabytes_is_answered() {
     let mut events = start(0);
     (0..20_000).for_each(|n| events.push(incoming(0, &format!("{n:036}"))));
     let line = batch(1, 10, &events);
     assert!(line.len() > 1_500_000);
-    let out = play(&[&line]);
+    let out = run_adapter(&[&line]);
     assert!(out.status.success());
     let answers = |name: &str| orders(&replies(&out)[0]).iter().filter(|o| o.get(name).is_some()).count();
-    // Each is sent, waits for room or its answer under a timer of its own, or is refused.
+    // Each request is sent, is queued or in flight with its own timer, or is shed.
     assert!(answers("hand-off") > 0 && answers("set-timer") + answers("shed") >= 20_000);
 }
--- a/crates/lab/src/sockets/settings.rs
+++ b/crates/lab/src/sockets/settings.rs
@@ -228,7 +228,7 @@
             assert_eq!(format!("{:#?}", site.settings), format!("{told:#?}"));
             assert_eq!((site.max_open_requests, site.response_grace.as_millis()), (99, 15));
             assert_eq!(site.idle_close.as_secs(), if tier == 1 { 8 } else { 30 });
-            let reported = site.load_row(vec![Some(1.0); 4]);
+            let reported = site.load_report_from_row(vec![Some(1.0); 4]);
             assert_eq!((reported.cpu.is_some(), reported.rate.is_some()), (tier == 1, tier == 1));
             assert_eq!((site.classes.get("pay"), site.tenants.get("y")), (Some(2), Some(1)));
         }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,24 +1,26 @@
-//! The decisions' clock: monotonic, and set to Unix time once at the start so that the start times in the list of
-//! endpoints can be put beside it.
+//! The clock of the decision module. It is monotonic, and starts at Unix time so that its times are
+//! comparable to the start times in the endpoint list.
 //!
-//! The wall clock may be stepped at any time, also before the start, so that nothing but the first reading depends on
-//! it: what is known of start times without it is `start_times.rs`'s. A process that takes over from another goes on
-//! from that one's clock, since what it is handed (start times, what was put back by hand, what the decisions have
-//! learned) is on it. CLOCK_MONOTONIC is the same for all processes of a machine.
+//! The wall clock may be stepped at any time, even before the process starts. Therefore only the start value
+//! depends on it; `start_times.rs` corrects listed start times without the wall clock. A successor in a hot
+//! restart continues the clock of its predecessor, since the state that it takes over (start times, attach
+//! times, learned state) uses the predecessor's times. CLOCK_MONOTONIC is the same for all processes of a
+//! machine.
 
 use olivecart_decisions::Nanos;
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A reading that is handed over is no older than this, or it is another machine's or another time namespace's.
-const OLDEST_READING: Nanos = 10_000_000_000;
+/// The maximum age of a clock reading that a predecessor hands over. An older reading, or one from the
+/// future, comes from another machine or time namespace.
+const MAX_READING_AGE_NS: Nanos = 10_000_000_000;
 
-/// Where times are read. Tests have one whose wall clock is stepped.
+/// The source of wall-clock and monotonic time. Tests substitute clocks that they can step.
 pub trait TimeSource {
-    /// Unix time: it may be stepped.
+    /// Returns Unix time, which may be stepped.
     fn unix(&self) -> Nanos;
-    /// Time that runs on steadily, the same for all processes of a machine.
+    /// Returns monotonic time, which is the same for all processes of a machine.
     fn monotonic(&self) -> Nanos;
 }
 
@@ -37,34 +39,35 @@
     }
 }
 
-/// One moment on the machine's clock and on a process's.
+/// The same point in time on the machine's monotonic clock and on a process's [`Clock`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockReading {
     /// CLOCK_MONOTONIC, in nanoseconds.
     pub monotonic: Nanos,
-    /// The decisions' time, in nanoseconds.
+    /// The time of the process's clock, in nanoseconds.
     pub time: Nanos,
 }
 
-/// Turns instants into the decisions' time and back.
+/// Converts between instants and the time of the decision module.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
-    /// The decisions' time at the origin.
+    /// The time at the origin, in nanoseconds.
     start: Nanos,
 }
 
 impl Clock {
-    /// A clock that starts at the system's Unix time.
+    /// Returns a clock that starts at the system's Unix time.
     pub fn start() -> Clock {
         Clock::starting(&SystemClocks, None)
     }
 
-    /// A clock that goes on from another process's, if that has handed over a reading of its own.
+    /// Returns a clock that continues the clock of a predecessor, if it handed over a recent reading;
+    /// otherwise a clock that starts at Unix time.
     pub fn starting(times: &impl TimeSource, handed: Option<ClockReading>) -> Clock {
         let monotonic = times.monotonic();
         let age = |reading: &ClockReading| monotonic.checked_sub(reading.monotonic);
-        let recent = handed.filter(|reading| age(reading).is_some_and(|age| age <= OLDEST_READING));
+        let recent = handed.filter(|reading| age(reading).is_some_and(|age| age <= MAX_READING_AGE_NS));
         let start = match recent {
             Some(reading) => reading.time + (monotonic - reading.monotonic),
             None => times.unix(),
@@ -72,17 +75,17 @@
         Clock { origin: Instant::now(), start }
     }
 
-    /// The decisions' time.
+    /// Returns the current time, in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.start + self.origin.elapsed().as_nanos() as Nanos
     }
 
-    /// This moment, for the process that takes over.
+    /// Returns the current reading, for the successor in a hot restart.
     pub fn reading(&self, times: &impl TimeSource) -> ClockReading {
         ClockReading { monotonic: times.monotonic(), time: self.now() }
     }
 
-    /// The instant of a point in the decisions' time.
+    /// Converts a time of this clock to an instant.
     pub fn instant(&self, at: Nanos) -> Instant {
         self.origin + Duration::from_nanos(at.saturating_sub(self.start))
     }
--- a/crates/proxy/src/clock/tests.rs
+++ b/crates/proxy/src/clock/tests.rs
@@ -3,13 +3,13 @@
 const SECOND: Nanos = 1_000_000_000;
 const HOUR: Nanos = 3600 * SECOND;
 
-/// Clocks that say what a test has them say.
-pub struct StandingClocks {
+/// Clocks that always return the given times.
+pub struct FixedClocks {
     pub unix: Nanos,
     pub monotonic: Nanos,
 }
 
-impl TimeSource for StandingClocks {
+impl TimeSource for FixedClocks {
     fn unix(&self) -> Nanos {
         self.unix
     }
@@ -19,35 +19,35 @@
     }
 }
 
-/// Whether a clock says this, but for how long the test takes.
-fn says(clock: &Clock, time: Nanos) -> bool {
+/// Whether the clock shows `time`, or up to half an hour later, since the test itself takes time.
+fn shows(clock: &Clock, time: Nanos) -> bool {
     (time..time + HOUR / 2).contains(&clock.now())
 }
 
 #[test]
-fn a_process_that_takes_over_goes_on_from_the_clock_of_the_one_before_wherever_the_wall_clock_stepped() {
+fn successor_continues_the_clock_of_its_predecessor_after_a_wall_clock_step() {
     let unix = 500_000 * HOUR;
-    let old = Clock::starting(&StandingClocks { unix, monotonic: 7 * SECOND }, None);
-    let handed = old.reading(&StandingClocks { unix: 0, monotonic: 9 * SECOND });
+    let predecessor = Clock::starting(&FixedClocks { unix, monotonic: 7 * SECOND }, None);
+    let handed_over = predecessor.reading(&FixedClocks { unix: 0, monotonic: 9 * SECOND });
     for unix in [unix - HOUR, unix, unix + HOUR] {
-        let new = Clock::starting(&StandingClocks { unix, monotonic: 10 * SECOND }, Some(handed));
-        assert!(says(&new, handed.time + SECOND));
-        assert_eq!(new.start, handed.time + SECOND, "to the nanosecond");
+        let successor = Clock::starting(&FixedClocks { unix, monotonic: 10 * SECOND }, Some(handed_over));
+        assert!(shows(&successor, handed_over.time + SECOND));
+        assert_eq!(successor.start, handed_over.time + SECOND, "to the nanosecond");
     }
 }
 
 #[test]
-fn a_reading_of_another_machines_clock_is_not_gone_on_from() {
+fn reading_from_another_machine_is_ignored() {
     let unix = 500_000 * HOUR;
     for monotonic in [0, 100 * SECOND] {
-        let handed = ClockReading { monotonic, time: unix + HOUR };
-        let clock = Clock::starting(&StandingClocks { unix, monotonic: 50 * SECOND }, Some(handed));
+        let handed_over = ClockReading { monotonic, time: unix + HOUR };
+        let clock = Clock::starting(&FixedClocks { unix, monotonic: 50 * SECOND }, Some(handed_over));
         assert_eq!(clock.start, unix);
     }
 }
 
 #[test]
-fn the_machines_monotonic_clock_is_the_one_of_instants() {
+fn monotonic_clock_is_the_clock_of_instants() {
     let (instant, monotonic) = (Instant::now(), SystemClocks.monotonic());
     let later = SystemClocks.monotonic();
     let elapsed = instant.elapsed().as_nanos() as Nanos;
--- a/crates/proxy/src/cluster_runtime/endpoint_list.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_list.rs
@@ -54,7 +54,7 @@
 
     /// Records that the list is complete at this moment.
     pub fn set_complete(&self, now: Nanos) {
-        self.start_times.borrow_mut().list_is_complete(now);
+        self.start_times.borrow_mut().mark_list_complete(now);
     }
 
     /// Records a listed endpoint, and returns it with the start time and state that count.
@@ -66,7 +66,7 @@
     /// Drops start times of unlisted endpoints where there are too many.
     pub fn limit_start_times(&self) {
         let overrides = self.overrides.borrow();
-        self.start_times.borrow_mut().bound(|name| overrides.is_listed(name));
+        self.start_times.borrow_mut().evict_unlisted(|name| overrides.is_listed(name));
     }
 
     /// Detaches an endpoint; see [`AdminOverrides::detach`].
@@ -120,7 +120,7 @@
 
     /// Endpoints that count as started at another time than the list says.
     pub fn amended_start_times(&self) -> Vec<(String, StartTime)> {
-        self.start_times.borrow().amended().collect()
+        self.start_times.borrow().corrected().collect()
     }
 
     /// When the list was last known to be complete.
@@ -131,7 +131,7 @@
 
 /// A listed endpoint as the balancer knows it; new names get the next numbers.
 pub fn numbered(site: &mut Site, endpoint: &Endpoint) -> EndpointEntry {
-    site.entry(&olivecart_settings::ListedEndpoint {
+    site.intern_endpoint(&olivecart_settings::ListedEndpoint {
         name: &endpoint.name,
         state: endpoint.state,
         zone: &endpoint.zone,
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -1,53 +1,55 @@
-//! When endpoints started, as far as it is known without the wall clock.
+//! Corrects the listed start times of endpoints, as far as possible without the wall clock.
 //!
-//! A list says when an endpoint started by the wall clock, which may have been stepped before this process or its
-//! machine read it. What is known besides: nobody started later than now, and one that is named for the first time was
-//! not there when the list was last known to be complete. The cluster runtime asks for each endpoint that a list
-//! names. No I/O and no clock here.
+//! The start time in an endpoint list is a wall-clock time, and the wall clock of this machine or of the
+//! endpoint's may have been stepped. Two bounds do not depend on it: no endpoint started later than now, and
+//! an endpoint that is listed for the first time started after the list was last known to be complete. The
+//! cluster runtime passes each listed endpoint through this module, which does no I/O and reads no clock.
 
 use olivecart_decisions::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Most endpoints that are remembered; of more, those that are listed.
-const MOST: usize = 4096;
+/// Above this number of remembered endpoints, only those in the list are kept.
+const MAX_START_TIMES: usize = 4096;
 
-/// When an endpoint started, on the decisions' clock.
+/// The start time of an endpoint, on the clock of the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartTime {
-    /// By its list. Another one is another process.
+    /// The time in the endpoint list. A different listed time means that the endpoint's process was
+    /// restarted.
     pub listed: Nanos,
-    /// As it counts.
+    /// The time that the decision module uses.
     pub effective: Nanos,
 }
 
 /// The start times of a cluster's endpoints.
 #[derive(Default)]
 pub struct StartTimes {
-    /// When the list was last known to be complete; none if only from long ago.
+    /// When the list was last known to be complete; `None` if that was long ago.
     complete_at: Option<Nanos>,
     by_name: BTreeMap<Rc<str>, StartTime>,
 }
 
 impl StartTimes {
-    /// What another process knew.
+    /// Restores the state that a predecessor handed over.
     pub fn restored(complete_at: Option<Nanos>, by_name: &BTreeMap<String, StartTime>) -> StartTimes {
         let by_name = by_name.iter().map(|(name, start)| (name.as_str().into(), *start)).collect();
         StartTimes { complete_at, by_name }
     }
 
-    /// The list that is held is all there is at this moment.
-    pub fn list_is_complete(&mut self, now: Nanos) {
+    /// Records that the endpoint list was complete at `now`.
+    pub fn mark_list_complete(&mut self, now: Nanos) {
         self.complete_at = Some(now);
     }
 
-    /// When the list was last known to be complete.
+    /// Returns when the list was last known to be complete.
     pub fn complete_at(&self) -> Option<Nanos> {
         self.complete_at
     }
 
-    /// When an endpoint started that a list names; none if long ago. The same for as long as the list says the same.
+    /// Returns the effective start time of a listed endpoint; `None` if it started long ago. The result stays
+    /// the same as long as the listed time does.
     pub fn effective(&mut self, name: &Rc<str>, listed: Option<Nanos>, now: Nanos) -> Option<Nanos> {
         let listed = listed?;
         let before = self.by_name.get(name).copied();
@@ -56,29 +58,29 @@
         }
         let mut effective = listed.max(self.complete_at.unwrap_or(0)).min(now);
         if before.is_some_and(|before| before.effective == effective) {
-            effective += 1; // Danger: with the same start time it would be taken for the same process
+            effective += 1; // with the same start time, a restart would go unnoticed
         }
         self.by_name.insert(name.clone(), StartTime { listed, effective });
         Some(effective)
     }
 
-    /// What the list said of an endpoint that counts as started then.
+    /// Returns the listed start time of an endpoint with this effective start time.
     pub fn listed(&self, name: &str, effective: Option<Nanos>) -> Option<Nanos> {
         let known = self.by_name.get(name).filter(|start| Some(start.effective) == effective);
         known.map(|start| start.listed).or(effective)
     }
 
-    /// Forgets endpoints that are not listed, if there are too many.
-    pub fn bound(&mut self, is_listed: impl Fn(&str) -> bool) {
-        if self.by_name.len() > MOST {
+    /// Removes endpoints that are not listed if there are more than [`MAX_START_TIMES`].
+    pub fn evict_unlisted(&mut self, is_listed: impl Fn(&str) -> bool) {
+        if self.by_name.len() > MAX_START_TIMES {
             self.by_name.retain(|name, _| is_listed(name));
         }
     }
 
-    /// Those that count as started at another time than the list says.
-    pub fn amended(&self) -> impl Iterator<Item = (String, StartTime)> {
-        let amended = self.by_name.iter().filter(|(_, start)| start.listed != start.effective);
-        amended.map(|(name, start)| (name.to_string(), *start))
+    /// Returns the endpoints whose effective start time differs from the listed one.
+    pub fn corrected(&self) -> impl Iterator<Item = (String, StartTime)> {
+        let corrected = self.by_name.iter().filter(|(_, start)| start.listed != start.effective);
+        corrected.map(|(name, start)| (name.to_string(), *start))
     }
 }
 
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,4 +1,5 @@
-//! From the settings object to what the decisions are told. Keys that are not given keep the decisions' own defaults.
+//! Converts the settings object to the settings of the decision module. Missing keys take the module's
+//! defaults.
 
 use crate::error::SettingsError;
 use crate::names::NameTable;
@@ -7,10 +8,13 @@
     Class, CostWeights, DeduplicationScope, Discovery, Idempotency, Limits, Rules, Settings, Tenant, ZoneId,
 };
 
-/// The decisions' settings. The instance's own zone gets a number in `zones` if it has none.
-pub(crate) fn settings_of(object: &SettingsObject, zones: &mut NameTable) -> Result<Settings, SettingsError> {
+/// Converts the whole object. Adds the instance's own zone to `zones` if it is not listed there.
+pub(crate) fn convert_settings(
+    object: &SettingsObject,
+    zones: &mut NameTable,
+) -> Result<Settings, SettingsError> {
     let defaults = Settings::default();
-    let classes = object.classes.iter().enumerate().map(|(index, class)| class_of(index, class));
+    let classes = object.classes.iter().enumerate().map(|(index, class)| convert_class(index, class));
     let tenants = object.tenants.iter();
     Ok(Settings {
         classes: classes.collect::<Result<_, _>>()?,
@@ -20,61 +24,66 @@
         replica_index: object.replica_index,
         replica_count: object.replica_count.unwrap_or(object.replica_index + 1),
         tier: object.tier,
-        zone: ZoneId(object.zone.as_deref().map_or(0, |zone| zones.id(zone)) as u16),
+        zone: ZoneId(object.zone.as_deref().map_or(0, |zone| zones.intern(zone)) as u16),
         clock_granularity: object.clock_granularity_ns.unwrap_or(defaults.clock_granularity),
         over_quota_weight_ratio: object.over_quota_weight_ratio.unwrap_or(defaults.over_quota_weight_ratio),
         weight_by_work: object.weight_basis.as_deref() == Some("work"),
         propagates_deadline: object.extra.propagates_deadline.unwrap_or(defaults.propagates_deadline),
-        discovery: discovery_of(object.discovery_mode.as_deref())?,
-        limits: limits_of(&object.limits, &defaults.limits),
-        rules: rules_of(&object.rules, &defaults.rules),
-        cost_weights: cost_weights_of(&object.cost_weights),
+        discovery: parse_discovery(object.discovery_mode.as_deref())?,
+        limits: convert_limits(&object.limits, &defaults.limits),
+        rules: convert_rules(&object.rules, &defaults.rules),
+        cost_weights: convert_cost_weights(&object.cost_weights),
     })
 }
 
-fn class_of(index: usize, class: &ClassObject) -> Result<Class, SettingsError> {
+fn convert_class(index: usize, class: &ClassObject) -> Result<Class, SettingsError> {
     Ok(Class {
         latency_objective: class.latency_objective_ns,
         client_deadline: class.client_deadline_ns,
-        idempotency: idempotency_of(index, class)?,
+        idempotency: parse_idempotency(index, class)?,
         priority_weight: class.priority_weight,
         late_weight_ratio: class.late_weight_ratio,
         streaming: class.streaming,
     })
 }
 
-fn idempotency_of(index: usize, class: &ClassObject) -> Result<Idempotency, SettingsError> {
+fn parse_idempotency(index: usize, class: &ClassObject) -> Result<Idempotency, SettingsError> {
     match class.idempotency.as_str() {
         "repeatable" => Ok(Idempotency::Idempotent),
         "once" => Ok(Idempotency::NonIdempotent),
         "by_key" => {
-            let scope = scope_of(index, class.deduplication_scope.as_deref())?;
+            let scope = parse_scope(index, class.deduplication_scope.as_deref())?;
             let window = class.deduplication_window_ns.ok_or_else(|| {
-                SettingsError::value(class_key(index, "window-ns"), "missing, and the class is by_key")
+                SettingsError::value(
+                    class_key_path(index, "window-ns"),
+                    "missing; required when the effect is by_key",
+                )
             })?;
             Ok(Idempotency::Keyed { scope, window })
         }
-        other => Err(SettingsError::value(class_key(index, "effect"), format!("unknown effect {other:?}"))),
+        other => {
+            Err(SettingsError::value(class_key_path(index, "effect"), format!("unknown effect {other:?}")))
+        }
     }
 }
 
-fn scope_of(index: usize, scope: Option<&str>) -> Result<DeduplicationScope, SettingsError> {
+fn parse_scope(index: usize, scope: Option<&str>) -> Result<DeduplicationScope, SettingsError> {
     match scope {
         None | Some("all") => Ok(DeduplicationScope::All),
         Some("zone") => Ok(DeduplicationScope::Zone),
         Some("cell") => Ok(DeduplicationScope::Cell),
         Some(other) => {
-            Err(SettingsError::value(class_key(index, "group"), format!("unknown group {other:?}")))
+            Err(SettingsError::value(class_key_path(index, "group"), format!("unknown group {other:?}")))
         }
     }
 }
 
-/// The key of a class's value, as messages give it.
-fn class_key(index: usize, name: &str) -> String {
+/// Returns the path of a class's key, for error messages.
+fn class_key_path(index: usize, name: &str) -> String {
     format!("grades[{index}].{name}")
 }
 
-fn discovery_of(mode: Option<&str>) -> Result<Discovery, SettingsError> {
+fn parse_discovery(mode: Option<&str>) -> Result<Discovery, SettingsError> {
     match mode {
         None | Some("automatic") => Ok(Discovery::Automatic),
         Some("subscribe") => Ok(Discovery::Subscribe),
@@ -82,7 +91,7 @@
     }
 }
 
-fn limits_of(object: &LimitsObject, defaults: &Limits) -> Limits {
+fn convert_limits(object: &LimitsObject, defaults: &Limits) -> Limits {
     Limits {
         max_attempts: object.max_attempts.unwrap_or(defaults.max_attempts),
         hedging_enabled: object.hedging_enabled,
@@ -93,7 +102,7 @@
     }
 }
 
-fn rules_of(object: &RulesObject, defaults: &Rules) -> Rules {
+fn convert_rules(object: &RulesObject, defaults: &Rules) -> Rules {
     Rules {
         slow_start_initial_share: object
             .slow_start_initial_share
@@ -106,7 +115,7 @@
     }
 }
 
-fn cost_weights_of(object: &CostWeightsObject) -> CostWeights {
+fn convert_cost_weights(object: &CostWeightsObject) -> CostWeights {
     CostWeights {
         cross_zone: object.cross_zone,
         wasted_work: object.wasted_work,
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a settings object cannot be used.
+//! Errors of parsing a settings object.
 
 use olivecart_decisions::InvalidSettings;
 
-/// Why a settings object cannot be used.
+/// The reason a settings object is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It is not of the expected form.
+    /// The JSON is invalid, a required key is missing, or a value has the wrong type.
     #[error("settings: {path}: {error}")]
-    Form {
-        /// Where.
+    Malformed {
+        /// The path of the key, such as `allowed.probes`.
         path: String,
-        /// What was found.
+        /// The parser's error.
         error: serde_json::Error,
     },
-    /// The value of a key makes no sense.
+    /// The value of a key is invalid.
     #[error("settings: {key}: {problem}")]
-    Value {
-        /// Which key.
+    InvalidValue {
+        /// The path of the key.
         key: String,
-        /// What is wrong with its value.
+        /// The problem with its value.
         problem: String,
     },
-    /// The values contradict each other.
+    /// The values are valid one by one but contradict each other.
     #[error("{0}")]
-    Unusable(InvalidSettings),
+    Inconsistent(InvalidSettings),
 }
 
 impl SettingsError {
     pub(crate) fn value(key: impl Into<String>, problem: impl Into<String>) -> SettingsError {
-        SettingsError::Value { key: key.into(), problem: problem.into() }
+        SettingsError::InvalidValue { key: key.into(), problem: problem.into() }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,11 @@
-//! The settings object of an instance, read once for the simulator's adapter and for the proxy.
+//! Parses the settings object of an instance. The simulator's adapter and the proxy both use it.
 //!
-//! `grades` is needed, and in it what tells a class from another; every other key has the default of
-//! [`Settings`](olivecart_decisions::Settings). Unknown keys are skipped. What is wrong is named by its key.
+//! Only `grades` is required, with the name, latency objective, deadline and effect of each class. Every
+//! other key defaults to the value in [`Settings`](olivecart_decisions::Settings). Unknown keys are ignored.
+//! Errors name the key at fault.
 //!
-//! `object` has the keys as they are written, `convert` turns them into what the decisions are told, and [`Site`] adds
-//! the numbers of names. No I/O; nothing here decides where a request goes.
+//! `object` declares the keys as they are written, `convert` turns them into the settings of the decision
+//! module, and [`Site`] adds the numeric ids of names. This crate does no I/O and makes no routing decisions.
 
 mod convert;
 mod error;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -1,8 +1,8 @@
-//! The fields of a load report by their names.
+//! Looks up the fields of a load report by name.
 
 use olivecart_decisions::LoadReport;
 
-/// The field of a load report by its name in the settings, or as a backend may call it.
+/// Returns the field with this name, which is a name in the settings or an alias that backends use.
 pub fn load_field<'a>(load: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
     match name {
         "active" | "inflight" => Some(&mut load.active),
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,9 +1,10 @@
-//! Names and their numbers: the decisions know endpoints, zones, kinds, classes and tenants by number alone.
+//! Maps names to numeric ids, since the decision module knows endpoints, zones, kinds, classes and tenants by
+//! id only.
 
 use rustc_hash::FxHashMap;
 use std::rc::Rc;
 
-/// A table of names that gives the next number to each new one.
+/// A table of names, numbered from 0 in the order in which they were added.
 #[derive(Default)]
 pub struct NameTable {
     ids: FxHashMap<Rc<str>, u32>,
@@ -11,17 +12,17 @@
 }
 
 impl NameTable {
-    /// A table of these names, numbered in their order.
-    pub(crate) fn of<'n>(names: impl Iterator<Item = &'n String>) -> NameTable {
+    /// Creates a table of `names`, numbered in their order.
+    pub(crate) fn from_names<'n>(names: impl Iterator<Item = &'n String>) -> NameTable {
         let mut table = NameTable::default();
         for name in names {
-            table.id(name);
+            table.intern(name);
         }
         table
     }
 
-    /// The number of a name, which is new if need be.
-    pub fn id(&mut self, name: &str) -> u32 {
+    /// Returns the id of a name. Adds the name if it is new.
+    pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
@@ -32,17 +33,17 @@
         id
     }
 
-    /// The number of a name that is known.
+    /// Returns the id of a name, or `None` if the table does not have it.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.ids.get(name).copied()
     }
 
-    /// All names, in the order of their numbers.
+    /// Returns all names in the order of their ids.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.names.iter().map(|name| &**name)
     }
 
-    /// The name behind a number.
+    /// Returns the name with this id.
     pub fn name(&self, id: u32) -> Option<&Rc<str>> {
         self.names.get(id as usize)
     }
--- a/crates/settings/src/object.rs
+++ b/crates/settings/src/object.rs
@@ -1,10 +1,11 @@
-//! The settings object as it is written. Fields have the standard names; the keys are the platform's, given to each
-//! field where the two differ. `expecting` is what messages about a value of another type call it.
+//! The settings object as it is written in JSON. A `rename` attribute gives the platform's key where it
+//! differs from the field's name. `expecting` keeps the type names that error messages show for a value of
+//! the wrong type.
 
 use crate::error::SettingsError;
 use serde::Deserialize;
 
-/// The priority weight of a class that sets none.
+/// The priority weight of a class that does not set one.
 fn default_priority_weight() -> f64 {
     1.0
 }
@@ -42,7 +43,7 @@
     pub rules: RulesObject,
     #[serde(default)]
     pub tier: u32,
-    /// `work` if a class's weight is for each second of work, not for each request.
+    /// `work` if a class's weight counts per second of work instead of per request.
     #[serde(rename = "worth-by")]
     pub weight_basis: Option<String>,
     pub zone: Option<String>,
@@ -54,14 +55,14 @@
 #[serde(rename_all = "kebab-case", default)]
 pub(crate) struct TenantObject {
     pub name: String,
-    /// Requests a second.
+    /// Requests per second.
     pub quota_per_s: f64,
-    /// Part of the service, from 0 to 1.
+    /// The tenant's share of the service's capacity, from 0 to 1.
     pub share: f64,
 }
 
-/// What the platform allows an instance to do.
-#[expect(clippy::struct_excessive_bools, reason = "the form of the settings object")]
+/// The limits and features that the platform allows an instance to use.
+#[expect(clippy::struct_excessive_bools, reason = "mirrors the settings object")]
 #[derive(Deserialize, Default)]
 #[serde(expecting = "struct Allowed")]
 #[serde(rename_all = "kebab-case", default)]
@@ -82,7 +83,7 @@
     pub hedging_enabled: bool,
 }
 
-/// Keys that not every platform has.
+/// Keys that only some platforms have.
 #[derive(Deserialize, Default)]
 #[serde(expecting = "struct Extra")]
 #[serde(rename_all = "kebab-case", default)]
@@ -104,21 +105,21 @@
     /// `repeatable`, `by_key` or `once`.
     #[serde(rename = "effect")]
     pub idempotency: String,
-    /// For `by_key`: `all`, the default, `zone` or `cell`.
+    /// The deduplication scope of a `by_key` class: `all` (the default), `zone` or `cell`.
     #[serde(rename = "group")]
     pub deduplication_scope: Option<String>,
     #[serde(rename = "late-worth", default)]
     pub late_weight_ratio: f64,
     #[serde(rename = "stream", default)]
     pub streaming: bool,
-    /// For `by_key`: how long the scope drops duplicates of a key.
+    /// How long the scope of a `by_key` class drops duplicates of a key.
     #[serde(rename = "window-ns")]
     pub deduplication_window_ns: Option<u64>,
     #[serde(rename = "worth", default = "default_priority_weight")]
     pub priority_weight: f64,
 }
 
-/// What things cost, relative to the weights of requests.
+/// The costs of actions and failures, relative to the priority weights of requests.
 #[derive(Deserialize, Default)]
 #[serde(expecting = "struct Penalties")]
 #[serde(rename_all = "kebab-case", default)]
@@ -132,17 +133,17 @@
     pub wasted_work: f64,
 }
 
-/// What backends report of their load.
+/// The load reports of backends.
 #[derive(Deserialize, Default)]
 #[serde(expecting = "struct Report")]
 #[serde(rename_all = "kebab-case", default)]
 pub(crate) struct LoadReportObject {
-    /// The fields of a report, in their order.
+    /// The fields of a report, in the order in which a report lists their values.
     #[serde(rename = "names")]
     pub fields: Vec<String>,
 }
 
-/// The platform's rules.
+/// The time limits and slow-start parameters that the platform sets.
 #[derive(Deserialize, Default)]
 #[serde(expecting = "struct RuleSettings")]
 #[serde(rename_all = "kebab-case", default)]
@@ -163,10 +164,10 @@
 }
 
 impl SettingsObject {
-    /// Reads the text of a settings object.
+    /// Parses the JSON text of a settings object.
     pub(crate) fn parse(json: &str) -> Result<SettingsObject, SettingsError> {
         let mut reader = serde_json::Deserializer::from_str(json);
-        serde_path_to_error::deserialize(&mut reader).map_err(|error| SettingsError::Form {
+        serde_path_to_error::deserialize(&mut reader).map_err(|error| SettingsError::Malformed {
             path: error.path().to_string(),
             error: error.into_inner(),
         })
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,6 +1,6 @@
-//! What an instance is told at its start, and the numbers of the names that it meets.
+//! The settings of one instance, and the ids of the names that it uses.
 
-use crate::convert::settings_of;
+use crate::convert::convert_settings;
 use crate::error::SettingsError;
 use crate::load::load_field;
 use crate::names::NameTable;
@@ -10,39 +10,39 @@
 };
 use std::time::Duration;
 
-/// How long the other side keeps an idle connection, unless the settings say.
+/// How long the peer keeps an idle connection open, unless `allowed.idle-close-ns` is set.
 const DEFAULT_IDLE_CLOSE: Duration = Duration::from_secs(30);
 
-/// One endpoint as a list has it, before its names are numbered.
+/// One entry of an endpoint list, with names instead of ids.
 pub struct ListedEndpoint<'a> {
-    /// Its name, the same in all processes.
+    /// The endpoint's name, the same in all processes.
     pub name: &'a str,
-    /// Whether it takes requests.
+    /// Whether the endpoint accepts requests.
     pub state: EndpointState,
     /// The zone's name.
     pub zone: &'a str,
-    /// The machine kind's name.
+    /// The name of the machine kind.
     pub kind: &'a str,
-    /// Its cell.
+    /// The endpoint's cell.
     pub cell: u64,
-    /// Its size relative to others.
+    /// The endpoint's capacity relative to others.
     pub size: f64,
-    /// When it last started, on the clock of the decisions; none if long ago.
+    /// The time of its last start on the clock of the decision module; `None` if it started long ago.
     pub started: Option<Nanos>,
 }
 
-/// What an instance is told at its start: the decisions' settings, the figures that only its embedding
-/// needs, and the names that the decisions know by number.
+/// The parsed settings of an instance: the settings of the decision module, the values that only the
+/// embedding program uses, and the tables of names that the decision module knows by id.
 pub struct Site {
-    /// For [`Balancer::new`](olivecart_decisions::Balancer::new).
+    /// The settings for [`Balancer::new`](olivecart_decisions::Balancer::new).
     pub settings: Settings,
-    /// A connection idle for this long is closed by the other side.
+    /// How long a connection may be idle before the peer closes it.
     pub idle_close: Duration,
-    /// Requests that may be open at a time.
+    /// The largest number of requests that may be open at a time.
     pub max_open_requests: usize,
-    /// A final response may come this long after the deadline and still count.
+    /// How long after its deadline a final response still counts.
     pub response_grace: Duration,
-    /// Endpoints, in the order in which lists named them.
+    /// Endpoints, in the order in which lists first named them.
     pub endpoints: NameTable,
     /// Zones.
     pub zones: NameTable,
@@ -52,21 +52,21 @@
     pub classes: NameTable,
     /// Tenants, in the order of the settings.
     pub tenants: NameTable,
-    /// The fields of a load report, in their order.
+    /// The field names of a load report, in the order of its values.
     load_fields: Vec<String>,
 }
 
 impl Site {
-    /// Reads a settings object.
+    /// Parses and validates a settings object.
     ///
     /// # Errors
-    /// The first key at fault, or what the decisions will not work with.
+    /// Returns the first invalid key, or the contradiction that the decision module's validation finds.
     pub fn read(json: &str) -> Result<Site, SettingsError> {
         let object = SettingsObject::parse(json)?;
-        let mut zones = NameTable::of(object.zones.iter());
-        let settings = settings_of(&object, &mut zones)?;
-        require_above_zero(&object, &settings)?;
-        settings.validate().map_err(SettingsError::Unusable)?;
+        let mut zones = NameTable::from_names(object.zones.iter());
+        let settings = convert_settings(&object, &mut zones)?;
+        require_nonzero(&object, &settings)?;
+        settings.validate().map_err(SettingsError::Inconsistent)?;
         let idle_close = object.limits.idle_close_ns;
         Ok(Site {
             settings,
@@ -76,30 +76,30 @@
             endpoints: NameTable::default(),
             zones,
             kinds: NameTable::default(),
-            classes: NameTable::of(object.classes.iter().map(|class| &class.name)),
-            tenants: NameTable::of(object.tenants.iter().map(|tenant| &tenant.name)),
+            classes: NameTable::from_names(object.classes.iter().map(|class| &class.name)),
+            tenants: NameTable::from_names(object.tenants.iter().map(|tenant| &tenant.name)),
             load_fields: object.load_report.fields,
         })
     }
 
-    /// One endpoint of a list, with numbers for its names.
-    pub fn entry(&mut self, listed: &ListedEndpoint) -> EndpointEntry {
-        let id = self.endpoints.id(listed.name);
+    /// Returns the endpoint with ids for its names. Adds new names to the tables.
+    pub fn intern_endpoint(&mut self, listed: &ListedEndpoint) -> EndpointEntry {
+        let id = self.endpoints.intern(listed.name);
         let name = self.endpoints.name(id).cloned().unwrap_or_else(|| listed.name.into());
         EndpointEntry {
             id: EndpointId(id),
             name,
             state: listed.state,
-            zone: ZoneId(self.zones.id(listed.zone) as u16),
-            kind: KindId(self.kinds.id(listed.kind) as u16),
+            zone: ZoneId(self.zones.intern(listed.zone) as u16),
+            kind: KindId(self.kinds.intern(listed.kind) as u16),
             cell: CellId(listed.cell),
             size: listed.size,
             started: listed.started,
         }
     }
 
-    /// A load report that is given as a row in the order of the settings.
-    pub fn load_row(&self, row: Vec<Option<f64>>) -> LoadReport {
+    /// Returns the load report with these values, which are in the order of the settings.
+    pub fn load_report_from_row(&self, row: Vec<Option<f64>>) -> LoadReport {
         let mut load = LoadReport::default();
         for (name, value) in self.load_fields.iter().zip(row) {
             if let Some(field) = load_field(&mut load, name) {
@@ -110,14 +110,14 @@
     }
 }
 
-/// Checks the figures that the decisions do not check, or not by their keys.
-fn require_above_zero(object: &SettingsObject, settings: &Settings) -> Result<(), SettingsError> {
-    let figures = [
+/// Rejects zero for values that [`Settings::validate`] does not check or does not report under their keys.
+fn require_nonzero(object: &SettingsObject, settings: &Settings) -> Result<(), SettingsError> {
+    let values = [
         ("allowed.connect-timeout-ns", settings.limits.connect_timeout == 0),
         ("allowed.most-held", object.limits.max_open_requests == Some(0)),
         ("rules.must-ask-in-ns", settings.rules.poll_interval == 0),
     ];
-    match figures.into_iter().find(|(_, is_zero)| *is_zero) {
+    match values.into_iter().find(|(_, is_zero)| *is_zero) {
         Some((key, _)) => Err(SettingsError::value(key, "must not be 0")),
         None => Ok(()),
     }
