--- a/crates/lab/src/cli/fleet_log.rs
+++ b/crates/lab/src/cli/fleet_log.rs
@@ -1,4 +1,4 @@
-//! What the proxies of a fleet did together.
+//! The `count` command, which counts events across the logs of a fleet's proxies.
 
 use super::{FINE, faulty};
 use argh::FromArgs;
@@ -7,11 +7,11 @@
 use std::io::{BufReader, Error, ErrorKind, Write, stdout};
 use std::path::PathBuf;
 
-/// Count what all proxies did, by second and by endpoint, from their logs at OLIVECART_LOG=debug.
+/// Count the events of all proxies by second and by endpoint, from their logs at OLIVECART_LOG=debug.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "count")]
 pub struct Count {
-    /// one log for each proxy
+    /// log files, one per proxy
     #[argh(positional)]
     logs: Vec<PathBuf>,
 }
@@ -20,7 +20,7 @@
     /// Prints the counts.
     pub fn run(self) -> u8 {
         if self.logs.is_empty() {
-            return faulty("no logs are named");
+            return faulty("no log file is given");
         }
         let open = |path: &PathBuf| match File::open(path) {
             Ok(file) => Ok((path.display().to_string(), BufReader::new(file))),
@@ -29,9 +29,9 @@
         let counted = self.logs.iter().map(open).collect::<Result<Vec<_>, _>>().and_then(count);
         match counted {
             Ok(fleet) if fleet.tiers.is_empty() => {
-                faulty("no line of these logs is a proxy's: do they come from OLIVECART_LOG=debug?")
+                faulty("the logs contain no lines of a proxy; were they written with OLIVECART_LOG=debug?")
             }
-            // Danger: print! panics where its reader, say `head`, has read enough.
+            // print! would panic if the reader of the output, such as `head`, has closed the pipe.
             Ok(fleet) => match write!(stdout().lock(), "{fleet}") {
                 Err(e) if e.kind() != ErrorKind::BrokenPipe => faulty(e),
                 _ => FINE,
--- a/crates/lab/src/fleet_log/mod.rs
+++ b/crates/lab/src/fleet_log/mod.rs
@@ -1,6 +1,8 @@
-//! What all proxies of a fleet did together, counted from their logs: each may be harmless alone.
+//! Counts events across the logs of all proxies of a fleet. A load that is harmless from one proxy may not be
+//! harmless from all of them together.
 //!
-//! The logs are those of `OLIVECART_LOG=debug`, one file for each proxy. Proxies that share an endpoint are one tier.
+//! The input is one log per proxy, written with `OLIVECART_LOG=debug`. Proxies that share an endpoint form
+//! one tier.
 
 mod line;
 mod table;
@@ -10,112 +12,138 @@
 use std::fmt;
 use std::io::{self, BufRead};
 
-/// Counts by the name of what is counted.
+/// Counts by name.
 pub type Counts = BTreeMap<String, u64>;
 
-/// What happened at one endpoint, at all proxies together.
+/// The counts of one endpoint, added up over all proxies.
 #[derive(Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// Sends, connections, checks, and how attempts and checks ended.
+    /// The numbers of attempts, connections and health checks, and of the outcomes of attempts and health
+    /// checks.
     pub counts: Counts,
-    /// Attempts out now, and the most at a time.
-    out: u64,
-    /// The most attempts out at a time.
-    pub most_out: u64,
+    /// The current number of attempts in flight.
+    in_flight: u64,
+    /// The highest number of attempts in flight.
+    pub max_in_flight: u64,
 }
 
-/// One tier: proxies that share endpoints.
+/// A tier: the proxies that share endpoints.
 #[derive(Debug, Default, PartialEq)]
 pub struct Tier {
-    /// Its proxies.
+    /// The names of the proxies.
     pub proxies: BTreeSet<String>,
-    /// Its endpoints by name.
+    /// The endpoints, by name.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// All of them by second since the first line.
+    /// The counts of all proxies, by second since the first line.
     pub seconds: BTreeMap<u64, Counts>,
 }
 
-/// All that the logs tell.
+/// The counts of all logs.
 #[derive(Debug, Default, PartialEq)]
 pub struct Fleet {
-    /// Tiers in the order of their first proxy's name.
+    /// The tiers, in the order of the name of their first proxy.
     pub tiers: Vec<Tier>,
-    /// Lines that no proxy wrote whole: how many, and the first few by file and number.
-    pub unread: u64,
-    /// The first few of them, by file and number.
-    pub unread_at: Vec<String>,
+    /// The number of lines that are incomplete or were not written by a proxy.
+    pub unreadable_count: u64,
+    /// The file and line number of the first unreadable lines.
+    pub unreadable_lines: Vec<String>,
 }
 
-/// How many unreadable lines are named.
-const NAMED: usize = 5;
+/// The maximum number of unreadable lines that are listed.
+const MAX_LISTED_LINES: usize = 5;
 
-struct Happened {
+/// An event of one proxy.
+struct LoggedEvent {
     at_ms: u64,
     proxy: String,
-    what: String,
+    name: String,
     endpoint: Option<String>,
 }
 
-/// Reads logs, each with the name it is reported by.
+/// Counts the events of logs, each given with the name for error messages.
 ///
 /// # Errors
-/// A log can't be read.
+/// Returns an error if a log cannot be read.
 pub fn count<R: BufRead>(logs: impl IntoIterator<Item = (String, R)>) -> io::Result<Fleet> {
     let mut fleet = Fleet::default();
-    let (mut events, mut began) = (Vec::new(), None);
+    let (mut events, mut start_ms) = (Vec::new(), None);
     let mut listed: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for (file, log) in logs {
         let mut names: BTreeMap<String, String> = BTreeMap::new();
         for (number, text) in log.split(b'\n').enumerate() {
             let text = String::from_utf8_lossy(&text?).into_owned();
-            let Some(line) = Line::read(&text) else {
-                fleet.unread += 1;
-                if fleet.unread_at.len() < NAMED {
-                    fleet.unread_at.push(format!("{file}:{}", number + 1));
+            let Some(line) = Line::parse(&text) else {
+                fleet.unreadable_count += 1;
+                if fleet.unreadable_lines.len() < MAX_LISTED_LINES {
+                    fleet.unreadable_lines.push(format!("{file}:{}", number + 1));
                 }
                 continue;
             };
             let proxy = line.key("proxy").unwrap_or_default().to_owned();
-            let began = *began.get_or_insert(line.at_ms);
+            let start_ms = *start_ms.get_or_insert(line.at_ms);
             let named = listed.entry(proxy.clone()).or_default();
-            if let ("endpoint", Some(number), Some(name)) =
-                (line.what, line.key("endpoint"), line.key("name"))
+            if let ("endpoint" | "endpoint updated", Some(number), Some(name)) =
+                (line.message, line.key("endpoint"), line.key("name"))
             {
                 names.insert(number.to_owned(), name.to_owned());
                 named.insert(name.to_owned());
                 continue;
             }
             let endpoint = line.key("endpoint").and_then(|number| names.get(number)).cloned();
-            let end = line.key("outcome").map_or(String::new(), |outcome| format!(" {outcome}"));
-            // A proxy whose log starts before the first one's is as good as at its start.
-            let at_ms = Some(line.since(began)).filter(|at| *at < 12 * 3_600_000).unwrap_or(0);
-            events.push(Happened { at_ms, proxy, what: format!("{}{end}", line.what), endpoint });
+            let outcome = line.key("outcome").map_or(String::new(), |outcome| format!(" {outcome}"));
+            // A line of another log that is earlier than the first line counts as simultaneous with it.
+            let at_ms = Some(line.since(start_ms)).filter(|at| *at < 12 * 3_600_000).unwrap_or(0);
+            events.push(LoggedEvent {
+                at_ms,
+                proxy,
+                name: format!("{}{outcome}", count_name(line.message)),
+                endpoint,
+            });
         }
     }
-    fleet.tiers = tiers(listed);
+    fleet.tiers = group_into_tiers(listed);
     events.sort_by_key(|event| event.at_ms);
     for event in events {
         if let Some(tier) = fleet.tiers.iter_mut().find(|tier| tier.proxies.contains(&event.proxy)) {
-            tier.take(event);
+            tier.record(event);
         }
     }
     Ok(fleet)
 }
 
-/// Puts proxies together that share an endpoint.
-fn tiers(listed: BTreeMap<String, BTreeSet<String>>) -> Vec<Tier> {
+/// Returns the name that a message is counted under, which is the message of earlier builds.
+fn count_name(message: &str) -> &str {
+    match message {
+        "request received" => "request",
+        "request aborted" => "aborted",
+        "request shed" => "shed",
+        "request failed" => "fail",
+        "attempt started" => "send",
+        "attempt completed" => "outcome",
+        "attempt cancelled" => "cancel",
+        "health check started" => "check",
+        "health check completed" => "checked",
+        "idle pool closed" => "close",
+        "endpoint watch changed" => "watch",
+        "endpoint refresh requested" => "refresh",
+        other => other,
+    }
+}
+
+/// Groups proxies that share an endpoint.
+fn group_into_tiers(listed: BTreeMap<String, BTreeSet<String>>) -> Vec<Tier> {
     let mut tiers: Vec<Tier> = Vec::new();
     for (proxy, names) in listed {
         let shares = |tier: &Tier| names.iter().any(|name| tier.endpoints.contains_key(name));
         let (joined, mut others): (Vec<_>, Vec<_>) = tiers.into_iter().partition(shares);
-        let mut whole = Tier::default();
+        let mut merged = Tier::default();
         for tier in joined {
-            whole.proxies.extend(tier.proxies);
-            whole.endpoints.extend(tier.endpoints);
+            merged.proxies.extend(tier.proxies);
+            merged.endpoints.extend(tier.endpoints);
         }
-        whole.proxies.insert(proxy);
-        whole.endpoints.extend(names.into_iter().map(|name| (name, Endpoint::default())));
-        others.push(whole);
+        merged.proxies.insert(proxy);
+        merged.endpoints.extend(names.into_iter().map(|name| (name, Endpoint::default())));
+        others.push(merged);
         tiers = others;
     }
     tiers.sort_by(|a, b| a.proxies.first().cmp(&b.proxies.first()));
@@ -123,24 +151,24 @@
 }
 
 impl Tier {
-    fn take(&mut self, event: Happened) {
+    fn record(&mut self, event: LoggedEvent) {
         let second = self.seconds.entry(event.at_ms / 1000).or_default();
-        *second.entry(event.what.clone()).or_default() += 1;
+        *second.entry(event.name.clone()).or_default() += 1;
         let Some(endpoint) = event.endpoint.and_then(|name| self.endpoints.get_mut(&name)) else { return };
-        match &*event.what {
+        match &*event.name {
             "send" => {
-                endpoint.out += 1;
-                endpoint.most_out = endpoint.most_out.max(endpoint.out);
+                endpoint.in_flight += 1;
+                endpoint.max_in_flight = endpoint.max_in_flight.max(endpoint.in_flight);
             }
-            what if what.starts_with("outcome") => endpoint.out = endpoint.out.saturating_sub(1),
+            name if name.starts_with("outcome") => endpoint.in_flight = endpoint.in_flight.saturating_sub(1),
             _ => {}
         }
-        *endpoint.counts.entry(event.what).or_default() += 1;
+        *endpoint.counts.entry(event.name).or_default() += 1;
     }
 
-    /// How often something happened.
-    pub fn total(&self, what: &str) -> u64 {
-        self.seconds.values().filter_map(|counts| counts.get(what)).sum()
+    /// Returns the total of one count.
+    pub fn total(&self, name: &str) -> u64 {
+        self.seconds.values().filter_map(|counts| counts.get(name)).sum()
     }
 }
 
@@ -149,12 +177,12 @@
         for tier in &self.tiers {
             table::write(f, tier)?;
         }
-        if self.unread > 0 {
+        if self.unreadable_count > 0 {
             writeln!(
                 f,
-                "{} lines are torn or foreign, the first at {}",
-                self.unread,
-                self.unread_at.join(", ")
+                "{} lines are incomplete or not from a proxy, the first at {}",
+                self.unreadable_count,
+                self.unreadable_lines.join(", ")
             )?;
         }
         Ok(())
@@ -173,15 +201,16 @@
     }
 
     #[test]
-    fn what_each_proxy_does_a_little_is_added_up_by_the_names_that_all_share() {
+    fn events_of_all_proxies_are_added_up_by_endpoint_name() {
         let (named, send) = ("endpoint, endpoint: 0, name: s", "send, request: 1, endpoint: 0");
         let a = log("a", &[(0, named), (1, send), (900, "outcome, outcome: Overloaded, endpoint: 0")]);
-        // The same endpoint has another number at another proxy, and a tier of its own elsewhere.
+        // Proxy b has another id for the same endpoint, and logs the messages of newer builds. Proxy c has
+        // another endpoint, and thus forms another tier.
         let b = log(
             "b",
             &[
-                (0, "endpoint, endpoint: 4, name: s"),
-                (2, "send, endpoint: 4"),
+                (0, "endpoint updated, endpoint: 4, name: s"),
+                (2, "attempt started, endpoint: 4"),
                 (1200, "connect, endpoint: 4"),
             ],
         );
@@ -190,22 +219,25 @@
         let [first, second] = &fleet.tiers[..] else { panic!("{fleet:?}") };
         assert_eq!((first.proxies.len(), second.proxies.len()), (2, 1));
         assert_eq!((first.total("send"), second.total("send"), first.total("outcome Overloaded")), (2, 1, 1));
-        assert_eq!(first.endpoints["s"].most_out, 2);
+        assert_eq!(first.endpoints["s"].max_in_flight, 2);
         assert_eq!(first.seconds[&1], Counts::from([("connect".into(), 1)]));
-        assert_eq!(fleet.unread, 0);
+        assert_eq!(fleet.unreadable_count, 0);
     }
 
     #[test]
-    fn torn_and_foreign_lines_are_counted_and_named() {
+    fn incomplete_and_foreign_lines_are_counted_and_listed() {
         let (name, log) = log("a", &[(0, "endpoint, endpoint: 0, name: s"), (1, "send, endpoint: 0")]);
         let mut bytes = log.into_inner();
         bytes.extend_from_slice(b"thread 'main' panicked\n\xff\xfe\nDec 01 18:00:01.000 DEBG send, endp");
         let fleet = count([(name, io::Cursor::new(bytes))]).expect("readable");
         assert_eq!(
-            (fleet.unread, &*fleet.unread_at),
+            (fleet.unreadable_count, &*fleet.unreadable_lines),
             (3, &["a.log:3".into(), "a.log:4".into(), "a.log:5".into()][..])
         );
         assert_eq!(fleet.tiers[0].total("send"), 1);
-        assert!(fleet.to_string().contains("3 lines are torn or foreign, the first at a.log:3"), "{fleet}");
+        assert!(
+            fleet.to_string().contains("3 lines are incomplete or not from a proxy, the first at a.log:3"),
+            "{fleet}"
+        );
     }
 }
--- a/crates/proxy/src/cluster_runtime/endpoint_updates.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_updates.rs
@@ -32,7 +32,7 @@
         for endpoint in &news.endpoints {
             let entry = numbered(&mut self.shared.site.borrow_mut(), endpoint);
             let entry = self.endpoints.apply(entry, endpoint.addr, self.shared.clock.now());
-            trace::listed(&self.log, &entry);
+            trace::endpoint(&self.log, &entry);
             self.update_backend(&entry, endpoint.addr);
             entries.push(entry);
         }
@@ -117,7 +117,7 @@
 
     fn apply_override(&self, changed: Option<AddressedEntry>) {
         if let Some((entry, address)) = changed {
-            trace::listed(&self.log, &entry);
+            trace::endpoint(&self.log, &entry);
             self.update_backend(&entry, address);
             self.report_update(EndpointUpdate::Delta(vec![entry]));
         }
