--- a/crates/proxy/src/clusters/mod.rs
+++ b/crates/proxy/src/clusters/mod.rs
@@ -130,7 +130,7 @@
         for runtime in self.runtimes() {
             is_known |= apply(&runtime).is_ok();
         }
-        if is_known { Ok(()) } else { Err(AdminError::Unknown(target.to_owned())) }
+        if is_known { Ok(()) } else { Err(AdminError::UnknownEndpoint(target.to_owned())) }
     }
 }
 
--- a/crates/proxy/src/console/request.rs
+++ b/crates/proxy/src/console/request.rs
@@ -1,62 +1,60 @@
-//! Requests to the admin server: parsed from their bytes, and their responses written.
-//!
-//! [`super`] does the I/O. Nothing here knows the rest of the proxy.
+//! Parses requests to the admin server and formats responses. [`super`] does the I/O.
 
 use serde::Deserialize;
 use std::fmt;
 
-/// Longest head of a request.
-const LONGEST_HEAD_BYTES: usize = 8 * 1024;
-/// Longest body of a request.
-const LONGEST_BODY_BYTES: usize = 64 * 1024;
-/// Most headers of a request.
-const MOST_HEADERS: usize = 64;
+/// The maximum size of a request's head.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The maximum size of a request's body.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process is ready to serve.
+    /// Returns whether this process is ready to serve.
     Ready,
-    /// The figures.
+    /// Returns the statistics.
     Vars,
-    /// Detach an endpoint, by its id.
+    /// Detaches the endpoint with this id.
     Detach(String),
-    /// Attach an endpoint, by its id.
+    /// Attaches the endpoint with this id.
     Attach(String),
 }
 
-/// Why a request is rejected.
+/// The reason a request is rejected.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminError {
-    /// It can't be read.
-    #[error("not a request of HTTP/1.1: {0}")]
-    Unreadable(String),
-    /// Its head is too long.
-    #[error("the head is larger than {LONGEST_HEAD_BYTES} bytes")]
-    LongHead,
-    /// Its body is too long.
-    #[error("the body is larger than {LONGEST_BODY_BYTES} bytes")]
-    LongBody,
-    /// Its body has no length.
-    #[error("a body needs a Content-Length")]
+    /// The head or the Content-Length cannot be parsed.
+    #[error("not a valid HTTP/1.1 request: {0}")]
+    Malformed(String),
+    /// The head is too large.
+    #[error("the head is larger than {MAX_HEAD_BYTES} bytes")]
+    HeadTooLarge,
+    /// The body is too large.
+    #[error("the body is larger than {MAX_BODY_BYTES} bytes")]
+    BodyTooLarge,
+    /// The request has no Content-Length.
+    #[error("a Content-Length is required")]
     LengthRequired,
-    /// Nothing is there.
-    #[error("{0}: no such call; there are /_ready, /_vars, /_backends/detach and /_backends/attach")]
-    Path(String),
-    /// The path takes another method.
-    #[error("{0}: the method is {1}")]
-    Method(String, &'static str),
-    /// The body is no good.
+    /// The path is unknown.
+    #[error("{0}: unknown path; the paths are /_ready, /_vars, /_backends/detach and /_backends/attach")]
+    UnknownPath(String),
+    /// The path requires another method.
+    #[error("{0}: the method must be {1}")]
+    MethodNotAllowed(String, &'static str),
+    /// The body is invalid.
     #[error("the body is not of the form {{\"target\":\"ID\"}}: {0}")]
-    Form(String),
-    /// Nobody has that id.
+    InvalidBody(String),
+    /// No endpoint has this id.
     #[error("{0}: no backend in the list has this id")]
-    Unknown(String),
+    UnknownEndpoint(String),
     /// The process is not ready to serve.
     #[error("not ready")]
     NotReady,
-    /// The event loop did not come round in time.
-    #[error("busy: it is not known whether this was done; call again, which is harmless")]
+    /// The event loop did not apply the change in time.
+    #[error("busy: the result of the change is not known; repeat the request, which is safe")]
     Busy,
 }
 
@@ -65,33 +63,33 @@
     target: String,
 }
 
-/// Reads a call from what has come so far. None: it takes more.
+/// Parses a request from the bytes received so far. Returns `None` if it is incomplete.
 ///
 /// # Errors
-/// It will never be a call.
-pub fn read(received: &[u8]) -> Result<Option<AdminRequest>, AdminError> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+/// Returns an error if the bytes are not the start of a valid request.
+pub fn parse(received: &[u8]) -> Result<Option<AdminRequest>, AdminError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(received) {
-        Err(e) => return Err(AdminError::Unreadable(e.to_string())),
-        Ok(httparse::Status::Partial) if received.len() > LONGEST_HEAD_BYTES => {
-            return Err(AdminError::LongHead);
+        Err(e) => return Err(AdminError::Malformed(e.to_string())),
+        Ok(httparse::Status::Partial) if received.len() > MAX_HEAD_BYTES => {
+            return Err(AdminError::HeadTooLarge);
         }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Ok(httparse::Status::Complete(length)) if length > LONGEST_HEAD_BYTES => {
-            return Err(AdminError::LongHead);
+        Ok(httparse::Status::Complete(length)) if length > MAX_HEAD_BYTES => {
+            return Err(AdminError::HeadTooLarge);
         }
         Ok(httparse::Status::Complete(length)) => length,
     };
     let (method, target) = (head.method.unwrap_or(""), head.path.unwrap_or(""));
     let path = target.split_once('?').map_or(target, |(path, _)| path);
-    let wanted = match path {
+    let expected_method = match path {
         "/_ready" | "/_vars" => "GET",
         "/_backends/detach" | "/_backends/attach" => "POST",
-        _ => return Err(AdminError::Path(path.to_owned())),
+        _ => return Err(AdminError::UnknownPath(path.to_owned())),
     };
-    if method != wanted {
-        return Err(AdminError::Method(path.to_owned(), wanted));
+    if method != expected_method {
+        return Err(AdminError::MethodNotAllowed(path.to_owned(), expected_method));
     }
     match path {
         "/_ready" => return Ok(Some(AdminRequest::Ready)),
@@ -103,8 +101,8 @@
     if body.len() < length {
         return Ok(None);
     }
-    let read: Result<Target, _> = serde_json::from_slice(&body[..length]);
-    let Target { target } = read.map_err(|e| AdminError::Form(e.to_string()))?;
+    let parsed: Result<Target, _> = serde_json::from_slice(&body[..length]);
+    let Target { target } = parsed.map_err(|e| AdminError::InvalidBody(e.to_string()))?;
     Ok(Some(if path.ends_with("detach") {
         AdminRequest::Detach(target)
     } else {
@@ -112,7 +110,7 @@
     }))
 }
 
-/// The length that a head says its body has.
+/// Returns the length of the body according to the headers.
 fn body_length(headers: &[httparse::Header]) -> Result<Option<usize>, AdminError> {
     let named = |name: &'static str| headers.iter().filter(move |h| h.name.eq_ignore_ascii_case(name));
     if named("transfer-encoding").next().is_some() {
@@ -120,40 +118,40 @@
     }
     let mut lengths = named("content-length").map(|h| std::str::from_utf8(h.value).unwrap_or("").trim());
     let Some(length) = lengths.next() else { return Ok(None) };
-    // Danger: two lengths, of which a reader between us and the caller may have taken the other.
+    // With two different lengths, an intermediary may have used the other one (request smuggling).
     if lengths.any(|other| other != length) || !length.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(AdminError::Unreadable("its Content-Length is no single number".into()));
+        return Err(AdminError::Malformed("Content-Length is not a single number".into()));
     }
     match length.parse() {
-        Ok(length) if length <= LONGEST_BODY_BYTES => Ok(Some(length)),
-        _ => Err(AdminError::LongBody),
+        Ok(length) if length <= MAX_BODY_BYTES => Ok(Some(length)),
+        _ => Err(AdminError::BodyTooLarge),
     }
 }
 
 impl AdminError {
     fn status(&self) -> &'static str {
         match self {
-            AdminError::Unreadable(_) | AdminError::Form(_) => "400 Bad Request",
-            AdminError::Path(_) | AdminError::Unknown(_) => "404 Not Found",
-            AdminError::Method(..) => "405 Method Not Allowed",
+            AdminError::Malformed(_) | AdminError::InvalidBody(_) => "400 Bad Request",
+            AdminError::UnknownPath(_) | AdminError::UnknownEndpoint(_) => "404 Not Found",
+            AdminError::MethodNotAllowed(..) => "405 Method Not Allowed",
             AdminError::LengthRequired => "411 Length Required",
-            AdminError::LongBody => "413 Content Too Large",
-            AdminError::LongHead => "431 Request Header Fields Too Large",
+            AdminError::BodyTooLarge => "413 Content Too Large",
+            AdminError::HeadTooLarge => "431 Request Header Fields Too Large",
             AdminError::NotReady | AdminError::Busy => "503 Service Unavailable",
         }
     }
 }
 
-/// The whole answer, which ends the connection.
+/// Formats the complete response, which closes the connection.
 pub fn response(answer: &Result<String, AdminError>) -> String {
     let text: &dyn fmt::Display = match answer {
         Ok(text) => text,
-        Err(no) => no,
+        Err(error) => error,
     };
     let (text, status) = (text.to_string(), answer.as_ref().map_or_else(AdminError::status, |_| "200 OK"));
     let text = if text.ends_with('\n') { text } else { text + "\n" };
     let allow = match answer {
-        Err(AdminError::Method(_, wanted)) => format!("Allow: {wanted}\r\n"),
+        Err(AdminError::MethodNotAllowed(_, expected_method)) => format!("Allow: {expected_method}\r\n"),
         _ => String::new(),
     };
     let length = text.len();
--- a/crates/proxy/src/console/request/tests.rs
+++ b/crates/proxy/src/console/request/tests.rs
@@ -5,22 +5,22 @@
 }
 
 #[test]
-fn calls_are_read_in_any_number_of_pieces() {
+fn requests_are_parsed_from_any_number_of_pieces() {
     let text = post("/_backends/detach", r#"{"target":"s-1","why":"disk"}"#);
     for end in 0..text.len() {
-        assert_eq!(read(&text.as_bytes()[..end]), Ok(None), "{end} bytes");
+        assert_eq!(parse(&text.as_bytes()[..end]), Ok(None), "{end} bytes");
     }
-    assert_eq!(read(text.as_bytes()), Ok(Some(AdminRequest::Detach("s-1".into()))));
+    assert_eq!(parse(text.as_bytes()), Ok(Some(AdminRequest::Detach("s-1".into()))));
     let attach = post("/_backends/attach", r#"{"target":"s-1"}"#);
-    assert_eq!(read(attach.as_bytes()), Ok(Some(AdminRequest::Attach("s-1".into()))));
-    assert_eq!(read(b"GET /_vars?all=1 HTTP/1.1\r\nHost: h\r\n\r\n"), Ok(Some(AdminRequest::Vars)));
-    assert_eq!(read(b"GET /_ready HTTP/1.1\r\n\r\n"), Ok(Some(AdminRequest::Ready)));
+    assert_eq!(parse(attach.as_bytes()), Ok(Some(AdminRequest::Attach("s-1".into()))));
+    assert_eq!(parse(b"GET /_vars?all=1 HTTP/1.1\r\nHost: h\r\n\r\n"), Ok(Some(AdminRequest::Vars)));
+    assert_eq!(parse(b"GET /_ready HTTP/1.1\r\n\r\n"), Ok(Some(AdminRequest::Ready)));
 }
 
 #[test]
-fn each_bad_call_gets_a_no_of_its_own() {
-    let long = "x".repeat(LONGEST_HEAD_BYTES);
-    let bad = [
+fn each_invalid_request_gets_its_own_status() {
+    let long = "x".repeat(MAX_HEAD_BYTES);
+    let invalid = [
         ("GET / HTTP/1.1\r\n\r\n".into(), "404"),
         ("GET /_backends/detach HTTP/1.1\r\n\r\n".into(), "405 Method Not Allowed\r\nAllow: POST"),
         (post("/_vars", ""), "405 Method Not Allowed\r\nAllow: GET"),
@@ -35,8 +35,8 @@
         (format!("GET /_vars HTTP/1.1\r\nX: {long}\r\n\r\n"), "431"),
         (format!("GET /_vars HTTP/1.1\r\nX: {long}"), "431"),
     ];
-    for (text, status) in bad {
-        let answer = read(text.as_bytes()).map(|_| String::new());
+    for (text, status) in invalid {
+        let answer = parse(text.as_bytes()).map(|_| String::new());
         assert!(response(&answer).starts_with(&format!("HTTP/1.1 {status}")), "{text}: {answer:?}");
     }
     let answer = response(&Ok("edge.active=0\n".into()));
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -14,7 +14,7 @@
 use crate::stages::admission::{self, NotAdmitted};
 use crate::stages::cluster_selection::Routes;
 use crate::stages::{parse, response};
-use crate::stats::{Ended, Stats, Taken};
+use crate::stats::{ActiveRequest, RequestResult, Stats};
 use actix_http::error::DispatchError;
 use actix_http::{ConnectionType, Extensions, HttpService, KeepAlive, Request, Response};
 use actix_service::{IntoServiceFactory, Service, ServiceFactory, fn_service};
@@ -293,7 +293,7 @@
 ) -> Result<Response<AnswerBody>, client::Reject> {
     client.on_head_received();
     let call = parse::parse(request, &control.site, &control.budget).await?;
-    let taken = control.stats.as_ref().map(|stats| stats.take(usize::from(call.class.0)));
+    let taken = control.stats.as_ref().map(|stats| stats.count_request(usize::from(call.class.0)));
     let answer = call_cluster(control, client, call).await?;
     Ok(match taken {
         None => answer,
@@ -302,16 +302,16 @@
 }
 
 /// Counts a request by its response, once the whole of that was sent.
-fn count_response(answer: Response<AnswerBody>, mut taken: Taken) -> Response<AnswerBody> {
+fn count_response(answer: Response<AnswerBody>, mut taken: ActiveRequest) -> Response<AnswerBody> {
     let ended = match answer.status().as_u16() {
-        200 => Ended::Ok,
-        429 | 503 => Ended::Shed,
-        _ => Ended::Error,
+        200 => RequestResult::Ok,
+        429 | 503 => RequestResult::Shed,
+        _ => RequestResult::Error,
     };
     with_body(answer, |download| match download {
-        None => taken.ends(ended),
+        None => taken.set_result(ended),
         Some(download) => download.when_ended(move |whole| {
-            taken.ends(if whole { ended } else { Ended::Error });
+            taken.set_result(if whole { ended } else { RequestResult::Error });
         }),
     })
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -1,5 +1,5 @@
-//! A new configuration while all runs on: SIGHUP reads the file again. What can change at once does, and a
-//! file that is no good leaves the old one in force.
+//! Reloads the configuration of `olivecart serve` at SIGHUP, without a restart. Changes that are possible at
+//! run time take effect at once. An invalid file leaves the old configuration in force.
 
 use crate::config::{Changes, ConfigSource};
 use slog::{Logger, info, warn};
@@ -7,30 +7,30 @@
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Registers for SIGHUP. Danger: unregistered, the signal ends the program and all that it had taken.
+/// Registers for SIGHUP. Unregistered, the signal would end the process and abort its open requests.
 pub fn register() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// Reads the file again at each SIGHUP, for good, and has what it brings adopted. Signals that come during a
-/// reading are one more reading.
+/// Reloads the file at each SIGHUP and passes the changes to `apply`. Never returns. All signals that arrive
+/// during a reload cause one further reload.
 pub async fn on_signal(
-    mut hang_up: Signal,
-    mut origin: ConfigSource,
-    adopt: impl Fn(&Changes),
+    mut reload_signal: Signal,
+    mut source: ConfigSource,
+    apply: impl Fn(&Changes),
     log: Logger,
 ) -> Infallible {
     loop {
-        if hang_up.recv().await.is_none() {
-            std::future::pending::<()>().await; // the runtime is going
+        if reload_signal.recv().await.is_none() {
+            std::future::pending::<()>().await; // the runtime is shutting down
         }
-        match origin.reload() {
+        match source.reload() {
             Ok(changes) => {
                 info!(log, "configuration reloaded"; "discovery" => %changes.discovery);
-                if !changes.at_start.is_empty() {
-                    warn!(log, "configuration changes deferred until restart"; "keys" => ?changes.at_start);
+                if !changes.at_restart.is_empty() {
+                    warn!(log, "configuration changes deferred until restart"; "keys" => ?changes.at_restart);
                 }
-                adopt(&changes);
+                apply(&changes);
             }
             Err(error) => warn!(log, "configuration reload rejected"; "error" => %error),
         }
--- a/crates/proxy/src/response_monitor.rs
+++ b/crates/proxy/src/response_monitor.rs
@@ -323,7 +323,7 @@
             self.begun.set(None);
         }
         // A request that is not streamed goes out in one write, but for a few.
-        self.attempt_stats.take().iter().for_each(|stats| stats.tried());
+        self.attempt_stats.take().iter().for_each(|stats| stats.count_attempt());
         Ok(())
     }
 }
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -1,7 +1,7 @@
-//! Assembles and runs the proxy of `olivecart serve`, from the first signal handler to the last response.
+//! Assembles and runs the proxy of `olivecart serve`, from registering signal handlers to the last response.
 //!
-//! `cli.rs` calls [`serve`] once. It owns the tasks that it spawns: they end with its runtime. What they do is in the
-//! modules that it puts together.
+//! `cli.rs` calls [`serve`] once. The spawned tasks end with its runtime. Their work is in the modules that
+//! it assembles.
 
 use crate::bodies::BodyMemoryLimit;
 use crate::clock::{Clock, SystemClocks};
@@ -27,29 +27,40 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{Receiver, Sender};
 
-/// How old the figures of the pool and the readiness may be.
+/// The maximum age of the pool statistics and the readiness that the admin server reports.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Serves until a signal asks for the shutdown and that is over.
+/// Serves until a signal requests a shutdown and the shutdown has completed.
 ///
 /// # Errors
-/// Something that it needs can't be had, and it has not started.
+/// Returns an error if the proxy could not start, for example because an address is in use.
 pub async fn serve(config: Config, log: &Logger) -> Result<(), Box<dyn Error>> {
-    let hang_up = reload::register()?; // before anything that takes time
+    let reload_signal = reload::register()?; // before anything that takes time
     let mut signals = ShutdownSignals::register()?;
-    let Config { listen, discovery, console, seed, sockets, bodies, known, origin, cluster_config, .. } =
-        config;
-    // Danger: unregistered, the signal ends the program. Without an operators' file it does, as ever.
+    let Config {
+        listen,
+        discovery,
+        console,
+        seed,
+        sockets,
+        body_memory_bytes,
+        cached_endpoints,
+        source,
+        cluster_config,
+        ..
+    } = config;
+    // Unregistered, SIGUSR1 ends the process. It is registered only with an operators' file: without one
+    // there is no report to write.
     let report_signal = cluster_config.is_some().then(|| signal(SignalKind::user_defined1())).transpose()?;
     let console = console.map(bind_console).transpose()?;
-    let Some(front) = open_listener(listen, console.is_some(), &mut signals, log).await? else {
-        return Ok(()); // nothing was taken yet
+    let Some(open) = open_listener(listen, console.is_some(), &mut signals, log).await? else {
+        return Ok(()); // no connection was accepted yet
     };
-    let OpenListener { listener, path, taken_over, connection } = front;
+    let OpenListener { listener, path, taken_over, connection } = open;
     let kept_listener = path.is_some().then(|| listener.try_clone()).transpose()?;
-    let budget = Rc::new(BodyMemoryLimit::new(bodies));
+    let budget = Rc::new(BodyMemoryLimit::new(body_memory_bytes));
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    info!(log, "listening"; "on" => %listen, "version" => env!("CARGO_PKG_VERSION"));
+    info!(log, "listening"; "address" => %listen, "version" => env!("CARGO_PKG_VERSION"));
     let times = shutdown_times(&config.site);
     let stats = console.is_some().then(|| Arc::new(Stats::new(config.site.classes.names())));
     let site = Rc::new(RefCell::new(config.site));
@@ -64,7 +75,7 @@
         seed,
         descriptors: Rc::new(Descriptors::new(sockets.backends)),
         discovery: Some(discovery),
-        known,
+        known: cached_endpoints,
         routing,
         budget: budget.clone(),
         stats: stats.clone(),
@@ -82,30 +93,30 @@
         budget: budget.clone(),
         stats: stats.clone(),
     }));
-    let limits = ProcessLimits { sockets, body_bytes: bodies };
+    let limits = ProcessLimits { sockets, body_bytes: body_memory_bytes };
     let process =
         ServingProcess::new(control.clone(), clusters.clone(), kept_listener, limits, budget.clone());
     let process = Rc::new(process);
     let hot_restart = path.map(|path| HotRestart::start(process.clone(), path, connection, log.clone()));
     if let (Some(console), Some(stats)) = (console, stats) {
-        let operated = Operated {
+        let admin_state = AdminState {
             stats,
             clusters: clusters.clone(),
             control: control.clone(),
             hot_restart: hot_restart.clone(),
         };
-        operated.start(console, log)?;
+        admin_state.start(console, log)?;
     }
-    let adopt = move |changes: &Changes| {
-        process.set_limits(ProcessLimits { sockets: changes.sockets, body_bytes: changes.bodies });
+    let apply_reload = move |changes: &Changes| {
+        process.set_limits(ProcessLimits { sockets: changes.sockets, body_bytes: changes.body_memory_bytes });
         clusters.adopt(changes);
     };
-    actix_rt::spawn(reload::on_signal(hang_up, origin, adopt, log.clone()));
+    actix_rt::spawn(reload::on_signal(reload_signal, source, apply_reload, log.clone()));
     let accept_task = actix_rt::spawn(listen::serve(listener, control.clone()));
-    let leave = || hot_restart.as_ref().is_some_and(HotRestart::on_shutdown);
-    shutdown::on_signal(signals, control, times, leave, log.clone()).await;
+    let notify_hot_restart = || hot_restart.as_ref().is_some_and(HotRestart::on_shutdown);
+    shutdown::on_signal(signals, control, times, notify_hot_restart, log.clone()).await;
     accept_task.abort();
-    info!(log, "stopped"; "long_bodies_peak" => budget.peak(), "of" => bodies);
+    info!(log, "stopped"; "long_bodies_peak" => budget.peak(), "long_bodies_limit" => body_memory_bytes);
     Ok(())
 }
 
@@ -113,18 +124,18 @@
     console::bind(address).map_err(|e| format!("console: {address}: {e}"))
 }
 
-/// The clients' listener, and what came with it.
+/// The listener for clients, and the state and connection that a predecessor handed over with it.
 struct OpenListener {
     listener: std::net::TcpListener,
-    /// Where a successor may take over; none if none may.
+    /// The path of the socket where a successor can take over; `None` if hot restarts are disabled.
     path: Option<std::path::PathBuf>,
-    /// What the predecessor handed over.
+    /// The state that the predecessor handed over.
     taken_over: Option<crate::hot_restart::State>,
     connection: Option<crate::hot_restart::PeerConnection>,
 }
 
-/// Takes over or binds the clients' listener; only a process with a console takes part in hot restarts. None if a
-/// signal asked for the shutdown first.
+/// Takes over or binds the listener for clients. Only a process with an admin server takes part in hot
+/// restarts. Returns `None` if a signal requested a shutdown in the meantime.
 async fn open_listener(
     listen: SocketAddr,
     has_console: bool,
@@ -145,13 +156,13 @@
     Ok(Some(OpenListener { listener, path: Some(path), taken_over, connection }))
 }
 
-/// The times of a shutdown, by the longest deadline of all classes of requests.
+/// Returns the time limits of a shutdown, which depend on the longest deadline of all classes.
 fn shutdown_times(site: &Site) -> ShutdownTimes {
     let longest = site.settings.classes.iter().map(|class| class.client_deadline).max();
     ShutdownTimes::new(Duration::from_nanos(longest.unwrap_or(0)))
 }
 
-/// Starts the catalog that the operators' file asks for.
+/// Starts the catalog with the sources of the operators' file.
 fn start_catalog(
     cluster_config: ClusterConfig,
     seed: u64,
@@ -164,35 +175,36 @@
     Ok((Routing { named, rules, overrides }, handle))
 }
 
-/// Has the clusters follow the catalog, and both report to the log at each SIGUSR1.
+/// Starts the tasks that apply the catalog's steps to the clusters, and that log a report of both at each
+/// SIGUSR1.
 fn follow_catalog(clusters: &Rc<Clusters>, catalog: catalog::Handle, report_signal: Signal) {
-    let asked = Rc::new(Notify::new());
+    let report_requested = Rc::new(Notify::new());
     actix_rt::spawn(clusters.clone().follow(catalog.steps));
-    actix_rt::spawn(clusters.clone().run_reports(asked.clone()));
-    actix_rt::spawn(pass_on_report_signal(report_signal, asked, catalog.report));
+    actix_rt::spawn(clusters.clone().run_reports(report_requested.clone()));
+    actix_rt::spawn(forward_report_signal(report_signal, report_requested, catalog.report));
 }
 
-async fn pass_on_report_signal(mut signal: Signal, asked: Rc<Notify>, report: Sender<()>) {
+async fn forward_report_signal(mut signal: Signal, report_requested: Rc<Notify>, report: Sender<()>) {
     while signal.recv().await.is_some() {
-        asked.notify_one();
-        let _ = report.try_send(()); // one report answers all who ask meanwhile
+        report_requested.notify_one();
+        let _ = report.try_send(()); // one report serves all signals that arrive before it is written
     }
 }
 
-/// What operators see and change by the console.
+/// The state that operators read and change through the admin server.
 #[derive(Clone)]
-struct Operated {
+struct AdminState {
     stats: Arc<Stats>,
     clusters: Rc<Clusters>,
     control: Rc<AcceptControl>,
     hot_restart: Option<Rc<HotRestart>>,
 }
 
-impl Operated {
-    /// Starts the console's thread, and the tasks that serve it here.
+impl AdminState {
+    /// Starts the thread of the admin server, and the tasks in the event loop that serve it.
     fn start(self, console: std::net::TcpListener, log: &Logger) -> std::io::Result<()> {
         self.publish();
-        actix_rt::spawn(self.clone().keep_publishing());
+        actix_rt::spawn(self.clone().publish_periodically());
         let changes = console::start(console, self.stats.clone(), log.clone())?;
         actix_rt::spawn(self.apply_changes(changes));
         Ok(())
@@ -202,8 +214,9 @@
         self.stats.publish(self.clusters.pool(), self.control.is_ready());
     }
 
-    /// Keeps the figures of the pool and the readiness up to date, and tells the predecessor once this process is ready.
-    async fn keep_publishing(mut self) {
+    /// Publishes the pool statistics and the readiness, and notifies the predecessor once this process is
+    /// ready.
+    async fn publish_periodically(mut self) {
         let mut every = tokio::time::interval(PUBLISH_INTERVAL);
         loop {
             every.tick().await;
@@ -216,7 +229,7 @@
         }
     }
 
-    /// Makes the changes that operators ask for.
+    /// Applies the changes that operators request.
     async fn apply_changes(self, mut changes: Receiver<console::Change>) {
         while let Some(console::Change { request, done }) = changes.recv().await {
             let answer = self.clusters.apply_admin_request(&request);
@@ -225,7 +238,7 @@
                 hot_restart.on_manual_change(change);
             }
             self.publish();
-            let _ = done.send(answer); // nobody waits any more; it is done all the same
+            let _ = done.send(answer); // the caller may have timed out; the change stays in force
         }
     }
 }
--- a/crates/proxy/src/stages/attempt.rs
+++ b/crates/proxy/src/stages/attempt.rs
@@ -277,7 +277,7 @@
         // Its time runs from its last byte: what its head tells is as true however late that goes out.
         Body::Streamed(upload) => {
             lease.seen.begin(Some(asking(gate)));
-            let counts = move || stats.iter().for_each(|stats| stats.tried()); // with its last byte
+            let counts = move || stats.iter().for_each(|stats| stats.count_attempt()); // with its last byte
             request.send_body(upload.body(counts))
         }
     }
--- a/crates/proxy/src/stats.rs
+++ b/crates/proxy/src/stats.rs
@@ -1,27 +1,27 @@
-//! The figures: what the proxy has done since its start and what it holds now. Written by the event loop alone, each at
-//! one place; read by anybody, without it.
+//! The counters and gauges that the admin server reports. Only the event loop writes them, each at one place.
+//! Any thread can read them without the event loop.
 
 use std::fmt;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering::Relaxed};
 
-/// How a request ended, as its client sees it.
+/// The result of a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// Served.
+pub enum RequestResult {
+    /// The request was answered with 200.
     Ok,
-    /// Refused: trying again is harmless.
+    /// The request was rejected, and a retry is safe.
     Shed,
-    /// Failed, or its client left first.
+    /// The request failed, or its client disconnected.
     Error,
 }
 
-/// All figures.
+/// All counters and gauges.
 #[derive(Default)]
 pub struct Stats {
     classes: Vec<Class>,
-    taken: AtomicU64,
-    tries: AtomicU64,
+    received: AtomicU64,
+    attempts: AtomicU64,
     active: AtomicI64,
     pool_size: AtomicU64,
     pool_ejected: AtomicU64,
@@ -30,47 +30,48 @@
 
 struct Class {
     name: String,
-    /// By [`Ended`].
+    /// Indexed by [`RequestResult`].
     ended: [AtomicU64; 3],
 }
 
-/// One request that was taken and has not ended: dropped without a word, its client has left or its task is no more,
-/// and it counts as an error.
-pub struct Taken {
+/// A request that was received and has not ended. Counted when it is dropped: as an error, unless
+/// [`ActiveRequest::set_result`] was called, since then its client has disconnected or its task was
+/// cancelled.
+pub struct ActiveRequest {
     stats: Arc<Stats>,
     class: usize,
-    ended: Ended,
+    result: RequestResult,
 }
 
-/// What is known of the pool at one moment.
+/// The numbers of endpoints at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
     /// Endpoints in the list.
     pub size: usize,
-    /// Those of them that are avoided.
+    /// Endpoints in the list that get no requests.
     pub ejected: usize,
 }
 
 impl Stats {
-    /// Everything is 0. `classes`: their names, in the order of the settings.
+    /// Creates counters at 0. `classes` are the names of the classes, in the order of the settings.
     pub fn new<'a>(classes: impl Iterator<Item = &'a str>) -> Stats {
         let class = |name: &str| Class { name: name.to_owned(), ended: Default::default() };
         Stats { classes: classes.map(class).collect(), ..Stats::default() }
     }
 
-    /// A request was taken in whole.
-    pub fn take(self: &Arc<Self>, class: usize) -> Taken {
-        self.taken.fetch_add(1, Relaxed);
+    /// Counts a request that was received completely.
+    pub fn count_request(self: &Arc<Self>, class: usize) -> ActiveRequest {
+        self.received.fetch_add(1, Relaxed);
         self.active.fetch_add(1, Relaxed);
-        Taken { stats: self.clone(), class, ended: Ended::Error }
+        ActiveRequest { stats: self.clone(), class, result: RequestResult::Error }
     }
 
-    /// The last byte of an attempt was written.
-    pub fn tried(&self) {
-        self.tries.fetch_add(1, Relaxed);
+    /// Counts an attempt whose last byte was written.
+    pub fn count_attempt(&self) {
+        self.attempts.fetch_add(1, Relaxed);
     }
 
-    /// The pool as it is now, and whether the proxy is ready to serve.
+    /// Updates the gauges of the pool, and whether the proxy is ready to serve.
     pub fn publish(&self, pool: Pool, ready: bool) {
         self.pool_size.store(pool.size as u64, Relaxed);
         self.pool_ejected.store(pool.ejected as u64, Relaxed);
@@ -78,32 +79,33 @@
     }
 
     /// Whether the proxy is ready to serve.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.ready.load(Relaxed)
     }
 
-    /// taken = ok + shed + errors + active. Only the event loop may ask: it alone writes.
-    fn balanced(&self) -> bool {
+    /// Whether received = ok + shed + errors + active. Only valid in the event loop, which is the only
+    /// writer.
+    fn is_balanced(&self) -> bool {
         let ended = self.classes.iter().flat_map(|class| &class.ended).map(|n| n.load(Relaxed)).sum::<u64>();
         let active = u64::try_from(self.active.load(Relaxed));
-        active.is_ok_and(|active| self.taken.load(Relaxed) == ended + active)
+        active.is_ok_and(|active| self.received.load(Relaxed) == ended + active)
     }
 }
 
-impl Taken {
-    /// How it ended, once its answer is through.
-    pub fn ends(&mut self, ended: Ended) {
-        self.ended = ended;
+impl ActiveRequest {
+    /// Sets the result, once the response was sent.
+    pub fn set_result(&mut self, result: RequestResult) {
+        self.result = result;
     }
 }
 
-impl Drop for Taken {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         if let Some(class) = self.stats.classes.get(self.class) {
-            class.ended[self.ended as usize].fetch_add(1, Relaxed);
+            class.ended[self.result as usize].fetch_add(1, Relaxed);
         }
         self.stats.active.fetch_sub(1, Relaxed);
-        crate::invariant::check_invariant(self.stats.balanced(), "taken = ok + shed + errors + active");
+        crate::invariant::check_invariant(self.stats.is_balanced(), "received = ok + shed + errors + active");
     }
 }
 
@@ -114,7 +116,7 @@
                 writeln!(f, "edge.{name}.{}={}", class.name, class.ended[at].load(Relaxed))?;
             }
         }
-        writeln!(f, "edge.tries={}", self.tries.load(Relaxed))?;
+        writeln!(f, "edge.tries={}", self.attempts.load(Relaxed))?;
         writeln!(f, "edge.active={}", self.active.load(Relaxed).max(0))?;
         writeln!(f, "edge.pool_size={}", self.pool_size.load(Relaxed))?;
         writeln!(f, "edge.pool_ejected={}", self.pool_ejected.load(Relaxed))
