--- a/crates/proxy/src/sidecar/admin.rs
+++ b/crates/proxy/src/sidecar/admin.rs
@@ -1,5 +1,5 @@
-//! The listener for operators, on loopback: whether it is ready, what is in force, what there is, figures, and the
-//! word to end.
+//! The admin listener of the sidecar, on loopback. Reports readiness, the configuration in force, the
+//! clusters and metrics, and accepts a request to shut down.
 
 use super::{Listener, Sidecar};
 use crate::accept::Acceptor;
@@ -20,26 +20,26 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// Connections at a time: it is for a few operators, and must not take others' descriptors.
-const MOST_CONNECTIONS: usize = 4;
+/// The maximum number of connections. The listener is for a few operators and must not use up descriptors.
+const MAX_CONNECTIONS: usize = 4;
 
-/// Serves for good.
+/// Serves until the runtime ends.
 pub async fn serve(listener: TcpListener, sidecar: Rc<Sidecar>, log: Logger) {
     let service = HttpService::build().client_request_timeout(Duration::from_secs(2)).h1(fn_service(
         move |request: Request| {
-            let answer = answer(&sidecar, &request);
-            async move { Ok::<_, Infallible>(answer) }
+            let response = handle_request(&sidecar, &request);
+            async move { Ok::<_, Infallible>(response) }
         },
     )
     .into_factory());
     let Ok(service) = service.new_service(()).await else {
-        return warn!(log, "the admin service did not start");
+        return warn!(log, "admin listener failed to start");
     };
-    let (service, room) = (Rc::new(service), Arc::new(Semaphore::new(MOST_CONNECTIONS)));
+    let (service, permits) = (Rc::new(service), Arc::new(Semaphore::new(MAX_CONNECTIONS)));
     let mut acceptor = Acceptor::new(listener, "admin", log);
     loop {
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
-        let (stream, peer) = acceptor.accept(|| {}).await; // its few connections are all in use
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
+        let (stream, peer) = acceptor.accept(|| {}).await; // no connection can be evicted
         let service = service.clone();
         actix_rt::spawn(async move {
             let _ = service.call((Uninterrupted(stream), Some(peer))).await;
@@ -48,31 +48,33 @@
     }
 }
 
-fn answer(sidecar: &Sidecar, request: &Request) -> Response<Bytes> {
-    let told = |status, text: String| Response::with_body(status, Bytes::from(text));
+fn handle_request(sidecar: &Sidecar, request: &Request) -> Response<Bytes> {
+    let respond = |status, text: String| Response::with_body(status, Bytes::from(text));
     match (request.method(), request.path()) {
         (&Method::GET, "/ready") => match sidecar.is_ready() {
-            true => told(StatusCode::OK, "ready\n".into()),
-            false => told(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into()),
+            true => respond(StatusCode::OK, "ready\n".into()),
+            false => respond(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into()),
         },
-        (&Method::GET, "/config") => told(StatusCode::OK, sidecar.config.clone()),
-        (&Method::GET, "/clusters") => told(StatusCode::OK, clusters(sidecar)),
-        (&Method::GET, "/metrics") => told(StatusCode::OK, metrics(sidecar)),
+        (&Method::GET, "/config") => respond(StatusCode::OK, sidecar.config.clone()),
+        (&Method::GET, "/clusters") => respond(StatusCode::OK, format_clusters(sidecar)),
+        (&Method::GET, "/metrics") => respond(StatusCode::OK, encode_metrics(sidecar)),
         (&Method::POST, "/drain") => {
             sidecar.shutdown.notify_one();
-            told(StatusCode::OK, "leaving\n".into())
-        }
-        (_, "/ready" | "/config" | "/clusters" | "/metrics" | "/drain") => {
-            told(StatusCode::METHOD_NOT_ALLOWED, "method not allowed: POST /drain, GET all else\n".into())
-        }
-        _ => {
-            told(StatusCode::NOT_FOUND, "there are /ready, /config, /clusters, /metrics and /drain\n".into())
+            respond(StatusCode::OK, "leaving\n".into())
         }
+        (_, "/ready" | "/config" | "/clusters" | "/metrics" | "/drain") => respond(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "method not allowed: use POST for /drain and GET for all other paths\n".into(),
+        ),
+        _ => respond(
+            StatusCode::NOT_FOUND,
+            "unknown path; the paths are /ready, /config, /clusters, /metrics and /drain\n".into(),
+        ),
     }
 }
 
-/// A line for each cluster of each listener.
-fn clusters(sidecar: &Sidecar) -> String {
+/// Lists the clusters of each listener, one per line.
+fn format_clusters(sidecar: &Sidecar) -> String {
     let mut out = String::new();
     for Listener { name: listener, control, clusters } in &sidecar.listeners {
         // Writing to a string does not fail.
@@ -99,8 +101,8 @@
 
 type Labels = Vec<(String, String)>;
 
-/// Figures in Prometheus' text form.
-fn metrics(sidecar: &Sidecar) -> String {
+/// Returns the metrics in the Prometheus text format.
+fn encode_metrics(sidecar: &Sidecar) -> String {
     let mut registry = Registry::with_prefix("olivecart");
     let family = |registry: &mut Registry, name: &str, help: &str| {
         let family = Family::<Labels, Gauge>::default();
--- a/crates/proxy/src/sidecar/application.rs
+++ b/crates/proxy/src/sidecar/application.rs
@@ -1,6 +1,7 @@
-//! The application behind the inbound listener: health checks, and the cluster that is there while they pass.
+//! The application behind the inbound listener. Checks its health, and adds its cluster while the checks
+//! pass.
 //!
-//! [`super`] starts one task of [`Application::watch`], which ends with the runtime.
+//! [`super`] starts one task of [`Application::run_health_checks`], which ends with the runtime.
 
 use crate::catalog::{Numbered, Step};
 use crate::clusters::Clusters;
@@ -16,104 +17,114 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The cluster that it is.
+/// The name of the application's cluster.
 pub const CLUSTER: &str = "application";
-/// Between two checks while it is down, or after one that failed.
-const CHECK_INTERVAL_WHILE_DOWN: Duration = Duration::from_millis(100);
-/// Between two checks while it is up.
+/// The interval between health checks while the application is unhealthy, or after a failed check.
+const CHECK_INTERVAL_AFTER_FAILURE: Duration = Duration::from_millis(100);
+/// The interval between health checks while the application is healthy.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A check that takes longer has failed.
+/// A health check that takes longer has failed.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Checks that fail in a row before it is down.
-const FAILURES_UNTIL_DOWN: u32 = 3;
-/// What a check asks for; the same as the decisions' probes.
-const CHECK: &[u8] = b"GET /health/live HTTP/1.1\r\nHost: application\r\nConnection: close\r\n\r\n";
+/// The number of consecutive failures after which the application is unhealthy.
+const UNHEALTHY_THRESHOLD: u32 = 3;
+/// The request of a health check, with the same path as the health checks of the decision module.
+const CHECK_REQUEST: &[u8] = b"GET /health/live HTTP/1.1\r\nHost: application\r\nConnection: close\r\n\r\n";
 
-/// Whether it is up, from its checks.
+/// The health of the application according to its checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    is_up: bool,
-    failed: u32,
+    is_healthy: bool,
+    consecutive_failures: u32,
 }
 
 impl Health {
-    /// Takes in a check. Tells what it is from now on, if that is another.
-    pub fn checked(&mut self, passed: bool) -> Option<bool> {
-        self.failed = if passed { 0 } else { self.failed.saturating_add(1) };
-        let is_up = passed || (self.is_up && self.failed < FAILURES_UNTIL_DOWN);
-        (std::mem::replace(&mut self.is_up, is_up) != is_up).then_some(is_up)
+    /// Records the result of a health check. Returns whether the application is healthy if that has changed.
+    pub fn record_check(&mut self, passed: bool) -> Option<bool> {
+        self.consecutive_failures = if passed { 0 } else { self.consecutive_failures.saturating_add(1) };
+        let is_healthy = passed || (self.is_healthy && self.consecutive_failures < UNHEALTHY_THRESHOLD);
+        (std::mem::replace(&mut self.is_healthy, is_healthy) != is_healthy).then_some(is_healthy)
     }
 
-    /// When it is checked next.
-    pub fn next_check_after(&self) -> Duration {
-        if self.is_up && self.failed == 0 { CHECK_INTERVAL } else { CHECK_INTERVAL_WHILE_DOWN }
+    /// Returns the time until the next check.
+    pub fn next_check_delay(&self) -> Duration {
+        if self.is_healthy && self.consecutive_failures == 0 {
+            CHECK_INTERVAL
+        } else {
+            CHECK_INTERVAL_AFTER_FAILURE
+        }
     }
 }
 
-/// How many requests may be open at the application.
-pub struct Limit {
-    most: Cell<u32>,
+/// The limit on open requests to the application.
+pub struct RequestLimit {
+    max_requests: Cell<u32>,
     clusters: Rc<Clusters>,
 }
 
-impl Limit {
-    /// A limit, which is in force from when the application is up.
-    pub fn new(most: u32, clusters: Rc<Clusters>) -> Limit {
-        Limit { most: Cell::new(most), clusters }
+impl RequestLimit {
+    /// Creates a limit, which takes effect when the application becomes healthy.
+    pub fn new(max_requests: u32, clusters: Rc<Clusters>) -> RequestLimit {
+        RequestLimit { max_requests: Cell::new(max_requests), clusters }
     }
 
-    /// Another one holds from now on; what is open stays open.
-    pub async fn set(&self, most: u32) {
-        self.most.set(most);
-        let (cluster, limits) = (CLUSTER.into(), Some(self.settings()));
+    /// Changes the limit. Requests that are already open are not affected.
+    pub async fn set(&self, max_requests: u32) {
+        self.max_requests.set(max_requests);
+        let (cluster, limits) = (CLUSTER.into(), Some(self.cluster_settings()));
         let step = Step::Changed { cluster, limits, stops: Vec::new(), takes: Vec::new(), words: None };
         self.clusters.apply(step).await;
     }
 
-    fn settings(&self) -> ClusterSettings {
-        ClusterSettings { max_requests: Some(self.most.get()), ..ClusterSettings::default() }
+    fn cluster_settings(&self) -> ClusterSettings {
+        ClusterSettings { max_requests: Some(self.max_requests.get()), ..ClusterSettings::default() }
     }
 }
 
-/// The application and its cluster.
+/// The application and the state that depends on its health.
 pub struct Application {
     address: SocketAddr,
-    limit: Rc<Limit>,
+    limit: Rc<RequestLimit>,
     ready: Rc<Cell<bool>>,
     log: Logger,
 }
 
 impl Application {
-    /// One that has not been checked yet: nothing is sent to it.
-    pub fn new(address: SocketAddr, limit: Rc<Limit>, ready: Rc<Cell<bool>>, log: Logger) -> Application {
+    /// Creates an application that has not been checked yet, and gets no requests.
+    pub fn new(
+        address: SocketAddr,
+        limit: Rc<RequestLimit>,
+        ready: Rc<Cell<bool>>,
+        log: Logger,
+    ) -> Application {
         Application { address, limit, ready, log }
     }
 
-    /// Checks it for good, and has requests go to it while it is up.
-    pub async fn watch(self) {
+    /// Checks the application's health forever, and routes requests to it while it is healthy.
+    pub async fn run_health_checks(self) {
         let mut health = Health::default();
         loop {
-            let passed = matches!(timeout(CHECK_TIMEOUT, passes(self.address)).await, Ok(Ok(true)));
-            if let Some(is_up) = health.checked(passed) {
-                self.on_health_changed(is_up).await;
+            let passed = matches!(timeout(CHECK_TIMEOUT, check_health(self.address)).await, Ok(Ok(true)));
+            if let Some(is_healthy) = health.record_check(passed) {
+                self.on_health_changed(is_healthy).await;
             }
-            sleep(health.next_check_after()).await;
+            sleep(health.next_check_delay()).await;
         }
     }
 
-    async fn on_health_changed(&self, is_up: bool) {
-        match is_up {
-            true => info!(self.log, "the application is up"; "at" => %self.address),
-            false => warn!(self.log, "the application is down"; "at" => %self.address),
+    async fn on_health_changed(&self, is_healthy: bool) {
+        match is_healthy {
+            true => info!(self.log, "application became healthy"; "address" => %self.address),
+            false => warn!(self.log, "application became unhealthy"; "address" => %self.address),
         }
-        if !is_up {
-            // Danger: without an endpoint the decisions hold requests, and their clients wait for nothing. What
-            // was sent already ends by its own deadline.
+        if !is_healthy {
+            // The whole cluster is removed, since with an empty cluster the decision module would queue
+            // requests, and their clients would wait in vain. Requests that were already sent end by their
+            // deadlines.
             self.ready.set(false);
             return self.limit.clusters.apply(Step::Removed(CLUSTER.into())).await;
         }
         let clusters = &self.limit.clusters;
-        clusters.apply(Step::Added(CLUSTER.into(), self.limit.settings())).await;
+        clusters.apply(Step::Added(CLUSTER.into(), self.limit.cluster_settings())).await;
         let endpoint = Arc::new(Endpoint::ready(CLUSTER, self.address));
         let takes = vec![Numbered { number: 0, state: EndpointState::Ready, endpoint }];
         let (cluster, stops) = (CLUSTER.into(), Vec::new());
@@ -122,10 +133,11 @@
     }
 }
 
-/// Whether it answers a check with 200. Danger: what listens there now may speak another protocol.
-async fn passes(address: SocketAddr) -> std::io::Result<bool> {
+/// Sends a health check. Returns whether the response has status 200, since another protocol may be spoken at
+/// this address.
+async fn check_health(address: SocketAddr) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(address).await?;
-    stream.write_all(CHECK).await?;
+    stream.write_all(CHECK_REQUEST).await?;
     let mut head = [0; 12];
     stream.read_exact(&mut head).await?;
     Ok(&head == b"HTTP/1.1 200")
--- a/crates/proxy/src/sidecar/application/tests.rs
+++ b/crates/proxy/src/sidecar/application/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 
 #[test]
-fn one_good_check_is_up_and_three_bad_ones_in_a_row_are_down() {
+fn one_passed_check_is_healthy_and_three_consecutive_failures_are_unhealthy() {
     let mut health = Health::default();
-    let said: Vec<_> = "..+-+--+---.+".chars().map(|c| health.checked(c == '+')).collect();
-    let no = None;
-    let expected = [no, no, Some(true), no, no, no, no, no, no, no, Some(false), no, Some(true)];
-    assert_eq!(said, expected);
-    assert_eq!(health.next_check_after(), CHECK_INTERVAL);
-    health.checked(false);
-    assert_eq!(health.next_check_after(), CHECK_INTERVAL_WHILE_DOWN);
+    let changes: Vec<_> = "..+-+--+---.+".chars().map(|c| health.record_check(c == '+')).collect();
+    let same = None;
+    let expected =
+        [same, same, Some(true), same, same, same, same, same, same, same, Some(false), same, Some(true)];
+    assert_eq!(changes, expected);
+    assert_eq!(health.next_check_delay(), CHECK_INTERVAL);
+    health.record_check(false);
+    assert_eq!(health.next_check_delay(), CHECK_INTERVAL_AFTER_FAILURE);
 }
--- a/crates/proxy/src/sidecar/live.rs
+++ b/crates/proxy/src/sidecar/live.rs
@@ -1,8 +1,9 @@
-//! A new configuration while all runs on: SIGHUP reads the file again. It is checked as a whole, and one that is no
-//! good leaves the old one in force; what can change at once does, and the rest is said by its keys.
+//! Reloads the configuration of the sidecar at SIGHUP, without a restart. The file is checked as a whole, and
+//! an invalid file leaves the old configuration in force. Changes that are possible at run time take effect
+//! at once. The keys of the other changes are logged.
 
-use super::application::Limit;
-use super::settings::shares;
+use super::application::RequestLimit;
+use super::settings::divide_descriptors;
 use crate::config::Sockets;
 use crate::listen::AcceptControl;
 use olivecart_config::diff::{TakesEffect, edits};
@@ -13,25 +14,25 @@
 use std::rc::Rc;
 use tokio::signal::unix::Signal;
 
-/// What can change while the sidecar serves.
-pub struct Live {
-    /// The file.
+/// The configuration in force, and the parts that a reload can change.
+pub struct ReloadableConfig {
+    /// The path of the configuration file.
     pub path: PathBuf,
-    /// What was set besides it.
+    /// The environment variables that override settings.
     pub environment: Environment,
-    /// What is in force.
+    /// The configuration in force.
     pub proxy: Proxy,
-    /// The inbound listener, and the limit of the application behind it.
-    pub inbound: Option<(Rc<AcceptControl>, Rc<Limit>)>,
-    /// The outbound ones.
+    /// The inbound listener, and the request limit of the application behind it.
+    pub inbound: Option<(Rc<AcceptControl>, Rc<RequestLimit>)>,
+    /// The outbound listeners.
     pub outbound: Vec<Rc<AcceptControl>>,
-    /// For the operators.
+    /// The log.
     pub log: Logger,
 }
 
-impl Live {
-    /// Reads the file again at each signal, for good.
-    pub async fn follow(mut self, mut signal: Signal) {
+impl ReloadableConfig {
+    /// Reloads the file at each signal.
+    pub async fn reload_on_signal(mut self, mut signal: Signal) {
         while signal.recv().await.is_some() {
             self.reload().await;
         }
@@ -43,24 +44,24 @@
             Err(error) => return warn!(self.log, "configuration reload rejected"; "error" => %error),
         };
         let edits = edits(&self.proxy, &new);
-        let waits: Vec<&str> = edits
+        let deferred: Vec<&str> = edits
             .iter()
             .filter(|edit| edit.takes_effect == TakesEffect::AtRestart)
             .map(|edit| edit.key.as_str())
             .collect();
-        if !waits.is_empty() {
-            warn!(self.log, "configuration changes deferred until restart"; "keys" => waits.join(", "));
+        if !deferred.is_empty() {
+            warn!(self.log, "configuration changes deferred until restart"; "keys" => deferred.join(", "));
         }
         self.proxy.settings.client_connections = new.settings.client_connections;
-        let shares = shares(&self.proxy);
+        let shares = divide_descriptors(&self.proxy);
         let sockets = |clients| Sockets { clients, backends: 0 };
         self.outbound.iter().for_each(|control| control.set_limits(sockets(shares.outbound)));
-        let most = new.inbound.as_ref().and_then(|inbound| inbound.max_requests);
+        let max_requests = new.inbound.as_ref().and_then(|inbound| inbound.max_requests);
         if let (Some((control, limit)), Some(inbound)) = (&self.inbound, &mut self.proxy.inbound) {
             control.set_limits(sockets(shares.inbound));
-            limit.set(most.unwrap_or(MAX_REQUESTS)).await;
-            inbound.max_requests = most;
+            limit.set(max_requests.unwrap_or(MAX_REQUESTS)).await;
+            inbound.max_requests = max_requests;
         }
-        info!(self.log, "configuration reloaded"; "live" => edits.len() - waits.len());
+        info!(self.log, "configuration reloaded"; "applied" => edits.len() - deferred.len());
     }
 }
--- a/crates/proxy/src/sidecar/mod.rs
+++ b/crates/proxy/src/sidecar/mod.rs
@@ -1,12 +1,12 @@
-//! The sidecar: one process beside an application.
+//! The sidecar: one process beside each instance of an application.
 //!
-//! It has an inbound listener before the application, which admits by the application's limits and is ready only when
-//! the application is; an outbound listener, with clusters, rules and decisions of its own, for each service that the
-//! application calls; one budget of descriptors for all; and an admin listener on loopback. `cli.rs` calls [`serve`]
-//! once, which owns all tasks: they end with its runtime.
+//! It has an inbound listener in front of the application, which enforces the application's limits and is
+//! ready only while the application is healthy; an outbound listener, with separate clusters, rules and
+//! decisions, for each service that the application calls; one limit on descriptors for all; and an admin
+//! listener on loopback. `cli.rs` calls [`serve`] once. The spawned tasks end with its runtime.
 //!
-//! Each listener has its own table of open requests: an application that hands on the id of a request that it serves is
-//! not sending that request twice.
+//! Each listener has its own table of open requests. Therefore an application can pass the id of a request
+//! that it serves on to the services that it calls, without the sidecar taking the calls for duplicates.
 
 mod admin;
 mod application;
@@ -22,8 +22,8 @@
 use crate::descriptors::Descriptors;
 use crate::listen::{self, AcceptControl, ListenerParts};
 use crate::{reload, shutdown};
-use application::{Application, Limit};
-use live::Live;
+use application::{Application, RequestLimit};
+use live::ReloadableConfig;
 use olivecart_config::check::check;
 use olivecart_config::load::Loaded;
 use olivecart_config::report::text;
@@ -32,7 +32,7 @@
 use olivecart_decisions::ClassId;
 use olivecart_membership::{ClusterName, Policy};
 use olivecart_settings::Site;
-use settings::{Shares, sites, sources};
+use settings::{DescriptorShares, convert_sources, read_sites};
 use slog::{Logger, error, info};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -43,106 +43,108 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::Receiver;
 
-/// Why a sidecar does not start, or ended.
+/// The reason a sidecar could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum SidecarError {
-    /// Its file is no good: all that is wrong with it.
+    /// The configuration file is invalid. The text lists all errors in it.
     #[error("{0}")]
-    File(String),
-    /// Its settings.
+    InvalidFile(String),
+    /// The settings of a listener are invalid.
     #[error(transparent)]
     Settings(#[from] olivecart_settings::SettingsError),
-    /// The catalog.
+    /// The catalog could not start.
     #[error(transparent)]
     Catalog(#[from] catalog::StartError),
-    /// An address that cannot be listened on.
-    #[error("{what}: {address}: {error}")]
+    /// An address could not be bound.
+    #[error("{listener_name}: {address}: {error}")]
     Bind {
-        /// Which listener.
-        what: String,
-        /// Its address.
+        /// The name of the listener.
+        listener_name: String,
+        /// The address of the listener.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// Signals.
+    /// A signal handler could not be registered.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Reads and checks the file of one proxy, and nothing else.
+/// Reads and checks the configuration file of one proxy.
 ///
 /// # Errors
-/// All that is wrong with it.
+/// Returns all errors in the file.
 pub fn read(path: &Path, environment: &Environment) -> Result<(Loaded, Resolved), SidecarError> {
     let loaded = Loaded::read(path);
     let (resolved, findings) = check(&loaded, environment);
     if findings.has_errors() {
-        return Err(SidecarError::File(text(&findings).trim_end().to_owned()));
+        return Err(SidecarError::InvalidFile(text(&findings).trim_end().to_owned()));
     }
     match <[Resolved; 1]>::try_from(resolved) {
-        Ok([one]) if one.application.is_none() => Ok((loaded, one)),
-        _ => Err(SidecarError::File(format!(
-            "{}: is not what one proxy reads (kind = \"proxy\"); olivecart config write makes it of a fleet",
+        Ok([resolved]) if resolved.application.is_none() => Ok((loaded, resolved)),
+        _ => Err(SidecarError::InvalidFile(format!(
+            "{}: not the configuration of one proxy (kind = \"proxy\"); `olivecart config write` generates it from a fleet",
             path.display()
         ))),
     }
 }
 
-/// One listener with its clusters.
+/// A listener and its clusters.
 #[derive(Clone)]
 pub struct Listener {
-    /// `inbound`, or the service that is called.
+    /// `inbound`, or the name of the called service.
     pub name: String,
-    /// Controls what it accepts.
+    /// Controls which connections the listener accepts.
     pub control: Rc<AcceptControl>,
-    /// Where its requests go.
+    /// The clusters that its requests are routed to.
     pub clusters: Rc<Clusters>,
 }
 
-/// All that runs, for the admin listener.
+/// The state of the sidecar that the admin listener reads.
 pub struct Sidecar {
-    /// The configuration in force, with origins.
+    /// The text of the configuration at the start, with the origin of each value.
     pub config: String,
-    /// The outbound listeners, and then the inbound one.
+    /// The outbound listeners, followed by the inbound listener.
     pub listeners: Vec<Listener>,
-    /// What all connections to endpoints count against.
+    /// The limit on connections to endpoints, shared by all listeners.
     pub descriptors: Rc<Descriptors>,
-    /// Whether the application passes its checks; so if there is none.
-    pub is_application_up: Rc<Cell<bool>>,
-    /// A shutdown has begun.
+    /// Whether the application is healthy. True if there is no inbound listener.
+    pub is_application_healthy: Rc<Cell<bool>>,
+    /// Whether a shutdown has begun.
     pub is_shutting_down: Cell<bool>,
-    /// Asks for a shutdown.
+    /// Requests a shutdown.
     pub shutdown: Notify,
 }
 
 impl Sidecar {
-    /// Whether requests are welcome.
+    /// Whether the sidecar is ready for requests.
     pub fn is_ready(&self) -> bool {
-        self.is_application_up.get() && !self.is_shutting_down.get()
+        self.is_application_healthy.get() && !self.is_shutting_down.get()
     }
 }
 
-/// Bytes that long bodies may hold; a sidecar is told no limit of memory.
-const BODY_BUDGET_BYTES: usize = 16 << 20;
+/// The limit on the memory of long bodies. It is fixed, since a sidecar's configuration sets no memory limit
+/// for them.
+const BODY_MEMORY_LIMIT_BYTES: usize = 16 << 20;
 
-/// Serves until a signal or the admin listener ends it.
+/// Serves until a signal or the admin listener requests a shutdown, and the shutdown has completed.
 ///
 /// # Errors
-/// It did not start.
+/// Returns an error if the sidecar could not start.
 pub async fn serve(path: &Path, environment: &Environment, log: Logger) -> Result<(), SidecarError> {
     let (loaded, resolved) = read(path, environment)?;
     let proxy = &resolved.proxy;
     let shared = Shared::new(proxy, &log);
-    // Danger: unregistered, a signal ends the program and all that it had taken.
-    let hang_up = reload::register()?;
+    // Unregistered, a signal would end the process and abort its open requests.
+    let reload_signal = reload::register()?;
     let mut signals = shutdown::ShutdownSignals::register()?;
-    // All addresses before anything runs: a sidecar serves whole or not at all.
+    // All addresses are bound before anything is served, so that a sidecar never serves with some listeners
+    // missing.
     let admin = proxy.admin.as_ref().map(|admin| bind("admin", admin.listen)).transpose()?;
-    let sites = sites(proxy)?;
+    let sites = read_sites(proxy)?;
     let outbound = shared.start_outbound(proxy, sites.outbound)?;
-    let is_application_up = Rc::new(Cell::new(proxy.inbound.is_none()));
-    let inbound = shared.start_inbound(proxy, sites.inbound, is_application_up.clone())?;
+    let is_application_healthy = Rc::new(Cell::new(proxy.inbound.is_none()));
+    let inbound = shared.start_inbound(proxy, sites.inbound, is_application_healthy.clone())?;
     shared.follow_catalog(proxy, path, &outbound)?;
     let inbound_listener = inbound.as_ref().map(|inbound| &inbound.bound);
     let all: Vec<&BoundListener> = outbound.iter().chain(inbound_listener).collect();
@@ -150,7 +152,7 @@
         config: olivecart_config::write::text(&resolved, &loaded.sources),
         listeners: all.iter().map(|bound| bound.listener.clone()).collect(),
         descriptors: shared.descriptors.clone(),
-        is_application_up,
+        is_application_healthy,
         is_shutting_down: Cell::new(false),
         shutdown: Notify::new(),
     });
@@ -158,9 +160,9 @@
         actix_rt::spawn(admin::serve(listener, sidecar.clone(), log.clone()));
     }
     for bound in all {
-        info!(log, "listening"; "for" => &bound.listener.name, "version" => env!("CARGO_PKG_VERSION"));
+        info!(log, "listening"; "listener" => &bound.listener.name, "version" => env!("CARGO_PKG_VERSION"));
     }
-    let live = Live {
+    let reloadable = ReloadableConfig {
         path: path.to_owned(),
         environment: environment.clone(),
         proxy: proxy.clone(),
@@ -172,101 +174,112 @@
     };
     let outbound_controls: Vec<_> = outbound.into_iter().map(BoundListener::accept).collect();
     let inbound_control = inbound.map(|inbound| inbound.bound.accept());
-    actix_rt::spawn(live.follow(hang_up));
+    actix_rt::spawn(reloadable.reload_on_signal(reload_signal));
     tokio::select! {
         () = signals.received() => {}
         () = sidecar.shutdown.notified() => {}
     }
     sidecar.is_shutting_down.set(true);
-    // The application still calls others for what it has taken: outbound outlives inbound.
+    // The outbound listeners close last, since the application calls other services for its open requests.
     if let Some(control) = inbound_control {
         shutdown::drain(&[control], shutdown::ShutdownTimes::default(), &log).await;
     }
-    info!(log, "inbound has ended");
-    let give_up_at = Instant::now() + shutdown::LONGEST_SHUTDOWN;
-    shutdown::close_connections(&outbound_controls, give_up_at, &log).await;
+    info!(log, "inbound listener drained");
+    let shutdown_deadline = Instant::now() + shutdown::LONGEST_SHUTDOWN;
+    shutdown::close_connections(&outbound_controls, shutdown_deadline, &log).await;
     Ok(())
 }
 
-fn bind(what: &str, address: SocketAddr) -> Result<TcpListener, SidecarError> {
-    listen::bind(address, false).map_err(|error| SidecarError::Bind { what: what.to_owned(), address, error })
+fn bind(listener_name: &str, address: SocketAddr) -> Result<TcpListener, SidecarError> {
+    listen::bind(address, false).map_err(|error| SidecarError::Bind {
+        listener_name: listener_name.to_owned(),
+        address,
+        error,
+    })
 }
 
-/// A listener that does not accept yet.
+/// A bound listener that does not accept connections yet.
 struct BoundListener {
     listener: Listener,
     socket: TcpListener,
 }
 
 impl BoundListener {
-    /// Accepts connections from now on.
+    /// Starts to accept connections.
     fn accept(self) -> Rc<AcceptControl> {
         actix_rt::spawn(listen::serve(self.socket, self.listener.control.clone()));
         self.listener.control
     }
 }
 
-/// The inbound listener, and the limit of the application behind it.
+/// The inbound listener, and the request limit of the application behind it.
 struct Inbound {
     bound: BoundListener,
-    limit: Rc<Limit>,
+    limit: Rc<RequestLimit>,
 }
 
-/// What all listeners are started with.
+/// The state that all listeners share.
 struct Shared {
     clock: Clock,
     seed: u64,
     descriptors: Rc<Descriptors>,
     budget: Rc<BodyMemoryLimit>,
-    shares: Shares,
+    shares: DescriptorShares,
     log: Logger,
 }
 
 impl Shared {
     fn new(proxy: &Proxy, log: &Logger) -> Shared {
         let clock = Clock::start();
-        let shares = settings::shares(proxy);
+        let shares = settings::divide_descriptors(proxy);
         Shared {
             clock,
             seed: clock.now() ^ u64::from(std::process::id()) << 32,
             descriptors: Rc::new(Descriptors::new(shares.endpoints)),
-            budget: Rc::new(BodyMemoryLimit::new(BODY_BUDGET_BYTES)),
+            budget: Rc::new(BodyMemoryLimit::new(BODY_MEMORY_LIMIT_BYTES)),
             shares,
             log: log.clone(),
         }
     }
 
-    /// A listener for each service that the application calls.
+    /// Binds a listener for each service that the application calls.
     fn start_outbound(&self, proxy: &Proxy, sites: Vec<Site>) -> Result<Vec<BoundListener>, SidecarError> {
         let mut bound = Vec::new();
-        for (call, site) in proxy.outbound.iter().zip(sites) {
-            let socket = bind(&call.application, call.listen)?;
-            let routing = routing(call, &site);
-            bound.push(self.start(&call.application, socket, site, routing, self.shares.outbound));
+        for (outbound, site) in proxy.outbound.iter().zip(sites) {
+            let socket = bind(&outbound.application, outbound.listen)?;
+            let routing = routing(outbound, &site);
+            bound.push(self.start_listener(
+                &outbound.application,
+                socket,
+                site,
+                routing,
+                self.shares.outbound,
+            ));
         }
         Ok(bound)
     }
 
-    /// The listener before the application, and the task that checks that; none if there is no application.
+    /// Binds the inbound listener and starts the health checks of the application. Returns `None` if no
+    /// inbound listener is configured.
     fn start_inbound(
         &self,
         proxy: &Proxy,
         site: Option<Site>,
-        is_application_up: Rc<Cell<bool>>,
+        is_application_healthy: Rc<Cell<bool>>,
     ) -> Result<Option<Inbound>, SidecarError> {
         let (Some(own), Some(site)) = (&proxy.inbound, site) else { return Ok(None) };
         let socket = bind("inbound", own.listen)?;
         let routing = Routing { named: vec![ClusterName::from(application::CLUSTER)], ..Routing::default() };
-        let bound = self.start("inbound", socket, site, routing, self.shares.inbound);
-        let most_requests = own.max_requests.unwrap_or(olivecart_config::resolve::MAX_REQUESTS);
-        let limit = Rc::new(Limit::new(most_requests, bound.listener.clusters.clone()));
+        let bound = self.start_listener("inbound", socket, site, routing, self.shares.inbound);
+        let max_requests = own.max_requests.unwrap_or(olivecart_config::resolve::MAX_REQUESTS);
+        let limit = Rc::new(RequestLimit::new(max_requests, bound.listener.clusters.clone()));
         let log = self.log.new(slog::o!("listener" => "inbound"));
-        let application = Application::new(own.application, limit.clone(), is_application_up, log);
-        actix_rt::spawn(application.watch());
+        let application = Application::new(own.application, limit.clone(), is_application_healthy, log);
+        actix_rt::spawn(application.run_health_checks());
         Ok(Some(Inbound { bound, limit }))
     }
 
-    fn start(
+    fn start_listener(
         &self,
         name: &str,
         socket: TcpListener,
@@ -300,7 +313,8 @@
         BoundListener { listener: Listener { name: name.to_owned(), control, clusters }, socket }
     }
 
-    /// Starts the catalog of the clusters that are called, if there are any, and has the listeners follow it.
+    /// Starts the catalog of the called clusters, if there are any, and the task that applies it to the
+    /// listeners.
     fn follow_catalog(
         &self,
         proxy: &Proxy,
@@ -310,10 +324,10 @@
         if outbound.is_empty() {
             return Ok(());
         }
-        let called = proxy.outbound.iter().flat_map(|call| &call.clusters);
+        let called = proxy.outbound.iter().flat_map(|outbound| &outbound.clusters);
         let named = called.map(|name| ClusterName::from(name.as_str())).collect();
         let directory = path.parent().unwrap_or(Path::new(""));
-        let sources = sources(proxy, directory);
+        let sources = convert_sources(proxy, directory);
         let handle =
             catalog::start(sources, Policy::default(), named, self.seed, self.clock, self.log.clone())?;
         let clusters = outbound.iter().map(|bound| bound.listener.clusters.clone()).collect();
@@ -322,17 +336,17 @@
     }
 }
 
-/// Where the requests of an outbound listener go.
-fn routing(call: &Outbound, site: &Site) -> Routing {
-    let named: Vec<ClusterName> = call.clusters.iter().map(|name| name.as_str().into()).collect();
+/// Returns the routing of an outbound listener.
+fn routing(outbound: &Outbound, site: &Site) -> Routing {
+    let named: Vec<ClusterName> = outbound.clusters.iter().map(|name| name.as_str().into()).collect();
     let class = |name: &str| site.classes.get(name).map(|class| ClassId(class as u16));
-    let rules = Rules::new(settings::rules(&call.routes, class));
-    let overrides = Overrides { max_attempts: Some(call.attempts), ..Overrides::default() };
+    let rules = Rules::new(settings::convert_routes(&outbound.routes, class));
+    let overrides = Overrides { max_attempts: Some(outbound.attempts), ..Overrides::default() };
     let overrides = named.iter().map(|name| (name.clone(), overrides)).collect();
     Routing { named, rules, overrides }
 }
 
-/// Applies the steps of the catalog to the listeners that lead to their cluster.
+/// Applies each step of the catalog to the listeners that route to its cluster.
 async fn distribute_steps(
     mut steps: Receiver<Step>,
     all: Vec<Rc<Clusters>>,
--- a/crates/proxy/src/sidecar/settings.rs
+++ b/crates/proxy/src/sidecar/settings.rs
@@ -1,4 +1,4 @@
-//! From what one proxy reads to what its parts are told.
+//! Converts the configuration of one proxy to the settings of its listeners, routes and sources.
 
 use crate::cluster_config::{self, Criteria, SourceKind, Watched};
 use olivecart_config::document::Span;
@@ -12,52 +12,61 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How the descriptors are shared out.
+/// The limits on connections, which together stay within the limit on descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
-    /// Connections of clients at the inbound listener.
+pub struct DescriptorShares {
+    /// The limit on client connections of the inbound listener.
     pub inbound: usize,
-    /// Connections of the application at each outbound one.
+    /// The limit on the application's connections to each outbound listener.
     pub outbound: usize,
-    /// Connections to endpoints and to the application.
+    /// The limit on connections to endpoints and to the application.
     pub endpoints: usize,
 }
 
-/// The least that a listener is given.
-const LEAST: usize = 8;
+/// The smallest limit of each kind.
+const MIN_CONNECTIONS: usize = 8;
 
-/// Half of what clients may hold is for the inbound listener, where there is one; the outbound ones share the rest.
-pub fn shares(proxy: &Proxy) -> Shares {
+/// Divides the descriptors. The inbound listener, if there is one, gets half of the client connections, and
+/// the outbound listeners share the rest.
+pub fn divide_descriptors(proxy: &Proxy) -> DescriptorShares {
     let descriptors = proxy.settings.descriptors.unwrap_or(0) as usize;
     let clients = proxy.settings.client_connections.unwrap_or(0) as usize;
-    let calls = proxy.outbound.len();
-    let inbound = match (proxy.inbound.is_some(), calls) {
+    let outbound_count = proxy.outbound.len();
+    let inbound = match (proxy.inbound.is_some(), outbound_count) {
         (false, _) => 0,
         (true, 0) => clients,
         (true, _) => clients / 2,
     };
-    let outbound = (clients - inbound) / calls.max(1);
+    let outbound = (clients - inbound) / outbound_count.max(1);
     let endpoints = descriptors.saturating_sub(clients + OWN_DESCRIPTORS as usize);
-    Shares { inbound: inbound.max(LEAST), outbound: outbound.max(LEAST), endpoints: endpoints.max(LEAST) }
+    DescriptorShares {
+        inbound: inbound.max(MIN_CONNECTIONS),
+        outbound: outbound.max(MIN_CONNECTIONS),
+        endpoints: endpoints.max(MIN_CONNECTIONS),
+    }
 }
 
-/// What the decisions of each listener are told.
+/// The settings of each listener.
 pub struct Sites {
-    /// Of the inbound one, if there is one.
+    /// The settings of the inbound listener, if there is one.
     pub inbound: Option<Site>,
-    /// Of the outbound ones, in their order.
+    /// The settings of the outbound listeners, in their order.
     pub outbound: Vec<Site>,
 }
 
-/// Reads the settings for each listener by way of the platform's own form, so that both are checked by one reader.
+/// Builds the settings of each listener. They go through a JSON settings object, so that the same code
+/// validates them as for `olivecart serve`.
 ///
 /// # Errors
-/// What the reader will have none of.
-pub fn sites(proxy: &Proxy) -> Result<Sites, SettingsError> {
-    let outbound = proxy.outbound.iter().map(|call| Site::read(&options(proxy, call.attempts).to_string()));
+/// Returns an error if the settings are invalid.
+pub fn read_sites(proxy: &Proxy) -> Result<Sites, SettingsError> {
+    let outbound =
+        proxy.outbound.iter().map(|call| Site::read(&settings_object(proxy, call.attempts).to_string()));
     let outbound = outbound.collect::<Result<_, _>>()?;
-    // There is one endpoint: what could not be sent there once is better tried by whoever has others.
-    let inbound = proxy.inbound.as_ref().map(|_| Site::read(&options(proxy, 1).to_string())).transpose()?;
+    // One attempt, since the application is the only endpoint: a caller with other endpoints can retry
+    // better.
+    let inbound =
+        proxy.inbound.as_ref().map(|_| Site::read(&settings_object(proxy, 1).to_string())).transpose()?;
     Ok(Sites { inbound, outbound })
 }
 
@@ -65,29 +74,29 @@
     span.map_or(Value::Null, |span| span.nanos().into())
 }
 
-fn options(proxy: &Proxy, attempts: u32) -> Value {
-    let s = &proxy.settings;
-    let retry_after = s.retry_after.map_or(0, Span::nanos);
+fn settings_object(proxy: &Proxy, attempts: u32) -> Value {
+    let settings = &proxy.settings;
+    let retry_after = settings.retry_after.map_or(0, Span::nanos);
     json!({
-        "grades": proxy.classes.iter().map(grade).collect::<Vec<_>>(),
+        "grades": proxy.classes.iter().map(class_object).collect::<Vec<_>>(),
         "accounts": proxy.tenants.iter().map(|tenant| json!({
             "name": tenant.name, "share": tenant.share, "quota-per-s": tenant.rate,
         })).collect::<Vec<_>>(),
         "allowed": {
             "max-attempts": attempts,
-            "probes": s.probes.unwrap_or(true),
+            "probes": settings.probes.unwrap_or(true),
             "may-cancel": true,
             "second-copies": false,
             "retry-after": retry_after > 0,
             "max-retry-after-ns": retry_after,
-            "connect-timeout-ns": nanos(s.connect_timeout),
-            "idle-close-ns": nanos(s.idle_close),
-            "most-held": s.open_requests,
+            "connect-timeout-ns": nanos(settings.connect_timeout),
+            "idle-close-ns": nanos(settings.idle_close),
+            "most-held": settings.open_requests,
         },
         "rules": {
-            "cold-ns": nanos(s.cold),
-            "cold-share": s.cold_share,
-            "drain-grace-ns": nanos(s.drain_grace),
+            "cold-ns": nanos(settings.cold),
+            "cold-share": settings.cold_share,
+            "drain-grace-ns": nanos(settings.drain_grace),
         },
         "registry-mode": "automatic",
         "tier": proxy.tier,
@@ -96,8 +105,9 @@
     })
 }
 
-/// A class as the decisions treat it: by the rule of repeats, which is the effect or stricter.
-fn grade(class: &ProxyClass) -> Value {
+/// Returns the settings object of a class. Its effect follows from the retry rule, which is as strict as the
+/// configured effect or stricter.
+fn class_object(class: &ProxyClass) -> Value {
     let (effect, group, window) = match class.retry_rule {
         RetryRule::Unsent => ("once", Value::Null, Value::Null),
         RetryRule::Anywhere => ("repeatable", Value::Null, Value::Null),
@@ -107,7 +117,7 @@
                 DeduplicationScope::Zone => "zone",
                 DeduplicationScope::Cell => "cell",
             };
-            // Without a window, which only a repeatable class can lack here, none may be repeated.
+            // Only an idempotent class can lack a window here. A window of 0 allows no retries.
             ("by_key", group.into(), class.window.map_or(0, Span::nanos).into())
         }
     };
@@ -124,8 +134,11 @@
     })
 }
 
-/// Routes as rules.
-pub fn rules(routes: &[Route], class: impl Fn(&str) -> Option<ClassId>) -> Vec<(Criteria, ClusterName)> {
+/// Converts routes to routing rules.
+pub fn convert_routes(
+    routes: &[Route],
+    class: impl Fn(&str) -> Option<ClassId>,
+) -> Vec<(Criteria, ClusterName)> {
     let rule = |route: &Route| {
         let criteria = Criteria {
             authority: None,
@@ -138,17 +151,19 @@
     routes.iter().map(rule).collect()
 }
 
-/// Where endpoints come from. Files that are not absolute are beside the proxy's own.
-pub fn sources(proxy: &Proxy, beside: &Path) -> Vec<cluster_config::Source> {
-    let wanted: Vec<ClusterName> = proxy
+/// Converts the sources of endpoints. Relative paths are relative to the directory of the proxy's
+/// configuration file.
+pub fn convert_sources(proxy: &Proxy, directory: &Path) -> Vec<cluster_config::Source> {
+    let cluster_names: Vec<ClusterName> = proxy
         .outbound
         .iter()
         .flat_map(|call| &call.clusters)
         .map(|name| ClusterName::from(name.as_str()))
         .collect();
-    let time = |span: Option<Span>, usual: u64| span.map_or(Duration::from_secs(usual), Span::duration);
-    let one = |source: &olivecart_config::types::Source| {
-        let watched = |path: &String| Watched { path: beside.join(path), poll: time(source.poll, 2) };
+    let time =
+        |span: Option<Span>, default_s: u64| span.map_or(Duration::from_secs(default_s), Span::duration);
+    let convert_source = |source: &olivecart_config::types::Source| {
+        let watched = |path: &String| Watched { path: directory.join(path), poll: time(source.poll, 2) };
         let kind = match (&source.file, &source.directory, &source.envoy, &source.xds) {
             (Some(path), ..) => SourceKind::File(watched(path)),
             (_, Some(path), ..) => SourceKind::Directory(watched(path)),
@@ -157,7 +172,7 @@
                 address: address.clone().unwrap_or_default(),
                 node: proxy.name.clone(),
                 node_cluster: source.node_cluster.clone().unwrap_or_default(),
-                clusters: wanted.clone(),
+                clusters: cluster_names.clone(),
                 first_fetch: time(source.first_fetch, 15),
                 backoff: time(source.backoff, 30),
                 variant: match source.variant.unwrap_or_default() {
@@ -170,5 +185,5 @@
         };
         cluster_config::Source { id: SourceId::new(source.name.as_str()), kind }
     };
-    proxy.sources.iter().map(one).collect()
+    proxy.sources.iter().map(convert_source).collect()
 }
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -189,7 +189,7 @@
     assert_eq!(Client::new(calls).get("/out"), Some((200, "records".into())));
     answer.send("done".into()).expect("asked for");
     assert_eq!(client.join().expect("no panic"), Some((200, "done".into())));
-    sidecar.program.line("inbound has ended");
+    sidecar.program.line("inbound listener drained");
     assert!(sidecar.program.ends().success());
 }
 
