--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,6 +1,6 @@
-//! The command line: parses the arguments, sets up the log, and runs what was asked for.
+//! The command line: parses the arguments, sets up the log, and runs the command.
 //!
-//! `main.rs` calls [`run`]. What serves is assembled in `serve.rs` and `sidecar`; nothing is decided here.
+//! `main.rs` calls [`run`]. `serve.rs` and `sidecar` assemble the parts that serve requests.
 
 use crate::config::Config;
 use crate::{config_tool, serve, sidecar, tools};
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A load-balancing proxy: one program in front of every tier.
+/// A load-balancing proxy for every tier of a service.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -27,7 +27,8 @@
     Version(Version),
 }
 
-/// Serve until SIGTERM; SIGHUP reads the file again. The configuration comes from EDGE_CONFIG and the other EDGE_ variables.
+/// Serve until SIGTERM. SIGHUP reloads the configuration file. The configuration comes from EDGE_CONFIG and
+/// the other EDGE_ variables.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
@@ -35,12 +36,12 @@
     #[argh(option)]
     config: Option<PathBuf>,
     /// operators' file with sources of endpoints, clusters and rules, instead of the one that
-    /// OLIVECART_CLUSTERS names; without either there is only the platform's registry
+    /// OLIVECART_CLUSTERS names; without either, the platform's registry is the only source
     #[argh(option)]
     clusters: Option<PathBuf>,
 }
 
-/// Read the configuration, say what is wrong with it or what it amounts to, and start nothing.
+/// Check the configuration, and print its errors or a summary. Starts nothing.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
@@ -48,17 +49,18 @@
     #[argh(option)]
     config: Option<PathBuf>,
     /// operators' file with sources of endpoints, clusters and rules, instead of the one that
-    /// OLIVECART_CLUSTERS names; without either there is only the platform's registry
+    /// OLIVECART_CLUSTERS names; without either, the platform's registry is the only source
     #[argh(option)]
     clusters: Option<PathBuf>,
 }
 
-/// Serve beside an application, from the file that `config write` makes: an inbound listener before it, and an outbound
-/// one for each service that it calls. SIGTERM or POST /drain ends it.
+/// Serve beside an application, from a file that `config write` wrote: with an inbound listener in front of
+/// the application, and an outbound listener for each service that it calls. Serves until SIGTERM or POST
+/// /drain.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sidecar")]
 struct Sidecar {
-    /// what one proxy reads (kind = "proxy")
+    /// configuration file of one proxy (kind = "proxy")
     #[argh(option)]
     config: PathBuf,
 }
@@ -68,52 +70,53 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Does what the command line asks for.
+/// Runs the command that the command line names.
 pub fn run() -> ExitCode {
     match argh::from_env::<Arguments>().command {
         Command::Version(Version {}) => {
             println!("olivecart {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
-        Command::Catalog(asked) => tools::run(asked),
-        Command::Config(asked) => config_tool::run(asked),
+        Command::Catalog(arguments) => tools::run(arguments),
+        Command::Config(arguments) => config_tool::run(arguments),
         Command::Sidecar(Sidecar { config }) => serve_sidecar(&config),
         Command::Check(Check { config, clusters }) => match Config::from_environment(config, clusters) {
             Ok(config) => {
                 println!("{config}");
                 ExitCode::SUCCESS
             }
-            Err(e) => fail(&e),
+            Err(e) => report_failure(&e),
         },
         Command::Serve(Serve { config, clusters }) => match Config::from_environment(config, clusters) {
             Ok(config) => serve(config),
-            Err(e) => fail(&e),
+            Err(e) => report_failure(&e),
         },
     }
 }
 
-fn fail(error: &dyn std::error::Error) -> ExitCode {
+fn report_failure(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("olivecart: {error}");
     ExitCode::FAILURE
 }
 
-/// The least level that is logged: OLIVECART_LOG, info unless it names one.
-fn level() -> Level {
+/// Returns the minimum level of logged lines: the level that OLIVECART_LOG names, or else info.
+fn log_level() -> Level {
     std::env::var("OLIVECART_LOG").ok().and_then(|level| level.parse().ok()).unwrap_or(Level::Info)
 }
 
-/// Lines go to standard error from a thread of their own; when it can't keep up they are dropped, and a reader that
-/// stalls never stalls the proxy. What is still queued is written when the guard is dropped.
-fn logger(name: String) -> (Logger, slog_async::AsyncGuard) {
+/// Creates a logger that writes to standard error from a separate thread. If the thread falls behind, lines
+/// are dropped, so that a stalled reader of the log never stalls the proxy. Dropping the guard writes the
+/// lines still queued.
+fn start_logger(name: String) -> (Logger, slog_async::AsyncGuard) {
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
     let drain = slog_term::FullFormat::new(decorator).build().fuse();
     let (drain, guard) = slog_async::Async::new(drain).build_with_guard();
-    // Danger: judged behind the queue, every line would be made and sent there to be dropped.
-    let drain = slog::LevelFilter::new(drain, level()).fuse();
+    // Filtering behind the queue would format and queue every line, only to drop it there.
+    let drain = slog::LevelFilter::new(drain, log_level()).fuse();
     (Logger::root(drain, o!("proxy" => name)), guard)
 }
 
-/// Runs a sidecar.
+/// Runs `olivecart sidecar`.
 fn serve_sidecar(path: &Path) -> ExitCode {
     let environment = config_tool::environment();
     let name = match sidecar::read(path, &environment) {
@@ -123,24 +126,24 @@
             return ExitCode::FAILURE;
         }
     };
-    let (log, guard) = logger(name);
-    let done = actix_rt::System::new().block_on(sidecar::serve(path, &environment, log.clone()));
-    if let Err(e) = &done {
+    let (log, guard) = start_logger(name);
+    let result = actix_rt::System::new().block_on(sidecar::serve(path, &environment, log.clone()));
+    if let Err(e) = &result {
         crit!(log, "stopped"; "error" => %e);
     }
     drop(log);
-    drop(guard); // writes what is still queued
-    if done.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    drop(guard); // writes the queued lines
+    if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Runs the proxy.
+/// Runs `olivecart serve`.
 fn serve(config: Config) -> ExitCode {
-    let (log, guard) = logger(config.name.clone());
-    let served = actix_rt::System::new().block_on(serve::serve(config, &log));
-    if let Err(e) = &served {
+    let (log, guard) = start_logger(config.name.clone());
+    let result = actix_rt::System::new().block_on(serve::serve(config, &log));
+    if let Err(e) = &result {
         crit!(log, "stopped"; "error" => %e);
     }
     drop(log);
-    drop(guard); // writes what is still queued
-    if served.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    drop(guard); // writes the queued lines
+    if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/proxy/src/config_tool/arguments.rs
+++ b/crates/proxy/src/config_tool/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of `olivecart config`. The doc comments are what `--help` prints.
+//! The arguments of `olivecart config`. `--help` prints their doc comments.
 
 use argh::FromArgs;
 use std::path::PathBuf;
@@ -26,15 +26,15 @@
     Reference(ReferenceCommand),
 }
 
-/// Write what each application's proxy reads; nothing if anything is wrong. Ends with 0, 1 if something is wrong, 2 if the
-/// call is unusable or a file cannot be written.
+/// Write the configuration file of each application's proxy, or none if there are errors. Exits with 0 on
+/// success, 1 if there are errors, 2 if the arguments are invalid or a file cannot be written.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "write")]
 pub(super) struct WriteCommand {
-    /// the fleet's file
+    /// fleet's file
     #[argh(positional)]
     pub(super) fleet: PathBuf,
-    /// only this application's
+    /// only the proxy of this application
     #[argh(option)]
     pub(super) app: Option<String>,
     /// directory for the files, each NAME.toml
@@ -42,23 +42,23 @@
     pub(super) out: PathBuf,
 }
 
-/// Say all that is wrong with files; a fleet's file brings its applications. Ends with 0, 1 if there are errors, 2 if the
-/// call is unusable.
+/// Check files and print all errors. A fleet's file includes its applications. Exits with 0 if all files are
+/// valid, 1 if there are errors, 2 if the arguments are invalid.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(super) struct CheckCommand {
-    /// files, whose kind they say themselves
+    /// files of any kind; each file declares its kind
     #[argh(positional)]
     pub(super) files: Vec<PathBuf>,
     /// text (default), json or sarif
     #[argh(option, default = "Format::Text")]
     pub(super) format: Format,
-    /// end with 1 for warnings too
+    /// exit with 1 also if there are warnings
     #[argh(switch)]
     pub(super) strict: bool,
 }
 
-/// Say what a code (OC0202) or a key (settings.attempts) means.
+/// Explain a code (OC0202) or a key (settings.attempts).
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(super) struct ExplainCommand {
@@ -67,64 +67,65 @@
     pub(super) name: String,
 }
 
-/// Print what is in force: for each application of a fleet, or for what one proxy reads, with the environment applied.
+/// Print the effective configuration of each application of a fleet, or of one proxy, with the environment
+/// applied.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub(super) struct ShowCommand {
-    /// the file
+    /// file of a fleet or of one proxy
     #[argh(positional)]
     pub(super) file: PathBuf,
-    /// only this application's
+    /// only the proxy of this application
     #[argh(option)]
     pub(super) app: Option<String>,
-    /// say behind each value where it came from
+    /// print the origin of each value
     #[argh(switch)]
     pub(super) origin: bool,
 }
 
-/// Say what would change in service if NEW took the place of OLD: live, at a restart, and what is dangerous on the way.
-/// Ends with 0 if nothing differs, 1 if something does, 2 if either is wrong.
+/// Print what would change if NEW replaced OLD: at run time, at a restart, and which changes are dangerous on
+/// the way. Exits with 0 if nothing differs, 1 if something differs, 2 if either file has errors.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub(super) struct DiffCommand {
-    /// what serves: a fleet, or what one proxy reads
+    /// configuration that is in service: of a fleet or of one proxy
     #[argh(positional)]
     pub(super) old: PathBuf,
-    /// what shall serve
+    /// configuration that would replace it
     #[argh(positional)]
     pub(super) new: PathBuf,
 }
 
-/// Say in which order applications must take a change of the fleet, so that no step in between breaks a rule of the
-/// check. Ends with 0, 1 if there is no such order, 2 if either fleet is wrong.
+/// Print an order in which applications can adopt a change of the fleet, so that every step in between passes
+/// the check. Exits with 0 if there is such an order, 1 if there is none, 2 if either fleet has errors.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 pub(super) struct PlanCommand {
-    /// the fleet that serves
+    /// fleet's file that is in service
     #[argh(positional)]
     pub(super) old: PathBuf,
-    /// the fleet that shall serve
+    /// fleet's file that would replace it
     #[argh(positional)]
     pub(super) new: PathBuf,
 }
 
-/// Print who calls whom, with deadlines and the attempts that one request may come to.
+/// Print the call graph, with deadlines and the number of attempts that one request can cause.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "graph")]
 pub(super) struct GraphCommand {
-    /// the fleet's file
+    /// fleet's file
     #[argh(positional)]
     pub(super) fleet: PathBuf,
-    /// write a picture (SVG) to this file instead
+    /// write an SVG image to this file instead
     #[argh(option)]
     pub(super) svg: Option<PathBuf>,
 }
 
-/// Print the JSON Schema of a kind of files: fleet, application or proxy.
+/// Print the JSON Schema of one kind of file: fleet, application or proxy.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "schema")]
 pub(super) struct SchemaCommand {
-    /// the kind
+    /// kind of file: fleet, application or proxy
     #[argh(positional)]
     pub(super) kind: String,
 }
@@ -134,7 +135,7 @@
 #[argh(subcommand, name = "reference")]
 pub(super) struct ReferenceCommand {}
 
-/// How findings are printed.
+/// The output format of findings.
 pub(super) enum Format {
     Text,
     Json,
@@ -149,7 +150,7 @@
             "text" => Ok(Format::Text),
             "json" => Ok(Format::Json),
             "sarif" => Ok(Format::Sarif),
-            _ => Err(format!("{word:?} is none of text, json and sarif")),
+            _ => Err(format!("{word:?} is not one of text, json and sarif")),
         }
     }
 }
--- a/crates/proxy/src/config_tool/mod.rs
+++ b/crates/proxy/src/config_tool/mod.rs
@@ -1,7 +1,7 @@
-//! `olivecart config`: writes, checks and explains applications' configurations. It starts nothing.
+//! The `olivecart config` commands: write, check and explain the configurations of applications. They start
+//! nothing.
 //!
-//! The command line calls [`run`]; the sidecar takes from here what the environment sets. What is right and wrong is
-//! decided by `olivecart_config` alone.
+//! The command line calls [`run`]. The sidecar calls [`environment`]. The checks are in `olivecart_config`.
 
 mod arguments;
 mod commands;
@@ -13,38 +13,38 @@
 use olivecart_config::resolve::{Environment, VARIABLE_PREFIX};
 use std::process::ExitCode;
 
-/// How a command ends.
+/// The result of a command, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Outcome {
-    /// All is well.
+enum CommandStatus {
+    /// The command succeeded, without findings.
     Success,
-    /// Something is wrong, or differs.
+    /// There are errors or differences.
     Found,
-    /// The call is unusable, or a file cannot be written.
-    Unusable,
+    /// The arguments are invalid, or a file cannot be written.
+    Failed,
 }
 
-impl From<Outcome> for ExitCode {
-    fn from(outcome: Outcome) -> ExitCode {
+impl From<CommandStatus> for ExitCode {
+    fn from(outcome: CommandStatus) -> ExitCode {
         ExitCode::from(match outcome {
-            Outcome::Success => 0,
-            Outcome::Found => 1,
-            Outcome::Unusable => 2,
+            CommandStatus::Success => 0,
+            CommandStatus::Found => 1,
+            CommandStatus::Failed => 2,
         })
     }
 }
 
-/// Why a command came to nothing.
+/// The reason a command failed.
 enum CommandError {
     /// A file has errors.
     Findings(Findings),
-    /// The call is unusable, or a file cannot be written.
-    Unusable(String),
-    /// Of two files that both have to be right, one or both are not.
+    /// The arguments are invalid, or a file cannot be written.
+    Failed(String),
+    /// One or both of two files that must be valid have errors.
     EitherFile(Vec<CommandError>),
 }
 
-/// Runs the command that the command line asks for.
+/// Runs the command that the command line names.
 pub fn run(config: Config) -> ExitCode {
     let result = match config.command {
         Command::Write(command) => command.run(),
@@ -60,26 +60,26 @@
     result.unwrap_or_else(|error| print_error(&error)).into()
 }
 
-fn print_error(error: &CommandError) -> Outcome {
+fn print_error(error: &CommandError) -> CommandStatus {
     match error {
         CommandError::Findings(findings) => {
             eprint!("{}", text(findings));
-            Outcome::Found
+            CommandStatus::Found
         }
-        CommandError::Unusable(message) => {
+        CommandError::Failed(message) => {
             eprintln!("olivecart: config: {message}");
-            Outcome::Unusable
+            CommandStatus::Failed
         }
         CommandError::EitherFile(errors) => {
             for error in errors {
                 print_error(error);
             }
-            Outcome::Unusable
+            CommandStatus::Failed
         }
     }
 }
 
-/// The variables of the environment that override settings, in the order of their names.
+/// Returns the environment variables that override settings, in the order of their names.
 pub fn environment() -> Environment {
     let mut variables: Environment = std::env::vars_os()
         .filter_map(|(name, value)| Some((name.into_string().ok()?, value.into_string().ok()?)))
--- a/crates/proxy/src/tools.rs
+++ b/crates/proxy/src/tools.rs
@@ -1,5 +1,6 @@
-//! Tools for those who write lists of endpoints: what a file amounts to, and what replacing one by another would
-//! change in service. They start nothing, and are read and checked by the same code as in service.
+//! The `olivecart catalog` commands: check files with endpoint lists, and show what replacing one by another
+//! would change. The commands start nothing. They parse and validate files with the same code as the running
+//! proxy.
 
 use argh::FromArgs;
 use olivecart_membership::watch::{self, Parsed, Parser};
@@ -11,163 +12,166 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-/// All is well; something was found; something could not be read.
-const FINE: u8 = 0;
-const FOUND: u8 = 1;
-const TROUBLE: u8 = 2;
+/// Exit codes: no findings; errors or differences were found; a file could not be read.
+const EXIT_SUCCESS: u8 = 0;
+const EXIT_FOUND: u8 = 1;
+const EXIT_FAILURE: u8 = 2;
 
-/// Look at lists of endpoints: files in the documented form, directories of them, or Envoy's resources.
+/// Check and compare endpoint lists: files in the documented format, directories of them, or files of
+/// Envoy resources.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "catalog")]
 pub struct Catalog {
     #[argh(subcommand)]
-    what: What,
+    command: CatalogCommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum CatalogCommand {
     Check(Check),
     Diff(Diff),
     Fields(Fields),
 }
 
-/// Say what each file amounts to, or what is wrong with it and where. Ends with 0 if all could be served, 1 if
-/// something is wrong or would be held back, 2 if one could not be read.
+/// Print a summary of each file, or its errors with their locations. Exits with 0 if all files are valid, 1
+/// if a file has errors or a change would be quarantined, 2 if a file could not be read.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
     /// files and directories
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// documented or envoy; by default what the file's name and keys say
+    /// documented or envoy; by default detected from the file's name and keys
     #[argh(option)]
-    form: Option<Form>,
+    form: Option<Format>,
 }
 
-/// Say what would change in service if NEW took the place of OLD, and what of it would be held back. Ends with 0
-/// if nothing differs, 1 if something does, 2 if either cannot be used.
+/// Print what would change if NEW replaced OLD, and which changes would be quarantined. Exits with 0 if
+/// nothing differs, 1 if something differs, 2 if either file cannot be read or has errors.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 struct Diff {
-    /// what serves
+    /// file that is in service
     #[argh(positional)]
     old: PathBuf,
-    /// what shall serve
+    /// file that would replace it
     #[argh(positional)]
     new: PathBuf,
-    /// documented or envoy; by default what each file's name and keys say
+    /// documented or envoy; by default detected from each file's name and keys
     #[argh(option)]
-    form: Option<Form>,
+    form: Option<Format>,
 }
 
-/// Print what of Envoy's resources is honoured, refused and ignored, as a table in Markdown.
+/// Print which fields of Envoy resources are honoured, refused and ignored, as a Markdown table.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fields")]
 struct Fields {}
 
-/// Does what the command line asks for.
+/// Runs the command and returns its exit code.
 pub fn run(catalog: Catalog) -> ExitCode {
-    let code = match catalog.what {
-        What::Check(Check { files, .. }) if files.is_empty() => {
+    let code = match catalog.command {
+        CatalogCommand::Check(Check { files, .. }) if files.is_empty() => {
             eprintln!("olivecart: catalog check: no file is given");
-            TROUBLE
+            EXIT_FAILURE
         }
-        What::Check(Check { files, form }) => {
-            files.iter().map(|file| check(file, form)).max().unwrap_or(FINE)
+        CatalogCommand::Check(Check { files, form }) => {
+            files.iter().map(|file| check_file(file, form)).max().unwrap_or(EXIT_SUCCESS)
         }
-        What::Fields(Fields {}) => {
+        CatalogCommand::Fields(Fields {}) => {
             print!("{}", markdown());
-            FINE
+            EXIT_SUCCESS
         }
-        What::Diff(Diff { old, new, form }) => compare(&old, &new, form),
+        CatalogCommand::Diff(Diff { old, new, form }) => print_diff(&old, &new, form),
     };
     ExitCode::from(code)
 }
 
-/// What is wrong with a file, and how bad that is.
-struct Wrong(u8, String);
+/// The exit code and message for a file that cannot be used.
+struct FileError(u8, String);
 
-/// The forms in which lists are written.
+/// The formats of endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Form {
-    /// Our own, TOML or JSON.
+enum Format {
+    /// The documented format, in TOML or JSON.
     Documented,
-    /// Envoy's resources, JSON or YAML.
+    /// Envoy resources, in JSON or YAML.
     Envoy,
 }
 
-impl FromStr for Form {
+impl FromStr for Format {
     type Err = String;
 
-    fn from_str(word: &str) -> Result<Form, String> {
+    fn from_str(word: &str) -> Result<Format, String> {
         match word {
-            "documented" => Ok(Form::Documented),
-            "envoy" => Ok(Form::Envoy),
+            "documented" => Ok(Format::Documented),
+            "envoy" => Ok(Format::Envoy),
             _ => Err(format!("{word:?} is neither \"documented\" nor \"envoy\"")),
         }
     }
 }
 
-impl Form {
-    /// The form that a file seems to have: YAML is Envoy's, and so is JSON that has the keys of its files.
-    fn of(texts: &[(String, String)]) -> Form {
-        let [(name, text)] = texts else { return Form::Documented };
-        let is = |end: &str| name.ends_with(end);
+impl Format {
+    /// Detects the format of a file: YAML, and JSON with the top-level keys of Envoy's files, are Envoy
+    /// resources.
+    fn detect(texts: &[(String, String)]) -> Format {
+        let [(name, text)] = texts else { return Format::Documented };
+        let has_extension = |end: &str| name.ends_with(end);
         let keys = || serde_json::from_str::<BTreeMap<String, IgnoredAny>>(text).unwrap_or_default();
-        let has_its_keys = || keys().keys().any(|key| key == "resources" || key == "static_resources");
-        match is(".yaml") || is(".yml") || (is(".json") && has_its_keys()) {
-            true => Form::Envoy,
-            false => Form::Documented,
+        let has_envoy_keys = || keys().keys().any(|key| key == "resources" || key == "static_resources");
+        match has_extension(".yaml") || has_extension(".yml") || (has_extension(".json") && has_envoy_keys())
+        {
+            true => Format::Envoy,
+            false => Format::Documented,
         }
     }
 
     fn parser(self) -> Parser {
         match self {
-            Form::Documented => watch::parse_documented,
-            Form::Envoy => watch::parse_envoy,
+            Format::Documented => watch::parse_documented,
+            Format::Envoy => watch::parse_envoy,
         }
     }
 }
 
-fn read(path: &Path, form: Option<Form>) -> Result<Parsed, Wrong> {
-    let texts = watch::read_texts(path).map_err(|why| Wrong(TROUBLE, why))?;
-    let parse = form.unwrap_or_else(|| Form::of(&texts)).parser();
-    parse(texts).map_err(|why| Wrong(FOUND, why))
+fn read_file(path: &Path, form: Option<Format>) -> Result<Parsed, FileError> {
+    let texts = watch::read_texts(path).map_err(|message| FileError(EXIT_FAILURE, message))?;
+    let parse = form.unwrap_or_else(|| Format::detect(&texts)).parser();
+    parse(texts).map_err(|message| FileError(EXIT_FOUND, message))
 }
 
-fn check(path: &Path, form: Option<Form>) -> u8 {
-    match read(path, form) {
+fn check_file(path: &Path, form: Option<Format>) -> u8 {
+    match read_file(path, form) {
         Ok(Parsed { clusters, warnings }) => {
             println!("{}: {}", path.display(), summary(&clusters));
             warnings.iter().for_each(|warning| println!("{warning}"));
-            let held = quarantined(&[], &clusters);
-            held.iter().for_each(|held| println!("would be held back: {held}"));
-            if held.is_empty() { FINE } else { FOUND }
+            let changes = find_quarantined(&[], &clusters);
+            changes.iter().for_each(|change| println!("would be quarantined: {change}"));
+            if changes.is_empty() { EXIT_SUCCESS } else { EXIT_FOUND }
         }
-        Err(Wrong(code, why)) => {
-            eprintln!("{why}");
+        Err(FileError(code, message)) => {
+            eprintln!("{message}");
             code
         }
     }
 }
 
-fn compare(old: &Path, new: &Path, form: Option<Form>) -> u8 {
-    let (old, new) = match (read(old, form), read(new, form)) {
+fn print_diff(old: &Path, new: &Path, form: Option<Format>) -> u8 {
+    let (old, new) = match (read_file(old, form), read_file(new, form)) {
         (Ok(old), Ok(new)) => (old.clusters, new.clusters),
         (old, new) => {
-            let wrong = [old.err(), new.err()];
-            wrong.iter().flatten().for_each(|Wrong(_, why)| eprintln!("{why}"));
-            return TROUBLE;
+            let errors = [old.err(), new.err()];
+            errors.iter().flatten().for_each(|FileError(_, message)| eprintln!("{message}"));
+            return EXIT_FAILURE;
         }
     };
     let differences = diff(&old, &new);
     differences.iter().for_each(|difference| println!("{difference}"));
-    quarantined(&old, &new).iter().for_each(|held| println!("would be held back: {held}"));
-    if differences.is_empty() { FINE } else { FOUND }
+    find_quarantined(&old, &new).iter().for_each(|change| println!("would be quarantined: {change}"));
+    if differences.is_empty() { EXIT_SUCCESS } else { EXIT_FOUND }
 }
 
-/// What a catalog with the usual figures would hold back.
-fn quarantined(old: &[Cluster], new: &[Cluster]) -> Vec<Quarantined> {
-    quarantined_changes(old, new, Policy::default()).unwrap_or_default() // the usual figures are in their ranges
+/// Returns the changes that a catalog with the default policy would quarantine.
+fn find_quarantined(old: &[Cluster], new: &[Cluster]) -> Vec<Quarantined> {
+    quarantined_changes(old, new, Policy::default()).unwrap_or_default() // the default policy is valid
 }
--- a/crates/proxy/tests/clusters.rs
+++ b/crates/proxy/tests/clusters.rs
@@ -164,7 +164,7 @@
         (
             vec![diff, &old, &gone],
             1,
-            "would be held back: diff: cluster cart: held: all 3 ready endpoints gone",
+            "would be quarantined: diff: cluster cart: held: all 3 ready endpoints gone",
         ),
         (vec![diff, &old, &torn], 2, "no [end] as the last line"),
     ] {
--- a/crates/proxy/tests/config_tool.rs
+++ b/crates/proxy/tests/config_tool.rs
@@ -34,7 +34,7 @@
     let example = example();
     let example = example.to_str().expect("a path");
     let (code, said, warned) = config(&["check", example]);
-    assert_eq!((code, said.as_str(), warned.as_str()), (Some(0), "3 proxies in 4 files are good\n", ""));
+    assert_eq!((code, said.as_str(), warned.as_str()), (Some(0), "3 proxies in 4 files are valid\n", ""));
     let out = fresh("");
     let path = out.to_str().expect("a path");
     assert_eq!(config(&["write", example, "--out", path]).0, Some(0));
