--- a/crates/proxy/src/admin_overrides.rs
+++ b/crates/proxy/src/admin_overrides.rs
@@ -1,8 +1,10 @@
-//! Endpoints that operators detached or attached: a layer between the list, wherever it comes from, and the decisions.
+//! Endpoints that operators detached or attached. Overrides the endpoint list, from any source, before it
+//! reaches the decision module.
 //!
-//! Each cluster runtime owns one and passes every entry of its list through it. A detached endpoint counts as draining,
-//! whatever the list says. One that was attached again counts as started at that moment, since operators restart what
-//! they detach; or when the list says, if that is later. No I/O and no clock here.
+//! Each cluster runtime owns one [`AdminOverrides`] and passes every entry of its list through it. A detached
+//! endpoint counts as draining, whatever its listed state is. An endpoint that was attached again counts as
+//! started at that time, since operators restart the endpoints that they detach, or at its listed start time,
+//! if that is later. This module does no I/O and reads no clock.
 
 use crate::stats::Pool;
 use olivecart_decisions::{EndpointEntry, EndpointId, EndpointState, Nanos};
@@ -10,47 +12,47 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Most endpoints that are detached, or remembered as attached. Each was in the list when it was detached, and those that
-/// nobody lists any more go first.
-const MOST_OVERRIDES: usize = 4096;
+/// Above this number of detached endpoints, or of remembered attach times, those of endpoints that are no
+/// longer listed are evicted. Every endpoint was in the list when it was detached.
+const MAX_OVERRIDES: usize = 4096;
 
-/// An endpoint as the list describes it, and its address.
+/// An endpoint as listed, and its address.
 pub type AddressedEntry = (EndpointEntry, Option<SocketAddr>);
 
-/// The list, and what operators changed of it.
+/// The endpoint list of a cluster and the operators' changes to it.
 #[derive(Default)]
 pub struct AdminOverrides {
-    /// What is listed and not gone.
+    /// The listed endpoints, without removed ones.
     listed: BTreeMap<Rc<str>, AddressedEntry>,
     detached: BTreeSet<Rc<str>>,
-    /// When those were attached that had been detached.
+    /// The times at which detached endpoints were attached again.
     attached_at: BTreeMap<Rc<str>, Nanos>,
 }
 
-/// No list names the endpoint, and it is not detached.
+/// The endpoint is neither listed nor detached.
 #[derive(Debug, PartialEq, Eq)]
 pub struct UnknownEndpoint;
 
 impl AdminOverrides {
-    /// A whole list follows: what it does not name is gone.
+    /// Clears the list before a complete list is applied.
     pub fn begin_snapshot(&mut self) {
         self.listed.clear();
     }
 
-    /// Takes in an entry of the list, and returns the one that holds.
+    /// Applies an entry of the list. Returns it with the operators' changes.
     pub fn apply(&mut self, entry: EndpointEntry, addr: Option<SocketAddr>) -> EndpointEntry {
         if entry.state == EndpointState::Removed {
             self.listed.remove(&entry.name);
         } else {
             self.listed.insert(entry.name.clone(), (entry.clone(), addr));
         }
-        self.overridden(entry)
+        self.apply_override(entry)
     }
 
-    /// Detaches an endpoint. Returns what holds of it now, if that has changed.
+    /// Detaches an endpoint. Returns its changed entry, or `None` if it was detached already.
     ///
     /// # Errors
-    /// No endpoint has that name.
+    /// Returns an error if the endpoint is not listed.
     pub fn detach(&mut self, name: &str) -> Result<Option<AddressedEntry>, UnknownEndpoint> {
         if self.detached.contains(name) {
             return Ok(None);
@@ -61,21 +63,21 @@
         self.attached_at.remove(&name);
         self.detached.insert(name);
         self.evict_unlisted();
-        Ok(Some((self.overridden(entry), addr)))
+        Ok(Some((self.apply_override(entry), addr)))
     }
 
-    /// Detaches an endpoint that another process lists, and this one not yet.
+    /// Detaches an endpoint that another process has in its list, and this process does not yet have.
     pub fn detach_unlisted(&mut self, name: &str) {
         self.attached_at.remove(name);
         self.detached.insert(name.into());
         self.evict_unlisted();
     }
 
-    /// Attaches an endpoint. Returns what holds of it now, if that has changed; also where no list names it for now, so
-    /// that it is in slow start when one does.
+    /// Attaches an endpoint. Returns its changed entry, or `None` if it was not detached or is not listed at
+    /// present. An endpoint that is not listed is in slow start when it is listed again.
     ///
     /// # Errors
-    /// No endpoint has that name.
+    /// Returns an error if the endpoint is neither detached nor listed.
     pub fn attach(&mut self, name: &str, now: Nanos) -> Result<Option<AddressedEntry>, UnknownEndpoint> {
         if !self.detached.remove(name) {
             return if self.listed.contains_key(name) { Ok(None) } else { Err(UnknownEndpoint) };
@@ -83,40 +85,41 @@
         self.attached_at.insert(name.into(), now);
         self.evict_unlisted();
         let listed = self.listed.get(name).cloned();
-        Ok(listed.map(|(entry, addr)| (self.overridden(entry), addr)))
+        Ok(listed.map(|(entry, addr)| (self.apply_override(entry), addr)))
     }
 
-    /// The list's size, and how many of it take no requests: by an operator, by the list, or by the decisions.
-    pub fn pool(&self, avoids: impl Fn(EndpointId) -> bool) -> Pool {
-        let avoided = |(entry, _): &&AddressedEntry| {
-            entry.state != EndpointState::Ready || self.detached.contains(&entry.name) || avoids(entry.id)
+    /// Returns the number of listed endpoints, and of those that get no requests since an operator, the list
+    /// or the decision module excludes them.
+    pub fn pool(&self, is_avoided: impl Fn(EndpointId) -> bool) -> Pool {
+        let excluded = |(entry, _): &&AddressedEntry| {
+            entry.state != EndpointState::Ready || self.detached.contains(&entry.name) || is_avoided(entry.id)
         };
-        Pool { size: self.listed.len(), ejected: self.listed.values().filter(avoided).count() }
+        Pool { size: self.listed.len(), ejected: self.listed.values().filter(excluded).count() }
     }
 
-    /// Whether all endpoints that could take requests are detached.
+    /// Whether there are ready endpoints and all of them are detached.
     pub fn detaches_all_ready(&self) -> bool {
         let mut ready =
             self.listed.values().filter(|(entry, _)| entry.state == EndpointState::Ready).peekable();
         ready.peek().is_some() && ready.all(|(entry, _)| self.detached.contains(&entry.name))
     }
 
-    /// Whether the list names an endpoint.
+    /// Whether the endpoint is listed.
     pub fn is_listed(&self, name: &str) -> bool {
         self.listed.contains_key(name)
     }
 
-    /// What is listed, by name.
+    /// Returns the listed endpoints in the order of their names.
     pub fn listed(&self) -> impl Iterator<Item = &AddressedEntry> {
         self.listed.values()
     }
 
-    /// Those that are detached, and when others were attached.
+    /// Returns the detached endpoints, and the attach times of endpoints that were detached earlier.
     pub fn overrides(&self) -> (impl Iterator<Item = &Rc<str>>, &BTreeMap<Rc<str>, Nanos>) {
         (self.detached.iter(), &self.attached_at)
     }
 
-    /// The overrides of another process, before anything is listed here.
+    /// Restores the overrides that a predecessor handed over. The list is empty.
     pub fn restored(detached: &BTreeSet<String>, attached_at: &BTreeMap<String, Nanos>) -> AdminOverrides {
         AdminOverrides {
             listed: BTreeMap::new(),
@@ -125,21 +128,21 @@
         }
     }
 
-    fn overridden(&self, mut entry: EndpointEntry) -> EndpointEntry {
+    fn apply_override(&self, mut entry: EndpointEntry) -> EndpointEntry {
         if entry.state == EndpointState::Ready && self.detached.contains(&entry.name) {
             entry.state = EndpointState::Draining;
         }
-        // Danger: each list says anew when it started, and an older time would end its slow start.
+        // Each list repeats the listed start time, which is older and would end the slow start too early.
         entry.started = entry.started.max(self.attached_at.get(&entry.name).copied());
         entry
     }
 
     fn evict_unlisted(&mut self) {
         let listed = &self.listed;
-        if self.detached.len() > MOST_OVERRIDES {
+        if self.detached.len() > MAX_OVERRIDES {
             self.detached.retain(|name| listed.contains_key(name));
         }
-        if self.attached_at.len() > MOST_OVERRIDES {
+        if self.attached_at.len() > MAX_OVERRIDES {
             self.attached_at.retain(|name, _| listed.contains_key(name));
         }
     }
--- a/crates/proxy/src/invariant.rs
+++ b/crates/proxy/src/invariant.rs
@@ -1,7 +1,7 @@
 //! Runtime invariants: asserted in debug builds, counted in release builds.
 //!
-//! Any module checks them; the maintenance task of a cluster takes the counts and logs them. A violated invariant never
-//! ends the process in a release build.
+//! Any module can check an invariant. The maintenance task of a cluster logs and resets the counts. A
+//! violated invariant never ends the process in a release build.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
     static VIOLATIONS: RefCell<BTreeMap<&'static str, u64>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Counts a violation of `invariant` unless it holds.
+/// Counts a violation of `invariant` unless `holds` is true.
 #[track_caller]
 pub fn check_invariant(holds: bool, invariant: &'static str) {
     debug_assert!(holds, "{invariant}");
@@ -19,7 +19,7 @@
     }
 }
 
-/// Violated invariants since the last call, each with its count.
+/// Returns the invariants violated since the last call, each with its count, and resets the counts.
 pub fn take_violations() -> Vec<(&'static str, u64)> {
     VIOLATIONS.take().into_iter().collect()
 }
--- a/crates/proxy/src/latency.rs
+++ b/crates/proxy/src/latency.rs
@@ -1,13 +1,13 @@
-//! An upper bound on the latency of responses, estimated as TCP's retransmission timer does for round trips (RFC 6298,
-//! section 2). `listen.rs` observes each response, and `shutdown.rs` asks for the bound.
+//! Estimates an upper bound on response latency in the way that TCP's retransmission timer does for round
+//! trips (RFC 6298, section 2). `listen.rs` records each response, and `shutdown.rs` reads the bound.
 
 use std::time::Duration;
 
-/// Weight of one response in the mean.
+/// The weight of one response in the mean.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
-/// Weight of one response in the mean deviation.
+/// The weight of one response in the mean deviation.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
-/// All but a few responses come within the mean and so many mean deviations.
+/// The upper bound lies this many mean deviations above the mean; only a few responses take longer.
 const DEVIATIONS_IN_BOUND: f64 = 4.0;
 
 /// Smoothed latency and its mean deviation, in seconds.
@@ -19,7 +19,7 @@
 }
 
 impl LatencyEstimate {
-    /// A response took so long.
+    /// Records the latency of a response.
     pub fn observe(&mut self, time: Duration) {
         let time = time.as_secs_f64();
         if self.has_observations {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What nearly all responses take at most; none if there was no response yet.
+    /// Returns the latency that nearly all responses stay below; `None` before the first response.
     pub fn upper_bound(&self) -> Option<Duration> {
         self.has_observations
             .then(|| Duration::from_secs_f64(self.mean + DEVIATIONS_IN_BOUND * self.deviation))
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,7 +1,7 @@
-//! The real proxy: the decision module on sockets.
+//! The proxy: runs the decision module on sockets.
 //!
-//! A request passes the stages in [`stages`]; [`cluster_runtime`] passes events to the balancer and carries out its
-//! actions; [`platform`] alone knows the names of this protocol.
+//! A request passes through the [`stages`]. [`cluster_runtime`] passes events to the balancer and carries out
+//! its actions. Only [`platform`] knows the names that the platform's protocol uses.
 
 mod accept;
 mod admin_overrides;
