--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -64,10 +64,10 @@
 
     /// Returns a clock that continues the clock of a predecessor, if it handed over a recent reading;
     /// otherwise a clock that starts at Unix time.
-    pub fn starting(times: &impl TimeSource, handed: Option<ClockReading>) -> Clock {
+    pub fn starting(times: &impl TimeSource, handed_over: Option<ClockReading>) -> Clock {
         let monotonic = times.monotonic();
         let age = |reading: &ClockReading| monotonic.checked_sub(reading.monotonic);
-        let recent = handed.filter(|reading| age(reading).is_some_and(|age| age <= MAX_READING_AGE_NS));
+        let recent = handed_over.filter(|reading| age(reading).is_some_and(|age| age <= MAX_READING_AGE_NS));
         let start = match recent {
             Some(reading) => reading.time + (monotonic - reading.monotonic),
             None => times.unix(),
