--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -16,7 +16,7 @@
 use crate::stages::admission::{self, AdmissionError};
 use crate::stages::cluster_selection::Routes;
 use crate::stages::{parse, response};
-use crate::stats::{Ended, Stats, Taken};
+use crate::stats::{ActiveRequest, RequestResult, Stats};
 use actix_http::error::DispatchError;
 use actix_http::{ConnectionType, Extensions, HttpService, KeepAlive, Request, Response};
 use actix_service::{IntoServiceFactory, Service, ServiceFactory, fn_service};
@@ -305,7 +305,7 @@
 ) -> Result<Response<ResponseContent>, client::Reject> {
     client.on_head_received();
     let call = parse::parse(request, &control.site, &control.budget).await?;
-    let counted = control.stats.as_ref().map(|stats| stats.take(usize::from(call.class.0)));
+    let counted = control.stats.as_ref().map(|stats| stats.count_request(usize::from(call.class.0)));
     let response = call_cluster(control, client, call).await?;
     Ok(match counted {
         None => response,
@@ -314,16 +314,19 @@
 }
 
 /// Counts the outcome of a request after its whole response was sent.
-fn count_response(response: Response<ResponseContent>, mut counted: Taken) -> Response<ResponseContent> {
+fn count_response(
+    response: Response<ResponseContent>,
+    mut counted: ActiveRequest,
+) -> Response<ResponseContent> {
     let ended = match response.status().as_u16() {
-        200 => Ended::Ok,
-        429 | 503 => Ended::Shed,
-        _ => Ended::Error,
+        200 => RequestResult::Ok,
+        429 | 503 => RequestResult::Shed,
+        _ => RequestResult::Error,
     };
     with_body(response, |body| match body {
-        None => counted.ends(ended),
+        None => counted.set_result(ended),
         Some(body) => body.when_ended(move |is_complete| {
-            counted.ends(if is_complete { ended } else { Ended::Error });
+            counted.set_result(if is_complete { ended } else { RequestResult::Error });
         }),
     })
 }
--- a/crates/proxy/src/response_monitor.rs
+++ b/crates/proxy/src/response_monitor.rs
@@ -331,7 +331,7 @@
             self.last_received_at.set(None);
         }
         // Almost every request that is not streamed is sent in one write.
-        self.attempt_stats.take().iter().for_each(|stats| stats.tried());
+        self.attempt_stats.take().iter().for_each(|stats| stats.count_attempt());
         Ok(())
     }
 }
--- a/crates/proxy/src/stages/attempt.rs
+++ b/crates/proxy/src/stages/attempt.rs
@@ -305,7 +305,7 @@
         // The time left runs from the last byte of the body, so the head can't become outdated.
         Body::Streamed(upload) => {
             lease.monitor.begin_request(Some(write_check_fn(write_check)));
-            let count_attempt = move || stats.iter().for_each(|stats| stats.tried()); // with the last byte
+            let count_attempt = move || stats.iter().for_each(|stats| stats.count_attempt()); // with the last byte
             request.send_body(upload.stream(count_attempt))
         }
     }
