--- a/crates/decisions/src/event.rs
+++ b/crates/decisions/src/event.rs
@@ -1,57 +1,58 @@
-//! The interface while it runs: events in, actions out.
+//! The events that a balancer receives and the actions that it returns.
 //!
-//! Plain data. The embedding program (proxy, simulator's adapter, lab) makes the events and carries out the
-//! actions; nothing is decided here.
+//! These are plain data types without logic. The embedding program (the proxy, the simulator's adapter or
+//! the lab) creates the events and carries out the actions.
 
 use crate::id::{CellId, ClassId, EndpointId, MachineKindId, Nanos, RequestId, TenantId, ZoneId};
 use std::rc::Rc;
 
-/// What a timer is for; handed back unchanged.
+/// The purpose of a timer; returned unchanged in [`Event::TimerFired`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// An endpoint's periodic health check is due.
     HealthCheck(EndpointId),
-    /// A request waits in the queue, or its last attempt may be overdue.
+    /// A queued request is due for another try, or the last attempt of a request may be overdue.
     Request(RequestId),
-    /// The list of endpoints has to be asked for.
+    /// The endpoint list has to be requested.
     Discovery,
 }
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It finishes what it has and must get nothing new.
+    /// Finishes its current requests and must not receive new ones.
     Draining,
-    /// It is no longer listed, or the list says that it has left.
+    /// Missing from the endpoint list, or listed as removed.
     #[default]
     Removed,
 }
 
-/// One endpoint as the list describes it.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The ID of the endpoint.
     pub id: EndpointId,
-    /// Its name, the same at every replica; only hashed.
+    /// The name of the endpoint, the same at every replica. Its hash sets the order of preference; learned
+    /// state is stored under it.
     pub name: Rc<str>,
-    /// Whether it takes requests.
+    /// Whether the endpoint accepts requests.
     pub state: EndpointState,
-    /// Where it runs.
+    /// The zone in which the endpoint runs.
     pub zone: ZoneId,
-    /// Its kind of machine.
+    /// The machine kind on which the endpoint runs.
     pub machine_kind: MachineKindId,
-    /// Its cell.
+    /// The cell of the endpoint.
     pub cell: CellId,
-    /// Its size, greater than 0 and comparable with that of others; 1 where nothing is known.
+    /// Capacity relative to other endpoints, greater than 0; 1 if unknown.
     pub relative_capacity: f64,
-    /// When its process last started; none if long ago.
+    /// When the endpoint's process last started; `None` if that was long ago.
     pub started: Option<Nanos>,
 }
 
 impl EndpointEntry {
-    /// An endpoint past its slow start that takes requests, with nothing else known of it.
+    /// Creates the entry of a ready endpoint past its slow start, with defaults for all else.
     pub fn ready(id: EndpointId, name: &str) -> EndpointEntry {
         EndpointEntry {
             id,
@@ -63,42 +64,42 @@
     }
 }
 
-/// An update of the list of endpoints.
+/// An update of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointUpdate {
-    /// Entries that changed.
+    /// The entries that changed.
     Delta(Vec<EndpointEntry>),
-    /// The complete list; what is missing is removed.
+    /// The complete list; endpoints missing from it are removed.
     Snapshot(Vec<EndpointEntry>),
-    /// The complete list as this replica last held it, perhaps outdated.
+    /// The complete list from this replica's cache, possibly outdated.
     Cached(Vec<EndpointEntry>),
-    /// Asking failed or the subscription broke; the list stays as it was.
+    /// The list request failed or the subscription broke; the list stays unchanged.
     Failed,
 }
 
-/// A request that arrived.
+/// A request from a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its number.
+    /// The ID of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// The tenant that sent the request, if tenants are configured.
     pub tenant: Option<TenantId>,
-    /// Its idempotency key; requests of one key belong together.
+    /// The idempotency key, shared by all retries of one operation.
     pub idempotency_key: Option<u64>,
     /// Time until the client gives up, in nanoseconds.
     pub time_left: Nanos,
-    /// Expected work, as time on a standard core; rough.
+    /// A rough estimate of the work, in nanoseconds on a standard core.
     pub estimated_work: Option<Nanos>,
-    /// It writes.
+    /// Whether the request is a write.
     pub is_write: bool,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
 }
 
 impl Request {
-    /// A request with nothing optional; `time_left` as in [`Request::time_left`].
+    /// Creates a request without optional fields; see [`Request::time_left`] for `time_left`.
     pub fn new(id: RequestId, class: ClassId, time_left: Nanos) -> Request {
         Request {
             id,
@@ -116,32 +117,32 @@
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Succeeded.
     Ok,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint responded with an error; the request may have run.
     Error,
-    /// The endpoint rejected it as overloaded; it never ran.
+    /// The endpoint rejected the request as overloaded; the request never ran.
     Overloaded,
-    /// No response in time; it may have run.
+    /// No response arrived in time; the request may have run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection was established; the request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The request was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// The attempt provably never ran. Unsure means that it may have.
+    /// Returns whether the attempt certainly never ran. Returns `false` if in doubt.
     pub fn was_never_executed(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// What an endpoint reported of its load: late, noisy, and only in part.
+/// The load that an endpoint reported. Reports are delayed, noisy and may be incomplete.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests being served.
@@ -150,126 +151,126 @@
     pub waiting: Option<f64>,
     /// Fraction of its cores in use, from 0 to 1.
     pub cpu: Option<f64>,
-    /// Recent service time in milliseconds, without waiting.
+    /// Recent service time in milliseconds, without queueing time.
     pub service_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rate: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub error_rate: Option<f64>,
 }
 
-/// The end of one attempt; exactly one comes for each [`Action::StartAttempt`].
+/// The end of one attempt, reported exactly once for each [`Action::StartAttempt`].
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
-    /// Which of its attempts, from 0.
+    /// The index of the attempt among those of the request, from 0.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The endpoint to which the attempt was sent.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long it took, in nanoseconds.
+    /// The duration of the attempt, in nanoseconds.
     pub duration: Nanos,
-    /// The request has ended, by this attempt or before.
+    /// Whether the request has completed, by this attempt or before it.
     pub request_completed: bool,
-    /// Load report that came along.
+    /// The load report sent with the response, if any.
     pub load: Option<LoadReport>,
 }
 
-/// What the balancer is told.
+/// An input of the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of endpoints changed, or asking for it failed.
+    /// The endpoint list changed, or requesting it failed.
     Endpoints(EndpointUpdate),
-    /// A request arrived; one final response is owed.
+    /// A request arrived; it needs exactly one final response.
     RequestArrived(Request),
-    /// The response to an attempt has begun to stream: no timeout runs any more.
+    /// The response to an attempt has started to arrive. Attempt timeouts no longer apply.
     ResponseStarted {
         /// The request.
         request: RequestId,
-        /// Which of its attempts.
+        /// The index of the attempt, from 0.
         attempt: u32,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client left; nothing is owed any more.
+    /// The client disconnected; no response is needed any more.
     RequestAborted(RequestId),
     /// A health check ended.
     HealthCheckCompleted {
-        /// The endpoint checked.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the check ended.
         outcome: Outcome,
-        /// How long it took, in nanoseconds.
+        /// The duration of the check, in nanoseconds.
         duration: Nanos,
-        /// Load report that came along.
+        /// The load report sent with the response, if any.
         load: Option<LoadReport>,
     },
-    /// A timer is due.
+    /// A timer fired.
     TimerFired(Timer),
-    /// Bytes from another replica of the tier. The balancer shares nothing and ignores them.
+    /// A message from another replica of the tier. Ignored, because replicas share no state.
     PeerMessage {
-        /// Index of the sender.
+        /// The index of the replica that sent the message.
         from: u32,
-        /// What it sent.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
 }
 
-/// What the balancer decides.
+/// An action for the embedding program to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     StartAttempt {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint to send the attempt to.
         endpoint: EndpointId,
-        /// Timeout of the attempt in nanoseconds; 0: until the client gives up.
+        /// The timeout of the attempt in nanoseconds; 0 means until the client gives up.
         timeout: Nanos,
-        /// Its first byte may be written until then. Danger: a connection that comes up late carries a retry
-        /// out of the window in which it is known as one.
+        /// The latest time at which the first byte may be written. Without this limit, a connection that
+        /// is established late could deliver a keyed retry after the end of its deduplication window.
         start_by: Nanos,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     CancelAttempt {
         /// The request.
         request: RequestId,
-        /// Which of its attempts.
+        /// The index of the attempt, from 0.
         attempt: u32,
     },
-    /// Final response: rejected, trying again is harmless.
+    /// Send the final response: rejected, and safe to retry.
     Shed {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away, in nanoseconds; 0: nothing is said.
+        /// How long the client should wait before a retry, in nanoseconds; 0 for no Retry-After.
         retry_after: Nanos,
     },
-    /// Final response: failed, nothing promised.
+    /// Send the final response: failed, and not known to be safe to retry.
     Fail(RequestId),
     /// Start a health check.
     StartHealthCheck(EndpointId),
-    /// Ask for [`Event::TimerFired`] at a time.
+    /// Send [`Event::TimerFired`] at a given time.
     SetTimer {
-        /// When.
+        /// When the timer fires.
         at: Nanos,
-        /// Handed back.
+        /// The timer to return in the event.
         timer: Timer,
     },
-    /// Subscribe to changes of the list of endpoints, or stop.
+    /// Subscribe to changes of the endpoint list (`true`), or unsubscribe (`false`).
     WatchEndpoints(bool),
-    /// Ask for the complete list once.
+    /// Request the complete endpoint list once.
     RefreshEndpoints,
-    /// Close idle connections to an endpoint.
+    /// Close the idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// Send bytes to one other replica of the tier, or to all.
+    /// Send a message to one other replica of the tier, or to all of them.
     Publish {
-        /// Index of the receiver; none: all.
+        /// The index of the receiving replica; `None` for all.
         to: Option<u32>,
-        /// At most 256.
+        /// The content of the message, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/crates/decisions/src/learned_state.rs
+++ b/crates/decisions/src/learned_state.rs
@@ -1,7 +1,7 @@
-//! What a replica has learned, for the process that takes its place at a hot restart. It decides nothing.
+//! The learned state of a replica, as data that a successor process restores at a hot restart.
 //!
-//! The embedding program writes it down in the old process and hands it to the new one, perhaps of another
-//! build: the names under which the fields are stored never change.
+//! The embedding program stores the state in the old process and passes it to the new one, which may be
+//! another build. The stored names of the fields therefore never change.
 
 use crate::balancer::Balancer;
 use crate::capacity::EndpointCapacity;
@@ -16,8 +16,8 @@
 #[cfg(test)]
 mod tests;
 
-/// What a replica has learned, apart from the requests that it holds. Times are on its clock, which the next
-/// one's must go on from.
+/// The learned state of a replica, without its requests. Times are on the replica's clock, which the clock
+/// of the successor must continue.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct LearnedState {
@@ -34,17 +34,17 @@
     tenant_arrivals: Vec<StoredSum>,
     #[cfg_attr(feature = "serde", serde(rename = "recent"))]
     objective_ratio_ewma: f64,
-    /// By name.
+    /// Endpoints by name.
     endpoints: BTreeMap<String, LearnedEndpoint>,
 }
 
-/// A [`ClassLatency`]: mean, relative deviation, samples, mean estimated work.
+/// The stored form of a [`ClassLatency`]: mean, relative deviation, samples, mean estimated work.
 type StoredClassLatency = [f64; 4];
 
-/// A [`DecayingSum`]: the sum, and when it was last decayed.
+/// The stored form of a [`DecayingSum`]: the sum, and when it was last decayed.
 type StoredSum = (f64, Nanos);
 
-/// What was learned of one endpoint.
+/// The learned state of one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 struct LearnedEndpoint {
@@ -112,7 +112,7 @@
 }
 
 impl Balancer {
-    /// What it has learned so far.
+    /// Returns the state learned so far.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             classes: self.latencies.classes.iter().map(store_class).collect(),
@@ -130,15 +130,17 @@
         }
     }
 
-    /// Goes on from what another process has learned, once it has the list. An endpoint that has started anew
-    /// since is one that nothing is known of; so is a class or a tenant that the other did not have.
+    /// Restores the state learned by a predecessor. Call it after the endpoint list was received.
+    /// Endpoints that have restarted since are not restored, nor are the classes or the tenants if their
+    /// number differs.
     ///
-    /// Danger: one that begins anew knows no rate, and lets next to nothing go to an endpoint in slow start.
-    /// In the middle of a release that is most of them, and the few warm ones jam.
+    /// Without this state, a new process knows no rates and sends next to nothing to endpoints in slow
+    /// start. In the middle of a release these are most endpoints, and the few warm ones would be
+    /// overloaded.
     pub fn restore(&mut self, learned: &LearnedState) {
         if learned.classes.len() == self.latencies.classes.len() {
             self.latencies.classes = learned.classes.iter().copied().map(restore_class).collect();
-            self.sent_work = restore_sum(learned.sent_work); // in units of the work of these classes
+            self.sent_work = restore_sum(learned.sent_work); // measured by the means of these classes
         }
         self.retry_budget.tokens = learned.retry_tokens;
         self.latencies.objective_ratio_ewma = learned.objective_ratio_ewma;
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a sidecar load balancer, without any I/O.
 //!
-//! A [`Balancer`] is told what happens ([`Event`]) and answers with what to do ([`Action`]). It has no clock,
-//! no threads and no sockets; the same events always give the same actions.
+//! A [`Balancer`] receives events ([`Event`]) and returns the actions to carry out ([`Action`]). It has no
+//! clock, no threads and no sockets; the same seed and events always give the same actions.
 //!
 //! ```
 //! use olivecart_decisions::{Action, Balancer, Class, EndpointEntry, EndpointUpdate, Event, Settings};
@@ -45,7 +45,7 @@
 pub use settings::*;
 pub use status_view::EndpointStatus;
 
-/// The README's example is compiled and run with the tests.
+/// Compiles and runs the README's example with the doctests.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,26 +1,27 @@
-//! What a replica is told at its start.
+//! The settings with which a balancer starts.
 //!
-//! The embedding program reads it from its own configuration; the platform's words for it are in the package
-//! `olivecart-settings`. Lengths of time are in nanoseconds.
+//! The embedding program builds them from its own configuration; the package `olivecart-settings` defines
+//! the platform's format of them. Durations are in nanoseconds.
 
 use crate::event::EndpointEntry;
 use crate::id::{Nanos, ZoneId};
 use std::fmt;
 
-/// The endpoints that share which idempotency keys they have seen: a retry of a keyed request is dropped by
-/// them.
+/// The set of endpoints that share the idempotency keys they have seen. Each of them drops a retry of a
+/// keyed request that another one has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Any endpoint.
+    /// All endpoints.
     All,
-    /// Those in the zone of the endpoint that may have run it.
+    /// The endpoints in the zone of the endpoint that may have run the request.
     Zone,
-    /// Those in its cell.
+    /// The endpoints in the cell of the endpoint that may have run the request.
     Cell,
 }
 
 impl DeduplicationScope {
-    /// Whether two endpoints lie in one scope, so that each drops what the other has run.
+    /// Returns whether two endpoints share one deduplication scope, so that each drops the retries of
+    /// keyed requests that the other has run.
     pub fn is_shared_by(self, a: &EndpointEntry, b: &EndpointEntry) -> bool {
         match self {
             DeduplicationScope::All => true,
@@ -30,36 +31,36 @@
     }
 }
 
-/// What happens if a request runs twice.
+/// Whether the requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be sent again at will.
+    /// A request may run any number of times.
     Idempotent,
-    /// Its idempotency key keeps it from taking effect twice, inside one scope and for a while.
+    /// The idempotency key prevents a second effect, within a deduplication scope and window.
     Keyed {
-        /// Where a retry is dropped.
+        /// The endpoints that drop a retry.
         scope: DeduplicationScope,
-        /// For how long after the first attempt that may have run.
+        /// How long a retry is dropped, from the first attempt that may have run.
         window: Nanos,
     },
-    /// Harm: it must never run twice.
+    /// A request must never run twice.
     NonIdempotent,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A response within this time has the full weight. Greater than 0.
+    /// A response within this time counts with the full weight. Greater than 0.
     pub latency_objective: Nanos,
-    /// The longest that a client waits, over all its retries. Greater than 0.
+    /// The longest time that a client waits, over all its retries. Greater than 0.
     pub client_deadline: Nanos,
-    /// Whether a request may run again.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// Weight of one request against those of other classes.
+    /// The weight of one request relative to other classes.
     pub priority_weight: f64,
-    /// Share of the weight left to a response after the latency objective, from 0 to 1.
+    /// The share of its weight that a response after the latency objective keeps, from 0 to 1.
     pub late_weight_ratio: f64,
-    /// The response comes as a stream.
+    /// Whether responses are streamed.
     pub streaming: bool,
 }
 
@@ -76,102 +77,103 @@
     }
 }
 
-/// One tenant and what it is owed.
+/// A tenant and its entitlement.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all replicas.
+    /// The quota in requests per second, over all replicas.
     pub quota_per_s: f64,
-    /// Its part of the service.
+    /// The tenant's share of the service.
     pub share: f64,
 }
 
-/// How the list of endpoints comes.
+/// How the replica obtains the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come unasked.
+    /// Updates arrive without a subscription.
     Automatic,
-    /// Only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints) or
+    /// Updates arrive only after [`Action::WatchEndpoints`](crate::Action::WatchEndpoints) or
     /// [`Action::RefreshEndpoints`](crate::Action::RefreshEndpoints).
     Subscribe,
 }
 
-/// What the site allows.
+/// The limits that a deployment sets.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Most attempts of one request. Greater than 0.
+    /// The maximum number of attempts of one request. Greater than 0.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight at the same time.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_enabled: bool,
-    /// [`Action::CancelAttempt`](crate::Action::CancelAttempt) may be used.
+    /// Whether [`Action::CancelAttempt`](crate::Action::CancelAttempt) may be used.
     pub cancellation_enabled: bool,
-    /// [`Action::StartHealthCheck`](crate::Action::StartHealthCheck) may be used.
+    /// Whether [`Action::StartHealthCheck`](crate::Action::StartHealthCheck) may be used.
     pub health_checks_enabled: bool,
-    /// Longest Retry-After that clients honour; 0 where none may be given.
+    /// The longest Retry-After that clients honour; 0 if none may be sent.
     pub max_retry_after: Nanos,
-    /// A connection not established in this time has failed.
+    /// The time after which a connection that is not yet established has failed.
     pub connect_timeout: Nanos,
 }
 
-/// The figures of the four rules.
+/// The parameters of slow start, overload, draining and discovery.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// An endpoint that has just started has at least this share of its capacity, from 0 to 1.
+    /// The least share of its capacity that an endpoint has right after its start, from 0 to 1.
     pub slow_start_initial_share: f64,
-    /// It has all of it no later than this after its start.
+    /// The time after its start by which an endpoint has its full capacity.
     pub slow_start_window: Nanos,
-    /// It falls over when sent more than this multiple of its present capacity, greater than 0...
+    /// An endpoint fails if it is sent more than this multiple of its current capacity for
+    /// [`overload_window`](Rules::overload_window). Greater than 0.
     pub overload_multiple: f64,
-    /// ...for this long.
+    /// See [`overload_multiple`](Rules::overload_multiple).
     pub overload_window: Nanos,
-    /// Attempts to a draining or removed endpoint must stop within this time.
+    /// The time within which attempts to a draining or removed endpoint must stop.
     pub drain_grace: Nanos,
-    /// Without a subscription, the list must be asked for within this time. Greater than 0.
+    /// Without a subscription, the time within which the endpoint list must be requested. Greater than 0.
     pub poll_interval: Nanos,
 }
 
-/// What a unit of each costs, as a fraction of all the service.
+/// The cost of one unit of each kind of overhead, as a fraction of the whole service.
 #[derive(Clone, Debug, Default)]
 pub struct CostWeights {
-    /// An attempt across zones, per first attempt.
+    /// Attempts to another zone, per first attempt.
     pub cross_zone: f64,
-    /// Endpoint work that yields no response, as a fraction of the work offered.
+    /// Endpoint work without a response, as a fraction of the work offered.
     pub wasted_work: f64,
-    /// A health check, per first attempt.
+    /// Health checks, per first attempt.
     pub health_check: f64,
-    /// Weight that ends unserved after its latency objective, per weight.
+    /// Weight of requests that fail after their latency objective, as a fraction of all weight.
     pub late_failure: f64,
 }
 
-/// What a replica is told at its start.
+/// The settings of one replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Index of this replica among those of its tier, from 0.
+    /// The index of this replica in its tier, from 0.
     pub replica_index: u32,
-    /// How many replicas its tier has.
+    /// The number of replicas in the tier.
     pub replica_count: u32,
-    /// The tier it sends to; 0 is the one that clients call.
+    /// The tier of endpoints that the replica sends to; clients call tier 0.
     pub tier: u32,
-    /// Where it runs.
+    /// The zone in which the replica runs.
     pub zone: ZoneId,
-    /// Least time between two batches of events.
+    /// The least time between two batches of events.
     pub clock_granularity: Nanos,
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants; may be none.
+    /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Share of its weight left to a request beyond its tenant's quota, from 0 to 1.
+    /// The share of its weight that a request over its tenant's quota keeps, from 0 to 1.
     pub over_quota_weight_ratio: f64,
-    /// Weight is counted for each unit of work instead of each request.
+    /// Whether weight counts per unit of work instead of per request.
     pub weight_by_work: bool,
-    /// A request to the next tier carries the time that its caller has left.
+    /// Whether a request to the next tier carries the time left to its caller.
     pub propagates_deadline: bool,
-    /// How the list comes.
+    /// How the replica obtains the endpoint list.
     pub discovery: Discovery,
-    /// What the site allows.
+    /// The limits that the deployment sets.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// The parameters of slow start, overload, draining and discovery.
     pub rules: Rules,
-    /// What things cost.
+    /// The cost of each kind of overhead.
     pub cost_weights: CostWeights,
 }
 
@@ -212,10 +214,10 @@
 }
 
 impl Settings {
-    /// Says what makes these settings unusable or contradictory, if anything.
+    /// Checks the settings for missing and out-of-range values.
     ///
     /// # Errors
-    /// The first that is found.
+    /// Returns the first problem found.
     pub fn validate(&self) -> Result<(), InvalidSettings> {
         if self.classes.is_empty() {
             return Err(InvalidSettings::NoClasses);
@@ -238,7 +240,7 @@
     }
 }
 
-/// Why settings are unusable.
+/// The reason why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidSettings {
     /// [`Settings::classes`] is empty.
--- a/crates/decisions/src/status_view.rs
+++ b/crates/decisions/src/status_view.rs
@@ -1,4 +1,4 @@
-//! How a replica sees its endpoints, for reports. It decides nothing, and nothing is decided from it.
+//! The status of each endpoint as seen by a replica, for reports only. No decision depends on it.
 
 use crate::balancer::Balancer;
 use crate::endpoint::Endpoint;
@@ -7,36 +7,37 @@
 #[cfg(test)]
 mod tests;
 
-/// How a replica sees an endpoint, as of the last event. Of several that hold, the first in this order.
+/// The status of an endpoint as of the last event. If several apply, the first in this order is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// No list has named it yet.
+    /// The endpoint has not appeared in an endpoint list.
     Unknown,
-    /// The list says that it drains, or it is no longer listed.
+    /// The endpoint is listed as draining or removed, or is no longer listed.
     DrainingOrRemoved,
-    /// Its last health check failed.
+    /// The last health check failed.
     Unhealthy,
-    /// Outlier detection has ejected it: attempts fail or hang.
+    /// Outlier detection ejected the endpoint because attempts failed or hung.
     Ejected {
-        /// Since when.
+        /// When it was last ejected.
         since: Nanos,
     },
-    /// It rejected an attempt as overloaded and gets none for a moment.
+    /// The endpoint rejected an attempt as overloaded, or refused a connection soon after a response, and
+    /// is not sent attempts for a short time.
     Overloaded {
-        /// Until when.
+        /// When it may be sent attempts again.
         until: Nanos,
     },
-    /// It started a short while ago and gets no more than a budget.
+    /// The endpoint started recently and is limited to its slow start budget.
     SlowStart {
-        /// When it started.
+        /// When the endpoint started.
         started: Nanos,
     },
-    /// It gets all that it has capacity for.
+    /// The endpoint is sent attempts up to its capacity.
     Healthy,
 }
 
 impl Balancer {
-    /// How this replica sees an endpoint.
+    /// Returns the status of an endpoint.
     pub fn endpoint_status(&self, endpoint: EndpointId) -> EndpointStatus {
         match self.endpoints.get(endpoint.0 as usize) {
             Some(endpoint) if endpoint.is_known() => self.status_of(endpoint),
