--- a/crates/decisions/src/balancer.rs
+++ b/crates/decisions/src/balancer.rs
@@ -1,11 +1,11 @@
-//! The balancer: one replica's decisions, composed of the concerns beside it.
+//! The balancer, which makes the decisions of one replica.
 //!
-//! It is told what happens and answers with what to do. [`Balancer::handle`] is its one entry; what an event
-//! does is in `endpoint_events` and `request_events`, what is learned from the ends of attempts in
-//! `outcomes`. Each concern (health checks, outlier detection, admission and so on) owns its state and its
-//! arithmetic; the balancer holds them, passes the time on, and turns what they say into actions. It does no
-//! I/O, reads no clock, and takes its chance from a seed. Durations are in nanoseconds; "work" is the time
-//! that a request should take, in the same unit. `docs/design.md` says why it decides as it does.
+//! [`Balancer::handle`] is the only entry point: it receives an event and returns actions. The submodules
+//! `endpoint_events` and `request_events` handle the events, `outcomes` learns from the ends of attempts.
+//! Modules such as health checks, outlier detection and admission own their state and arithmetic; the
+//! balancer owns these parts, gives them the time and turns their results into actions. It does no I/O,
+//! reads no clock, and draws all random numbers from a seed. Durations are in nanoseconds; "work" is the
+//! expected duration of a request, in the same unit. `docs/design.md` explains the design.
 
 mod endpoint_events;
 mod outcomes;
@@ -22,7 +22,8 @@
 use crate::retry_policy::RetryBudget;
 use crate::settings::Settings;
 
-/// One replica's decisions. Feed it every event in order; do what it answers.
+/// The decision module of one replica. It expects every event in order, and every returned action to be
+/// carried out.
 pub struct Balancer {
     pub(crate) settings: Settings,
     rng: fastrand::Rng,
@@ -35,12 +36,12 @@
     pub(crate) latencies: LatencyEstimates,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) admission: AdmissionControl,
-    /// Work of the attempts that were sent, decayed over the poll interval.
+    /// The work of the attempts sent, decayed over the poll interval.
     pub(crate) sent_work: DecayingSum,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet. `seed` feeds all its chance.
+    /// Creates a balancer without endpoints or learned state. `seed` determines all its random choices.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Balancer {
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Takes one event at time `now` and appends what is to be done. A `now` before that of an earlier event
-    /// counts as the latest one.
+    /// Handles one event at the time `now` and appends the resulting actions. If `now` is before the time
+    /// of an earlier event, the latest time is used.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         match event {
--- a/crates/decisions/src/balancer/endpoint_events.rs
+++ b/crates/decisions/src/balancer/endpoint_events.rs
@@ -1,4 +1,4 @@
-//! What happens to endpoints: updates of the list, health checks, ejection.
+//! Handling of endpoint list updates, health checks and ejections.
 
 use super::Balancer;
 use crate::endpoint_list::ListPolling;
@@ -26,7 +26,7 @@
         self.set_timer(delay, Timer::Discovery, actions);
     }
 
-    /// A cached list may be outdated: a fresh one is asked for where none comes unasked.
+    /// A cached list may be outdated, so a fresh one is requested unless updates arrive automatically.
     fn poll_after_cached_list(&mut self, actions: &mut Vec<Action>) {
         if self.settings.discovery == Discovery::Subscribe {
             let poll_interval = self.settings.rules.poll_interval;
@@ -51,11 +51,11 @@
 
     fn apply_entry(&mut self, entry: EndpointEntry, actions: &mut Vec<Action>) {
         let slot = entry.id.0 as usize;
-        // The slow start budget begins at a random phase of one attempt: all replicas together then begin at
-        // the budgeted rate instead of sending their first attempt at the same moment.
+        // The slow start budget starts at a random fraction of one attempt below 0. Otherwise all replicas
+        // would send their first attempt at the same time instead of at the budgeted rate.
         let slow_start_tokens = -self.rng.f64();
         let period = self.health_check_period();
-        // Spread, or all replicas would check together.
+        // Random, or all replicas would check the endpoint at the same time.
         let first_check_delay = self.rng.u64(0..=period);
         let becomes_ready = self.endpoints.upsert(entry, self.now, slow_start_tokens);
         if becomes_ready && self.settings.limits.health_checks_enabled {
@@ -81,7 +81,7 @@
         let jitter = self.rng.u64(0..=health_check::max_jitter(period));
         let Some(endpoint) = self.endpoints.get_mut(slot) else { return };
         if !endpoint.health.is_due(self.now) || !endpoint.is_ready() {
-            return; // it was rescheduled meanwhile, or is no longer listed
+            return; // the check was rescheduled, or the endpoint no longer accepts requests
         }
         let is_available = endpoint.is_available();
         let interval = if is_available { period } else { health_check::urgent_check_period(period) };
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Attempts speak against an endpoint: whether it is healthy is left to the checks, but it is ejected,
-    /// and its next check brought forward. Danger: a server that hangs or fails attempts while its checks
-    /// pass.
+    /// Ejects an endpoint whose attempts fail or hang, and starts its next health check at once if checks
+    /// are enabled. Ejection is separate from health, which only the checks decide, because a server can
+    /// hang or fail attempts while its checks pass.
     pub(super) fn eject(&mut self, slot: usize, actions: &mut Vec<Action>) {
         let mean_duration = self.latencies.mean_over_classes() as Nanos;
         let base_backoff = self.settings.limits.connect_timeout + mean_duration;
--- a/crates/decisions/src/balancer/outcomes.rs
+++ b/crates/decisions/src/balancer/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the ends of attempts tell: about the latency of a class, and about the endpoint.
+//! Learning from the ends of attempts: class latency, and endpoint latency, capacity and failures.
 
 use super::Balancer;
 use crate::event::{Action, AttemptEnd, Outcome};
@@ -6,21 +6,21 @@
 use crate::latency_estimate::{LatencySample, USUAL_LATENCY_RATIO};
 
 impl Balancer {
-    /// What the end of an attempt tells about its endpoint and its class.
+    /// Records the end of an attempt for its endpoint and its class.
     pub(super) fn record_outcome(&mut self, slot: usize, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let overload_pause = self.latencies.mean_over_classes() as Nanos;
         self.record_latency(slot, end);
         let now = self.now;
         let endpoint = &mut self.endpoints[slot];
-        let responded_lately = || endpoint.latency.last_response_at + end.duration + overload_pause > now;
+        let responded_recently = || endpoint.latency.last_response_at + end.duration + overload_pause > now;
         match end.outcome {
             Outcome::Ok => {
                 endpoint.capacity.record_response(now);
                 endpoint.latency.last_response_at = now;
                 endpoint.outlier.record_success(now.saturating_sub(end.duration));
             }
-            // Danger: an endpoint whose connection table is full refuses connections but is not gone.
-            Outcome::ConnectFailed if responded_lately() => {
+            // An endpoint whose connection table is full refuses connections but still runs.
+            Outcome::ConnectFailed if responded_recently() => {
                 endpoint.capacity.overloaded_until = now + overload_pause;
             }
             Outcome::Overloaded => endpoint.capacity.overloaded_until = now + overload_pause,
@@ -31,8 +31,9 @@
         }
     }
 
-    /// Danger: connections break by themselves, everywhere alike, so that a reset is only one failure; a dead
-    /// process refuses them, and is ejected at once.
+    /// Records a failure and ejects the endpoint if it is an outlier. A reset counts as one failure only,
+    /// because connections also break at healthy endpoints. A refused connection means that the process is
+    /// dead, so the endpoint is ejected at once.
     fn record_failure(&mut self, slot: usize, outcome: Outcome, actions: &mut Vec<Action>) {
         let mean_failure_ewma = self.endpoints.mean_failure_ewma();
         let outlier = &mut self.endpoints[slot].outlier;
@@ -42,7 +43,9 @@
         }
     }
 
-    /// Danger: what was cancelled took longer still; left out, no duration deviates, and all is cancelled.
+    /// Records the latency of a response, or of an attempt that was cancelled before the request
+    /// completed. A cancelled attempt would have taken even longer: without these samples, the deviation
+    /// would not grow as attempts become slow, and all slow attempts would be cancelled.
     fn record_latency(&mut self, slot: usize, end: &AttemptEnd) {
         let is_response = end.outcome == Outcome::Ok;
         let was_cancelled = end.outcome == Outcome::Cancelled && !end.request_completed;
@@ -68,8 +71,9 @@
         self.admission.record_responses(self.now, latency_objective, responses);
     }
 
-    /// Danger: where no endpoint is warm all would wait, with no rate to go by. So what an endpoint in slow
-    /// start has answered in its usual time it may be sent again: that much it can do.
+    /// Records how long an endpoint took to respond. While no endpoint is warm, there is no warm rate to
+    /// refill slow start budgets from and requests would wait. A response in the usual time shows that the
+    /// endpoint can handle its work, so that work is returned to the endpoint's budget.
     fn record_endpoint_latency(&mut self, slot: usize, ratio: f64, relative_work: f64) {
         let rules = &self.settings.rules;
         let any_warm = self
--- a/crates/decisions/src/balancer/request_events.rs
+++ b/crates/decisions/src/balancer/request_events.rs
@@ -1,5 +1,4 @@
-//! A request's way: admission, selection of an endpoint or the queue, the ends of its attempts, its
-//! completion.
+//! Handling of requests: admission, endpoint selection or queueing, the ends of attempts, completion.
 
 use super::Balancer;
 use crate::admission::AdmissionRequest;
@@ -21,7 +20,7 @@
         }
     }
 
-    /// Takes a request into the table and returns the index of its class.
+    /// Adds a request to the requests in flight and returns the index of its class.
     fn track_request(&mut self, request: &Request) -> usize {
         let class = (request.class.0 as usize).min(self.latencies.classes.len() - 1);
         let latency_objective = self.settings.classes[class].latency_objective;
@@ -39,8 +38,8 @@
         class
     }
 
-    /// Admission: none if the request is taken, else when the client may come back. Quotas are counted in
-    /// every tier, load is shed only in the first.
+    /// Returns `None` if the request is admitted, otherwise the delay before the client may retry. Quotas
+    /// are counted in every tier, but load is shed only in the first.
     fn retry_after_if_rejected(&mut self, request: &Request, class: usize) -> Option<Nanos> {
         let over_quota = request.tenant.is_some_and(|tenant| {
             self.admission.is_over_quota(self.now, tenant.0 as usize, &self.settings, &mut self.rng)
@@ -52,8 +51,9 @@
         self.admission.rejects(self.now, &request, &self.settings, &self.latencies)
     }
 
-    /// Sends a new request; where no endpoint can take it now it waits in the queue. Danger: a client whose
-    /// request waits until near its deadline and is then rejected has no time left to go elsewhere.
+    /// Sends a new request, or queues it if no endpoint can be selected now. The time in the queue is
+    /// limited, because a client that is rejected shortly before its deadline has no time left to retry
+    /// elsewhere.
     fn dispatch_or_queue(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.dispatch(id, actions) {
             return;
@@ -62,7 +62,8 @@
         debug_assert!(request.attempts.is_empty(), "a retry is never queued");
         let any_available = self.endpoints.iter().any(super::super::endpoint::Endpoint::is_available);
         let deadline = request.queue_deadlines.current(any_available);
-        // Time in which neither a timer nor an attempt would come about counts as none.
+        // A rest of up to two clock steps counts as no time left: no timer would fire and no attempt start
+        // in it.
         let time_left = deadline.saturating_sub(self.now + 2 * self.settings.clock_granularity);
         if time_left == 0 {
             return self.complete_request(id, self.retry_after_unavailable(), actions);
@@ -72,8 +73,8 @@
         self.queue.insert(id);
     }
 
-    /// Sends what is queued, oldest first. A few that can't go do not keep back the others; many mean that
-    /// none can, and are not all tried each time.
+    /// Sends queued requests, oldest first. A few requests that cannot be sent do not block the others.
+    /// After [`MAX_FAILED_DRAIN_ATTEMPTS`] of them the rest is not tried, since probably none can be sent.
     pub(super) fn drain_queue(&mut self, actions: &mut Vec<Action>) {
         let mut previous = None;
         let mut failures = 0;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Sends a request if that is permitted and there is an endpoint for it.
+    /// Sends an attempt if one is permitted and an endpoint can be selected. Returns whether it was sent.
     fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let permit = AttemptPermit::of(request, self.settings.classes[request.class].idempotency);
@@ -153,7 +154,7 @@
         self.drain_queue(actions);
     }
 
-    /// What becomes of a request whose attempt ended.
+    /// Retries or completes a request after an attempt ended.
     fn retry_or_complete(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
         if end.request_completed {
             return self.remove_request(end.request, actions);
@@ -170,29 +171,30 @@
         }
     }
 
-    /// A request's timer: it waits for an endpoint, or its last attempt may be overdue.
+    /// Handles a request's timer: dispatches a queued request again, or handles an overdue attempt.
     pub(super) fn on_request_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| request.is_waiting()) else { return };
         let Some(attempt) = request.attempts.last() else { return self.dispatch_or_queue(id, actions) };
         let overdue_at = attempt.sent_at + self.attempt_overdue_after(request, request.attempts.len() - 1);
         if overdue_at > self.now {
-            // More is known of its class now than when the timer was set.
+            // The latency estimate has changed since the timer was set.
             return self.set_timer(overdue_at - self.now, Timer::Request(id), actions);
         }
         let slot = attempt.slot;
-        // Danger: an endpoint that accepts work and answers nothing. One that answered since is only slow,
-        // and where all are slow there is a queue, which cancelling makes longer.
+        // An endpoint that accepts work and never responds hangs. An endpoint that has responded since is
+        // only slow. If all responses are slow, requests are queueing, and cancelling would lengthen the
+        // queue.
         let has_responded_since = self.endpoints[slot].latency.last_response_at > attempt.sent_at;
-        let hangs = !has_responded_since && self.latencies.responses_are_fast();
-        if hangs && !self.endpoints[slot].outlier.is_ejected() {
+        let is_hanging = !has_responded_since && self.latencies.responses_are_fast();
+        if is_hanging && !self.endpoints[slot].outlier.is_ejected() {
             self.eject(slot, actions);
         }
-        self.hedge_or_cancel(id, hangs, actions);
+        self.hedge_or_cancel(id, is_hanging, actions);
     }
 
-    /// An overdue request gets a second attempt beside the first; where that is not allowed, the first is
-    /// cancelled, so that its end leads to a retry.
-    fn hedge_or_cancel(&mut self, id: RequestId, hangs: bool, actions: &mut Vec<Action>) {
+    /// Starts a hedged attempt for an overdue request. If hedging is disabled, cancels the overdue attempt
+    /// of a hanging endpoint instead, so that its end leads to a retry.
+    fn hedge_or_cancel(&mut self, id: RequestId, is_hanging: bool, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let permit = AttemptPermit::of(request, self.settings.classes[request.class].idempotency);
         if !self.retry_budget.has_token() || permit.until <= self.now {
@@ -202,13 +204,13 @@
             if self.dispatch(id, actions) {
                 self.retry_budget.withdraw();
             }
-        } else if hangs {
-            // Danger: cancelling attempts that are merely slow, when all are, wastes their work twice.
+        } else if is_hanging {
+            // Only if hanging: cancelling slow attempts while all are slow would waste their work twice.
             self.cancel_attempts(id, None, actions);
         }
     }
 
-    /// Cancels the attempts of a request that are in flight, but for one that is kept.
+    /// Cancels the attempts of a request that are in flight, except `kept`.
     fn cancel_attempts(&self, id: RequestId, kept: Option<u32>, actions: &mut Vec<Action>) {
         if !self.settings.limits.cancellation_enabled {
             return;
@@ -221,13 +223,13 @@
         }
     }
 
-    /// What a client is told where no endpoint can take its request.
+    /// Returns the retry delay for a client whose request could not be sent to any endpoint.
     fn retry_after_unavailable(&self) -> Nanos {
         health_check::recheck_delay(self.settings.rules.poll_interval)
     }
 
-    /// Nothing more can be done: the request is shed where it is true that trying again is harmless, else it
-    /// fails.
+    /// Completes a request without a response of an endpoint: sheds it if a retry is harmless, otherwise
+    /// fails it.
     fn complete_request(&mut self, id: RequestId, retry_after: Nanos, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let permit = AttemptPermit::of(request, self.settings.classes[request.class].idempotency);
@@ -238,7 +240,7 @@
         self.remove_request(id, actions);
     }
 
-    /// The request has ended: what of it is still in flight is cancelled.
+    /// Removes a request that has ended and cancels its attempts in flight.
     pub(super) fn remove_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.cancel_attempts(id, None, actions);
         self.requests.remove(&id);
--- a/crates/decisions/src/capacity.rs
+++ b/crates/decisions/src/capacity.rs
@@ -1,9 +1,10 @@
-//! How many attempts an endpoint may have in flight, and whether it has said that it is overloaded.
+//! The limit on attempts in flight to an endpoint, and whether the endpoint is overloaded.
 //!
-//! By Little's law an endpoint that answers `rate` requests a second holds `rate * t` of them if each takes
-//! `t`: the limit is what it answers in a part of the shortest latency objective. Its rate is what this
-//! replica sees, shrunk towards the mean of all endpoints as far as the replica sees few responses. Read by
-//! `endpoint_selection`; fed by the balancer with responses and rejections.
+//! By Little's law, an endpoint that answers `rate` requests per second has `rate * t` of them in flight
+//! if each takes `t`. The limit is the number that it answers in a part of the shortest latency objective.
+//! Its rate is measured by this replica and shrunk towards the mean of all endpoints, the more so the
+//! fewer responses the replica sees. The balancer records responses and rejections; `endpoint_selection`
+//! reads the limits.
 
 use crate::ewma::DecayingSum;
 use crate::id::Nanos;
@@ -12,21 +13,24 @@
 #[cfg(test)]
 mod tests;
 
-/// Time constant of the rate of responses, in nanoseconds.
+/// The time constant of the response rate, in nanoseconds.
 pub(crate) const RESPONSE_RATE_TIME_CONSTANT: f64 = 3e9;
-/// Part of the shortest latency objective in which an endpoint has to answer what is in flight.
+/// The share of the shortest latency objective within which an endpoint has to answer the attempts in
+/// flight.
 const OBJECTIVE_SHARE: f64 = 0.5;
-/// The least limit of an endpoint, over this replica alone or twice as much over all that clients call.
+/// The minimum limit of attempts in flight to an endpoint, for one replica alone. All replicas of the
+/// first tier together share twice as many.
 const MIN_IN_FLIGHT_LIMIT: f64 = 6.0;
-/// The mean rate of all endpoints weighs as much as this many responses of one.
+/// The weight of the mean rate of all endpoints, in responses of one endpoint.
 const PRIOR_RESPONSES: f64 = 4.0;
 
-/// What is known of one endpoint's capacity.
+/// The capacity of one endpoint, as learned from responses and rejections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointCapacity {
     /// Successful responses, decayed over [`RESPONSE_RATE_TIME_CONSTANT`].
     pub(crate) responses: DecayingSum,
-    /// It rejected an attempt and gets none until then.
+    /// The endpoint is not sent attempts before this time, because it rejected one as overloaded or
+    /// refused a connection soon after a response.
     pub(crate) overloaded_until: Nanos,
 }
 
@@ -40,20 +44,21 @@
     }
 }
 
-/// The limits on attempts in flight at the time of one selection.
+/// The limits on attempts in flight, computed for one selection.
 pub(crate) struct CapacityLimits {
-    /// Over how many replicas the least limit is shared: 1 where it is not.
+    /// Half the number of replicas that share the minimum limit; 1 if it is not shared.
     sharing_replicas: f64,
     /// The shortest latency objective, in nanoseconds.
     shortest_objective: f64,
-    /// Mean of [`EndpointCapacity::responses`] over the listed endpoints.
+    /// The mean of [`EndpointCapacity::responses`] over the listed endpoints.
     mean_responses: f64,
-    /// The limit where the rate says less.
+    /// The least limit, used where the response rate gives a lower one.
     min_limit: f64,
 }
 
 impl CapacityLimits {
-    /// `endpoints` is how many are listed, `mean_responses` the mean of their decayed responses.
+    /// `endpoints` is the number of listed endpoints, `mean_responses` the mean of their decayed
+    /// responses.
     pub(crate) fn new(settings: &Settings, endpoints: usize, mean_responses: f64) -> CapacityLimits {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let replicas = if settings.tier == 0 { settings.replica_count.max(2) } else { 2 };
@@ -67,14 +72,16 @@
         }
     }
 
-    /// Whether an endpoint answers one more attempt in time. Danger: where too much waits it turns and stays
-    /// slow.
+    /// Returns whether an endpoint can answer one more attempt in time. Without this limit, an endpoint
+    /// with too many waiting attempts becomes slow and stays slow.
     ///
-    /// `responses` are its own, decayed; `rank` is its place in this replica's order of endpoints, from 0 to
-    /// 1. Where one or two replicas send to it, retries need no capacity.
+    /// `responses` are those of the endpoint, decayed; `rank` is its position in this replica's order of
+    /// preference, from 0 to 1. Retries need no capacity if the limit is not shared: with one or two
+    /// replicas, or below the first tier.
     pub(crate) fn has_capacity(&self, in_flight: u32, responses: f64, rank: f64, is_retry: bool) -> bool {
         let shared_part = 1.0 - 1.0 / self.sharing_replicas;
-        // Danger: part of an attempt, rounded up by each replica, is an attempt of all.
+        // If every replica rounded its fraction of an attempt up, each would send a whole attempt. The
+        // rank makes them round up at different endpoints.
         let load = f64::from(in_flight) + shared_part * rank;
         let is_unlimited = self.sharing_replicas <= 1.0 && is_retry;
         is_unlimited || load < self.limit(responses, PRIOR_RESPONSES * shared_part)
--- a/crates/decisions/src/endpoint.rs
+++ b/crates/decisions/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: its entry in the list, and what each concern keeps of it.
+//! One endpoint: its entry in the list, and the state that each module keeps for it.
 
 use crate::capacity::EndpointCapacity;
 use crate::event::{EndpointEntry, EndpointState};
@@ -11,27 +11,27 @@
 use crate::settings::Rules;
 use crate::slow_start::{SlowStartBudget, slow_start_fraction};
 
-/// How fast one endpoint responds.
+/// The response times of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointLatency {
-    /// Average over responses: duration as a multiple of the expected one.
+    /// The average over responses of the duration as a multiple of the expected one.
     pub(crate) ratio_ewma: f64,
-    /// When it last responded.
+    /// The time of the last response.
     pub(crate) last_response_at: Nanos,
 }
 
 impl EndpointLatency {
-    /// Takes in a response that took `ratio` times what it should have.
+    /// Records a response that took `ratio` times the expected duration.
     pub(crate) fn record(&mut self, ratio: f64) {
         move_towards(&mut self.ratio_ewma, ratio.min(MAX_LATENCY_RATIO), RESPONSE_WEIGHT);
     }
 }
 
-/// One endpoint. The default is one that no list has named.
+/// One endpoint. The default is an endpoint that has not appeared in a list.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub(crate) entry: EndpointEntry,
-    /// Attempts of this replica that have not ended.
+    /// The number of attempts of this replica that have not ended.
     pub(crate) in_flight: u32,
     pub(crate) health: HealthCheckState,
     pub(crate) connections: ConnectionDemand,
@@ -42,7 +42,8 @@
 }
 
 impl Endpoint {
-    /// A process of which nothing is known but how many attempts are in flight; taken to be healthy.
+    /// Creates the state of a new process, which is assumed to be healthy. `in_flight` is the number of
+    /// attempts still in flight, to its predecessor.
     pub(crate) fn new(now: Nanos, in_flight: u32, slow_start_tokens: f64) -> Endpoint {
         Endpoint {
             in_flight,
@@ -54,51 +55,53 @@
         }
     }
 
-    /// A list has named it.
+    /// Returns whether the endpoint has appeared in a list.
     pub(crate) fn is_known(&self) -> bool {
         !self.entry.name.is_empty()
     }
 
-    /// The list says that it takes requests.
+    /// Returns whether the list says that the endpoint accepts requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
 
-    /// Neither health checks nor outlier detection speak against it.
+    /// Returns whether the endpoint is healthy and not ejected.
     pub(crate) fn is_available(&self) -> bool {
         self.health.is_healthy && !self.outlier.is_ejected()
     }
 
-    /// See [`slow_start_fraction`].
+    /// Returns the endpoint's [`slow_start_fraction`].
     pub(crate) fn slow_start_fraction(&self, now: Nanos, rules: &Rules) -> f64 {
         slow_start_fraction(self.entry.started, now, rules)
     }
 
-    /// Its slow start is over.
+    /// Returns whether the slow start of the endpoint is over.
     pub(crate) fn is_warm(&self, now: Nanos, rules: &Rules) -> bool {
         self.slow_start_fraction(now, rules) >= 1.0
     }
 
-    /// Attempts in flight if it gets one more, weighted by how slow it was lately and how often it failed;
-    /// both fade while it does not respond.
+    /// Returns the number of attempts in flight after one more, weighted by recent slowness and failures.
+    /// Both weights fade while the endpoint does not respond.
     pub(crate) fn load_with_one_more(&self, now: Nanos, poll_interval: Nanos) -> f64 {
-        let silence = now.saturating_sub(self.latency.last_response_at) as f64 / poll_interval as f64;
-        let fading = (-silence).exp();
-        let slowness = 1.0 + (self.latency.ratio_ewma - 1.0) * fading;
-        let failures = self.outlier.failure_ewma * fading;
+        let periods_since_response =
+            now.saturating_sub(self.latency.last_response_at) as f64 / poll_interval as f64;
+        let decay = (-periods_since_response).exp();
+        let slowness = 1.0 + (self.latency.ratio_ewma - 1.0) * decay;
+        let failures = self.outlier.failure_ewma * decay;
         (1.0 + f64::from(self.in_flight)) * slowness * (1.0 + MAX_LATENCY_RATIO * failures * failures)
     }
 
-    /// Takes in that an attempt was sent; `work` in attempts of mean work, `overdue_at` when it is overdue.
+    /// Records a new attempt. `work` is in attempts of mean work, `overdue_at` the time when it is
+    /// overdue.
     pub(crate) fn on_attempt_started(&mut self, work: f64, overdue_at: Nanos) {
-        debug_assert!(self.is_ready(), "attempt to {}, which takes none", self.entry.name);
+        debug_assert!(self.is_ready(), "attempt to {}, which is not ready", self.entry.name);
         self.in_flight += 1;
         self.outlier.on_attempt_started(overdue_at);
         self.connections.on_attempt_started(self.in_flight);
         self.slow_start.withdraw(work);
     }
 
-    /// Takes in that an attempt ended, however.
+    /// Records the end of an attempt, whatever its outcome.
     pub(crate) fn on_attempt_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/crates/decisions/src/endpoint_list.rs
+++ b/crates/decisions/src/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoints, and this replica's order of preference among those that take requests.
+//! The endpoints, and this replica's order of preference among the ready ones.
 //!
-//! Owns every [`Endpoint`], in the slot that its number says, and the order. The balancer applies updates of
-//! the list; everything else looks endpoints up. It asks for no list itself: [`ListPolling`] only says when
-//! to.
+//! Owns every [`Endpoint`], in the slot given by its ID, and the order of preference. The balancer applies
+//! list updates; other modules only look endpoints up. The module does not request lists; [`ListPolling`]
+//! only computes when to do so.
 
 use crate::endpoint::Endpoint;
 use crate::event::{EndpointEntry, EndpointState};
@@ -10,19 +10,19 @@
 use std::ops::{Index, IndexMut};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The fractional part of the golden ratio: its multiples, modulo one, are spread evenly.
+/// The fractional part of the golden ratio. Its multiples, modulo 1, are evenly spread.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
-/// The delay before the list is asked for again starts at this part of the poll interval, before doubling.
+/// The divisor of the poll interval that gives the base delay of list requests after a failure.
 const RETRY_DELAY_DIVISOR: Nanos = 16;
-/// And doubles this many times at most.
+/// The maximum number of times that the delay doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 3;
 
-/// All endpoints that this replica has heard of.
+/// All endpoints that have appeared in a list of this replica.
 #[derive(Default)]
 pub(crate) struct EndpointList {
-    /// By number; a slot is never given to another endpoint.
+    /// Endpoints by ID. A slot is never reused for another endpoint.
     endpoints: Vec<Endpoint>,
-    /// Slots of the endpoints that take requests, preferred first.
+    /// The slots of the ready endpoints, preferred first.
     preference: Vec<usize>,
 }
 
@@ -35,47 +35,47 @@
         self.endpoints.get_mut(slot)
     }
 
-    /// The listed endpoint in a position of the order of preference.
+    /// Returns the ready endpoint at a position in the order of preference.
     pub(crate) fn listed_mut(&mut self, position: usize) -> &mut Endpoint {
         &mut self.endpoints[self.preference[position]]
     }
 
-    /// The slots of the listed endpoints, preferred first.
+    /// Returns the slots of the ready endpoints, preferred first.
     pub(crate) fn slots(&self) -> &[usize] {
         &self.preference
     }
 
-    /// How many endpoints are listed as taking requests.
+    /// Returns the number of ready endpoints.
     pub(crate) fn len(&self) -> usize {
         self.preference.len()
     }
 
-    /// Those endpoints, preferred first.
+    /// Returns the ready endpoints, preferred first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.preference.iter().map(|&slot| &self.endpoints[slot])
     }
 
-    /// Every endpoint that this replica has heard of.
+    /// Returns all endpoints, in the order of their IDs.
     pub(crate) fn all_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
         self.endpoints.iter_mut()
     }
 
-    /// Mean over the listed endpoints of how often they failed lately, 0 to 1.
+    /// Returns the mean failure average of the ready endpoints, from 0 to 1.
     pub(crate) fn mean_failure_ewma(&self) -> f64 {
         let total: f64 = self.iter().map(|endpoint| endpoint.outlier.failure_ewma).sum();
         total / self.len().max(1) as f64
     }
 
-    /// Before a complete list: what it does not name is removed.
+    /// Marks all endpoints as removed, before a complete list is applied.
     pub(crate) fn mark_all_removed(&mut self) {
         for endpoint in &mut self.endpoints {
             endpoint.entry.state = EndpointState::Removed;
         }
     }
 
-    /// Takes in one entry, and says whether its endpoint takes requests from now on and did not before.
+    /// Applies one entry of a list. Returns whether its endpoint becomes ready.
     ///
-    /// A process that started anew owes nothing to its predecessor but the attempts still in flight.
+    /// If the process has restarted, its state is reset except for the attempts in flight.
     pub(crate) fn upsert(&mut self, entry: EndpointEntry, now: Nanos, slow_start_tokens: f64) -> bool {
         let slot = entry.id.0 as usize;
         self.endpoints.resize_with(self.endpoints.len().max(slot + 1), Endpoint::default);
@@ -90,11 +90,12 @@
         endpoint.is_ready() && !was_ready
     }
 
-    /// Orders the endpoints that take requests, after the last entry of an update.
+    /// Recomputes the order of preference, after the last entry of an update.
     ///
-    /// They stand on a ring by the hash of their names, this zone's before the others', and each replica
-    /// starts where its index points. Starts are evenly spread, so that each endpoint is the favourite of
-    /// about as many replicas and their own counts tell of most of its load.
+    /// Ready endpoints are ordered on a ring by the hash of their names, those of the local zone before
+    /// the others, and each replica starts at a position given by its index. The start positions are
+    /// evenly spread, so that each endpoint is preferred by about the same number of replicas and their
+    /// own counts reflect most of its load.
     pub(crate) fn reorder(&mut self, zone: ZoneId, replica_index: u32) {
         let mut ring: Vec<_> = self.endpoints.iter().filter(|endpoint| endpoint.is_ready()).collect();
         ring.sort_by_cached_key(|endpoint| {
@@ -126,15 +127,15 @@
     }
 }
 
-/// When the list has to be asked for, where it does not come unasked.
+/// Computes the delays before requests for the endpoint list.
 #[derive(Default)]
 pub(crate) struct ListPolling {
-    /// Failures in a row, as far as they count.
+    /// Consecutive failures, up to [`MAX_RETRY_DOUBLINGS`].
     failures: u32,
 }
 
 impl ListPolling {
-    /// The delay before a replica that starts with a cached list asks for a fresh one.
+    /// Returns the delay before a replica with a cached list requests a fresh one.
     pub(crate) fn initial_delay(poll_interval: Nanos, rng: &mut fastrand::Rng) -> Nanos {
         rng.u64(0..=poll_interval / 2)
     }
@@ -143,8 +144,8 @@
         self.failures = 0;
     }
 
-    /// The delay after a failure. Discovery is one small service for all: the replicas ask again spread out,
-    /// and further apart each time.
+    /// Records a failed request and returns the delay before the next one. All replicas share one small
+    /// discovery service, so their requests are spread at random and back off exponentially.
     pub(crate) fn record_failure(&mut self, poll_interval: Nanos, rng: &mut fastrand::Rng) -> Nanos {
         self.failures = (self.failures + 1).min(MAX_RETRY_DOUBLINGS);
         let base = (poll_interval / RETRY_DELAY_DIVISOR) << self.failures;
--- a/crates/decisions/src/endpoint_selection.rs
+++ b/crates/decisions/src/endpoint_selection.rs
@@ -1,10 +1,10 @@
 //! Selects the endpoint for an attempt.
 //!
-//! The method is that of FAS (Fault Avoidance Service; `docs/design.md`): the first endpoint in this
-//! replica's order of preference that is available and not loaded too much over the least loaded one; where
-//! all are, the least loaded. Health, ejection, overload, capacity and slow start decide which endpoints are
-//! eligible. The balancer calls it once for each attempt. Nothing changes but averages that decay and the
-//! slow start budgets, which are refilled.
+//! The method is that of FAS (Fault Avoidance Service; `docs/design.md`): it selects the first endpoint in
+//! this replica's order of preference that is available and whose load does not exceed the lowest by too
+//! much, or the least loaded one if there is none. Health, ejection, overload, capacity and slow start
+//! decide which endpoints are eligible. The balancer calls it once for each attempt. It changes no state
+//! except that it decays averages and refills slow start budgets.
 
 use crate::capacity::{CapacityLimits, RESPONSE_RATE_TIME_CONSTANT};
 use crate::endpoint::Endpoint;
@@ -17,66 +17,66 @@
 use crate::settings::{Idempotency, Settings};
 use crate::slow_start::{BudgetRefill, WarmEndpoints};
 
-/// Attempts that an endpoint of ordinary speed may hold above the lowest count before it is skipped. Under
-/// one: at full size a replica holds few attempts, and a second one on a favourite is worse than an idle
-/// endpoint.
+/// The number of attempts in flight that an endpoint of ordinary speed may have above the lowest count
+/// before it is skipped. Less than 1, because in a large tier a replica has few attempts in flight, and a
+/// second one to a preferred endpoint is worse than one to an idle endpoint.
 const LOAD_ALLOWANCE: f64 = 0.4;
-/// Below this share of available endpoints the fault is ours or everybody's: health and ejections are ignored
-/// (the "panic threshold" of other balancers).
+/// Below this share of available endpoints, health and ejections are ignored (the "panic threshold" of
+/// other balancers), because the cause is either at this replica or common to all endpoints.
 const PANIC_SHARE: f64 = 1.0 / 3.0;
 
-/// One selection: what it reads, and the two averages that it decays.
+/// The inputs of one selection, including the averages and budgets that it updates.
 pub(crate) struct EndpointSelection<'a> {
     pub(crate) now: Nanos,
     pub(crate) settings: &'a Settings,
     pub(crate) endpoints: &'a mut EndpointList,
-    /// Work that was sent, decayed over the poll interval, in nanoseconds.
+    /// The work sent, decayed over the poll interval, in nanoseconds.
     pub(crate) sent_work: &'a mut DecayingSum,
-    /// Mean work of an attempt, in nanoseconds.
+    /// The mean work of an attempt, in nanoseconds.
     pub(crate) mean_work: f64,
     pub(crate) request: &'a InFlightRequest,
     pub(crate) permit: &'a AttemptPermit,
 }
 
-/// What is the same for all endpoints of one selection.
+/// The values that are the same for all endpoints of one selection.
 struct ListSummary {
-    /// Health and ejections are ignored.
+    /// Whether health and ejections are ignored; see [`PANIC_SHARE`].
     in_panic: bool,
-    /// How many endpoints the ranks count.
-    ranked: usize,
+    /// The number of endpoints that are ranked.
+    ranked_endpoints: usize,
     warm: WarmEndpoints,
     limits: CapacityLimits,
 }
 
-/// An endpoint that may get the attempt.
+/// An endpoint that is eligible for the attempt.
 struct Candidate {
     slot: usize,
     in_flight: u32,
     /// See [`Endpoint::load_with_one_more`].
     load: f64,
-    /// Its slow start budget would go unused if the attempt went elsewhere.
-    goes_first: bool,
+    /// Whether it precedes other candidates, because its slow start budget would otherwise go unused.
+    is_prioritized: bool,
 }
 
 impl EndpointSelection<'_> {
-    /// The slot of the endpoint; none where no endpoint may get the attempt now.
+    /// Returns the slot of the selected endpoint, or `None` if no endpoint is eligible now.
     pub(crate) fn select(mut self) -> Option<usize> {
         let summary = self.summarize();
         let mut candidates = Vec::with_capacity(self.endpoints.len());
         let mut endpoints_before = 0;
         for position in 0..self.endpoints.len() {
             let slot = self.endpoints.slots()[position];
-            let rank = f64::from(endpoints_before) / summary.ranked as f64;
+            let rank = f64::from(endpoints_before) / summary.ranked_endpoints as f64;
             let is_usable = summary.in_panic || self.endpoints[slot].is_available();
             endpoints_before += u32::from(is_usable);
             if self.may_receive(slot, is_usable) {
                 candidates.extend(self.candidate(slot, rank, &summary));
             }
         }
-        choose(&candidates)
+        choose_candidate(&candidates)
     }
 
-    /// Brings the rates of responses up to date, and takes stock of the listed endpoints.
+    /// Decays the response counts of the ready endpoints and computes the values common to all of them.
     fn summarize(&mut self) -> ListSummary {
         let listed = self.endpoints.len();
         let mut available = 0;
@@ -93,29 +93,32 @@
                 }
             }
         }
-        // Danger: a surge or our own isolation fails health checks everywhere, and the survivors drown.
+        // A surge of load or a network fault at this replica fails health checks at most endpoints.
+        // Without the panic mode, the few remaining ones would be overloaded.
         let in_panic = f64::from(available) < PANIC_SHARE * listed as f64;
         let mean_responses = total_responses / listed.max(1) as f64;
         ListSummary {
             in_panic,
-            ranked: if in_panic { listed } else { available.max(1) as usize },
+            ranked_endpoints: if in_panic { listed } else { available.max(1) as usize },
             warm,
             limits: CapacityLimits::new(self.settings, listed, mean_responses),
         }
     }
 
-    /// Whether an endpoint may get the attempt if it has capacity.
+    /// Returns whether an endpoint is eligible for the attempt, apart from its slow start budget and
+    /// capacity.
     fn may_receive(&self, slot: usize, is_usable: bool) -> bool {
         let endpoint = &self.endpoints[slot];
-        // Danger: health may be wrong everywhere, but who says it is overloaded is; an attempt there costs it
-        // a handshake.
+        // Overload counts even in panic mode: health may be wrong everywhere, but an endpoint that reports
+        // overload is overloaded, and another attempt costs it a handshake.
         (is_usable || self.is_trial(endpoint))
             && !endpoint.capacity.is_overloaded(self.now)
             && !self.request.was_sent_to(slot)
             && self.is_in_scope(endpoint)
     }
 
-    /// A trial of an ejected endpoint is one attempt at a time, and never one that would be lost for good.
+    /// Returns whether the attempt may be the trial of an ejected endpoint. Trials are one at a time, and
+    /// never a non-idempotent request, which could not be retried.
     fn is_trial(&self, endpoint: &Endpoint) -> bool {
         let idempotency = self.settings.classes[self.request.class].idempotency;
         idempotency != Idempotency::NonIdempotent
@@ -129,7 +132,7 @@
         scope.is_shared_by(&self.endpoints[origin].entry, &endpoint.entry)
     }
 
-    /// The endpoint as a candidate, if its slow start budget and its capacity allow the attempt.
+    /// Returns the endpoint as a candidate if its slow start budget and its capacity allow the attempt.
     fn candidate(&mut self, slot: usize, rank: f64, summary: &ListSummary) -> Option<Candidate> {
         let fraction = self.endpoints[slot].slow_start_fraction(self.now, &self.settings.rules);
         let in_slow_start = fraction < 1.0;
@@ -137,11 +140,11 @@
             return None;
         }
         let endpoint = &self.endpoints[slot];
-        // A slow start budget is in parts of an attempt already, and has to be used by the replica that has
-        // it.
+        // A slow start budget already counts fractions of an attempt, and only this replica can use it.
         let rank = if in_slow_start { 0.0 } else { rank };
         let responses = endpoint.capacity.responses.sum;
-        // Danger: retries are many just where there is no capacity, and crowd out what would be in time.
+        // Retries need capacity too: they are most frequent when capacity is short, and would crowd out
+        // requests that could still be answered in time.
         let is_retry = !self.request.attempts.is_empty();
         if !summary.limits.has_capacity(endpoint.in_flight, responses, rank, is_retry) {
             return None;
@@ -151,8 +154,8 @@
             slot,
             in_flight: endpoint.in_flight,
             load: endpoint.load_with_one_more(self.now, self.settings.rules.poll_interval),
-            // Danger: at first an attempt takes many times as long there.
-            goes_first: in_slow_start && is_local && fraction * USUAL_LATENCY_RATIO >= 1.0,
+            // Not early in the slow start, when an attempt takes many times as long.
+            is_prioritized: in_slow_start && is_local && fraction * USUAL_LATENCY_RATIO >= 1.0,
         })
     }
 
@@ -168,15 +171,15 @@
     }
 }
 
-/// The first candidate whose load is about the lowest, those that go first before the others; else the least
-/// loaded.
-fn choose(candidates: &[Candidate]) -> Option<usize> {
+/// Returns the slot of the first candidate whose load is close to the lowest, prioritized candidates
+/// first, or of the least loaded candidate if there is none.
+fn choose_candidate(candidates: &[Candidate]) -> Option<usize> {
     let lowest_in_flight = candidates.iter().map(|candidate| candidate.in_flight).min()?;
     let load_limit = f64::from(lowest_in_flight) + 1.0 + LOAD_ALLOWANCE;
     let preferred = candidates
         .iter()
         .filter(|candidate| candidate.load <= load_limit)
-        .min_by_key(|candidate| !candidate.goes_first);
+        .min_by_key(|candidate| !candidate.is_prioritized);
     let least_loaded = || candidates.iter().min_by(|a, b| a.load.total_cmp(&b.load));
     preferred.or_else(least_loaded).map(|candidate| candidate.slot)
 }
--- a/crates/decisions/src/ewma.rs
+++ b/crates/decisions/src/ewma.rs
@@ -1,7 +1,7 @@
-//! Exponentially weighted figures: arithmetic only.
+//! Exponentially weighted sums and averages.
 //!
-//! [`DecayingSum`] weighs by age (a time constant), [`move_towards`] by the number of samples (a fixed
-//! weight). Every concern that learns from traffic uses these two. This module decides nothing and keeps no
+//! [`DecayingSum`] weights by age (a time constant), [`move_towards`] by the number of samples (a fixed
+//! weight). All modules that learn from traffic use these two. This module only does arithmetic and has no
 //! clock.
 
 use crate::id::Nanos;
@@ -9,22 +9,22 @@
 #[cfg(test)]
 mod tests;
 
-/// A sum whose parts fade exponentially with age.
+/// A sum whose terms decay exponentially with age.
 ///
-/// Divided by the time constant it is a rate: amounts per nanosecond, averaged over about that long.
+/// Divided by the time constant, it is a rate per nanosecond, averaged over about that time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingSum {
-    /// The sum as of `updated_at`, in whatever unit was added.
+    /// The sum as of `updated_at`, in the unit of the amounts added.
     pub(crate) sum: f64,
-    /// When it was last decayed.
+    /// The time of the last decay.
     pub(crate) updated_at: Nanos,
 }
 
 impl DecayingSum {
     /// Decays the sum to `now`, adds an amount and returns the result.
     ///
-    /// `time_constant` is in nanoseconds and greater than 0. A `now` before the last update counts as that
-    /// update.
+    /// `time_constant` is in nanoseconds and greater than 0. A `now` before the last update causes no
+    /// decay.
     pub(crate) fn add(&mut self, now: Nanos, time_constant: f64, amount: f64) -> f64 {
         debug_assert!(time_constant > 0.0, "time constant {time_constant}");
         self.sum = self.sum * (-(now.saturating_sub(self.updated_at) as f64) / time_constant).exp() + amount;
@@ -38,7 +38,7 @@
     }
 }
 
-/// One step of an exponentially weighted moving average: `weight`, 0 to 1, is that of the new sample.
+/// Updates an exponentially weighted moving average with a sample of the given weight, from 0 to 1.
 pub(crate) fn move_towards(average: &mut f64, sample: f64, weight: f64) {
     debug_assert!((0.0..=1.0).contains(&weight), "weight {weight}");
     *average += weight * (sample - *average);
--- a/crates/decisions/src/health_check.rs
+++ b/crates/decisions/src/health_check.rs
@@ -1,27 +1,28 @@
-//! Active health checks: how often an endpoint is checked, and what the last check said.
+//! Active health checks: the check intervals, and the health of an endpoint.
 //!
-//! Every listed endpoint is checked periodically and marked healthy or unhealthy by the result alone, as in
-//! FAS (Fault Avoidance Service; `docs/design.md`). The balancer starts the checks and feeds in their
-//! results; what ordinary attempts tell is in `outlier_detection`.
+//! Every ready endpoint is checked periodically, and only the result makes it healthy or unhealthy, as in
+//! FAS (Fault Avoidance Service; `docs/design.md`). The balancer starts the checks and records their
+//! results. Ordinary attempts are evaluated in `outlier_detection`.
 
 use crate::id::Nanos;
 
 #[cfg(test)]
 mod tests;
 
-/// Checks are meant to be this share of the attempts sent.
+/// The target number of health checks per attempt sent.
 const CHECKS_PER_ATTEMPT: f64 = 0.1;
-/// One that is unhealthy or ejected is checked this many times as often: its place waits for it.
+/// How many times as often an unhealthy or ejected endpoint is checked, so that it returns soon after it
+/// recovers.
 const URGENT_CHECK_FACTOR: Nanos = 8;
-/// Checks come later by up to this part of the period, so that replicas do not fall into step.
+/// The divisor of the period that gives the maximum jitter. Jitter keeps replicas from synchronizing.
 const JITTER_DIVISOR: Nanos = 8;
 
 /// The health of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HealthCheckState {
-    /// Its last check passed, or none has ended yet.
+    /// Whether the last check passed; `true` until a check has ended.
     pub(crate) is_healthy: bool,
-    /// The next check is due then; a timer that fires before is an old one.
+    /// The time of the next check. A timer that fires earlier is outdated.
     pub(crate) next_check_at: Nanos,
 }
 
@@ -31,28 +32,29 @@
     }
 }
 
-/// The interval between two checks of an endpoint, in nanoseconds.
+/// Returns the interval between two checks of an endpoint, in nanoseconds.
 ///
-/// The base is `poll_interval`, the time in which a view of the list has to be renewed. The period shortens
-/// or grows from there, to half and to three times, so that checks stay a small share of this replica's
-/// attempts, however long the list is. `recent_attempts` is their number in about one `poll_interval`.
+/// The base is `poll_interval`, the time within which the list has to be renewed. The interval varies
+/// between half and three times that, so that checks remain a small share of this replica's attempts for
+/// lists of any length. `recent_attempts` is the number of attempts in about one `poll_interval`.
 pub(crate) fn check_period(poll_interval: Nanos, endpoints: usize, recent_attempts: f64) -> Nanos {
-    let wanted = poll_interval as f64 * endpoints as f64 / (recent_attempts.max(1.0) * CHECKS_PER_ATTEMPT);
-    (wanted as Nanos).clamp(poll_interval / 2, 3 * poll_interval)
+    let target_interval =
+        poll_interval as f64 * endpoints as f64 / (recent_attempts.max(1.0) * CHECKS_PER_ATTEMPT);
+    (target_interval as Nanos).clamp(poll_interval / 2, 3 * poll_interval)
 }
 
-/// The most by which a check is delayed at random.
+/// Returns the maximum random delay of a check.
 pub(crate) fn max_jitter(period: Nanos) -> Nanos {
     period / JITTER_DIVISOR
 }
 
-/// The interval for an endpoint that is unhealthy or ejected.
+/// Returns the check interval of an endpoint that is unhealthy or ejected.
 pub(crate) fn urgent_check_period(period: Nanos) -> Nanos {
     period / URGENT_CHECK_FACTOR
 }
 
-/// When an endpoint that was found unhealthy is checked again: before then there is little use in asking, for
-/// clients too.
+/// Returns the delay before an endpoint that failed a check is checked again. It is also the retry delay
+/// for clients, because an earlier retry has little chance of success.
 pub(crate) fn recheck_delay(poll_interval: Nanos) -> Nanos {
     poll_interval / URGENT_CHECK_FACTOR
 }
--- a/crates/decisions/src/in_flight.rs
+++ b/crates/decisions/src/in_flight.rs
@@ -1,18 +1,18 @@
-//! The requests that were taken and not yet completed, and their attempts.
+//! The requests that have not yet completed, and their attempts.
 //!
-//! Plain state: the balancer writes it as events come in; `retry_policy` and `endpoint_selection` read it.
+//! The balancer updates this state with each event; `retry_policy` and `endpoint_selection` read it.
 
 use crate::event::Outcome;
 use crate::id::{Nanos, RequestId};
 use crate::request_queue::QueueDeadlines;
 use std::collections::BTreeMap;
 
-/// One attempt.
+/// One attempt of a request.
 pub(crate) struct Attempt {
-    /// Where it went.
+    /// The slot of the endpoint.
     pub(crate) slot: usize,
     pub(crate) sent_at: Nanos,
-    /// How it ended; none while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
@@ -21,27 +21,27 @@
         self.outcome.is_none()
     }
 
-    /// Unsure means that it may have run.
+    /// Returns whether the attempt may have run. Returns `true` if in doubt.
     pub(crate) fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::was_never_executed)
     }
 }
 
-/// A request that was taken and not yet completed.
+/// A request that has not yet completed.
 pub(crate) struct InFlightRequest {
-    /// Index of its class.
+    /// The index of its class.
     pub(crate) class: usize,
-    /// Size relative to its class.
+    /// The work of the request relative to the mean of its class.
     pub(crate) work_scale: f64,
-    /// What it should take, in nanoseconds.
+    /// The expected duration, in nanoseconds.
     pub(crate) work: f64,
-    /// The client gives up then.
+    /// The time at which the client gives up.
     pub(crate) deadline: Nanos,
-    /// Until when it may wait for an endpoint.
+    /// The times until which the request may wait for an endpoint.
     pub(crate) queue_deadlines: QueueDeadlines,
-    /// In the order in which they were sent.
+    /// The attempts, in the order in which they were sent.
     pub(crate) attempts: Vec<Attempt>,
-    /// The response of one attempt has begun; no further attempt follows.
+    /// Whether the response to an attempt has started, after which no further attempt is sent.
     pub(crate) response_started: bool,
 }
 
@@ -54,11 +54,11 @@
         self.attempts.iter().any(|attempt| attempt.slot == slot)
     }
 
-    /// It waits for an endpoint, or for the end of its last attempt.
+    /// Returns whether the request waits for an endpoint or for the response to its last attempt.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.response_started && self.attempts.last().is_none_or(Attempt::is_in_flight)
     }
 }
 
-/// All of them by their number.
+/// The requests in flight by ID.
 pub(crate) type InFlightRequests = BTreeMap<RequestId, InFlightRequest>;
--- a/crates/decisions/src/learned_state.rs
+++ b/crates/decisions/src/learned_state.rs
@@ -151,10 +151,10 @@
                 learned.tenant_arrivals.iter().copied().map(restore_sum).collect();
         }
         for endpoint in self.endpoints.all_mut() {
-            if let Some(known) = learned.endpoints.get(&*endpoint.entry.name)
-                && known.started == endpoint.entry.started
+            if let Some(stored) = learned.endpoints.get(&*endpoint.entry.name)
+                && stored.started == endpoint.entry.started
             {
-                known.restore_to(endpoint);
+                stored.restore_to(endpoint);
             }
         }
     }
--- a/crates/decisions/src/request_queue.rs
+++ b/crates/decisions/src/request_queue.rs
@@ -1,8 +1,8 @@
 //! The queue of requests for which no endpoint could be selected.
 //!
-//! A request waits there until an endpoint has capacity again or its deadline in the queue passes. The
-//! balancer drains it after every event that may have helped, and arms the timers. The requests themselves
-//! are in `in_flight`.
+//! A request waits until an endpoint has capacity again or its queue deadline passes. The balancer drains
+//! the queue after every event that may have made an endpoint eligible, and sets the timers. The requests
+//! themselves are in `in_flight`.
 
 use crate::id::{Nanos, RequestId};
 use std::collections::BTreeSet;
@@ -11,18 +11,19 @@
 #[cfg(test)]
 mod tests;
 
-/// Part of its time for which a request waits while no endpoint is available at all.
+/// The share of its time left for which a request waits while no endpoint is available.
 const UNAVAILABLE_WAIT_SHARE: f64 = 0.4;
-/// Part of its latency objective for which it waits for capacity: what waits longer is late in any case.
+/// The share of its latency objective for which a request waits for capacity. After a longer wait it would
+/// miss the objective in any case.
 const CAPACITY_WAIT_SHARE: f64 = 0.25;
-/// Queued requests for which no endpoint is found before the rest is left for later.
+/// The number of queued requests without an eligible endpoint after which draining stops.
 pub(crate) const MAX_FAILED_DRAIN_ATTEMPTS: u32 = 3;
 
-/// Until when a request may wait in the queue.
+/// The times until which a request may wait in the queue.
 pub(crate) struct QueueDeadlines {
     /// While no endpoint is available.
     unavailable: Nanos,
-    /// While those available have no capacity.
+    /// While the available endpoints have no capacity.
     at_capacity: Nanos,
 }
 
@@ -34,14 +35,14 @@
         QueueDeadlines { unavailable, at_capacity: unavailable.min(at_capacity) }
     }
 
-    /// The one that holds now.
+    /// Returns the deadline that applies now.
     pub(crate) fn current(&self, any_endpoint_available: bool) -> Nanos {
         debug_assert!(self.at_capacity <= self.unavailable);
         if any_endpoint_available { self.at_capacity } else { self.unavailable }
     }
 }
 
-/// Requests that wait for an endpoint, oldest first: numbers are given in the order of arrival.
+/// The requests that wait for an endpoint, oldest first, since IDs are assigned in the order of arrival.
 #[derive(Default)]
 pub(crate) struct RequestQueue {
     waiting: BTreeSet<RequestId>,
@@ -56,7 +57,7 @@
         self.waiting.remove(&id);
     }
 
-    /// The oldest one, or the oldest after another.
+    /// Returns the oldest request, or the oldest one after `previous`.
     pub(crate) fn next_after(&self, previous: Option<RequestId>) -> Option<RequestId> {
         let from = previous.map_or(Bound::Unbounded, Bound::Excluded);
         self.waiting.range((from, Bound::Unbounded)).next().copied()
--- a/crates/decisions/src/retry_policy.rs
+++ b/crates/decisions/src/retry_policy.rs
@@ -1,10 +1,10 @@
-//! Whether a request may be sent again, where to, and until when.
+//! Whether a request may be sent again, to which endpoints, and until when.
 //!
-//! Two things limit retries: what a second execution would do ([`AttemptPermit`], from the idempotency of the
-//! class), and a retry budget, so that no tier multiplies the failures of the next. The budget is earned by
-//! new requests and spent by attempts after one that may have run, hedged ones too; see "Addressing Cascading
-//! Failures" in "Site Reliability Engineering" (2016) for the method. The balancer asks before every attempt
-//! and every rejection.
+//! Retries are limited by the idempotency of the class ([`AttemptPermit`]) and by a retry budget, which
+//! keeps a tier from multiplying the failures of the next one. New requests add to the budget; attempts
+//! after one that may have run, including hedged attempts, are charged to it. See "Addressing Cascading
+//! Failures" in "Site Reliability Engineering" (2016) for the method. The balancer consults this module
+//! before every attempt and every rejection.
 
 use crate::event::Outcome;
 use crate::id::Nanos;
@@ -14,28 +14,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Retries and hedged attempts that one new request earns.
+/// The number of retries and hedged attempts that one new request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.15;
-/// Most that may be saved up.
+/// The maximum number of retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// A keyed retry is sent this part of the window before its end: it has to arrive inside the window too.
+/// The divisor of the deduplication window that gives the margin before its end within which no retry is
+/// sent, because a retry has to arrive inside the window.
 const WINDOW_MARGIN_DIVISOR: Nanos = 8;
 
-/// What may still be done with a request.
+/// The permission for further attempts of a request and for shedding it.
 pub(crate) struct AttemptPermit {
-    /// An attempt may be sent before then.
+    /// The time before which an attempt may be sent.
     pub(crate) until: Nanos,
-    /// It has to go to an endpoint of the same scope as the one in this slot.
+    /// If set, the attempt must go to an endpoint that shares this scope with the endpoint in this slot.
     pub(crate) scope: Option<(DeduplicationScope, usize)>,
-    /// A client may be told that trying again is harmless.
+    /// Whether the client may be told that a retry is harmless.
     pub(crate) may_shed: bool,
 }
 
 impl AttemptPermit {
     const UNLIMITED: AttemptPermit = AttemptPermit { until: Nanos::MAX, scope: None, may_shed: true };
-    const NOTHING: AttemptPermit = AttemptPermit { until: 0, scope: None, may_shed: false };
+    const DENIED: AttemptPermit = AttemptPermit { until: 0, scope: None, may_shed: false };
 
-    /// The one place that says what may still be done with a request.
+    /// Returns the permission for a request. This is the only place that decides on repeated execution.
     pub(crate) fn of(request: &InFlightRequest, idempotency: Idempotency) -> AttemptPermit {
         let Some(first) = request.attempts.iter().find(|attempt| attempt.may_have_run()) else {
             return AttemptPermit::UNLIMITED;
@@ -43,7 +44,7 @@
         match idempotency {
             Idempotency::Idempotent => AttemptPermit::UNLIMITED,
             Idempotency::Keyed { scope, window } => AttemptPermit::within_window(first, scope, window),
-            Idempotency::NonIdempotent => AttemptPermit::NOTHING,
+            Idempotency::NonIdempotent => AttemptPermit::DENIED,
         }
     }
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// Retries that may be sent after attempts that may have run.
+/// The budget of retries and hedged attempts after attempts that may have run.
 pub(crate) struct RetryBudget {
     pub(crate) tokens: f64,
 }
@@ -66,13 +67,13 @@
         RetryBudget { tokens: 1.0 }
     }
 
-    /// A new request was taken.
+    /// Records a new request.
     pub(crate) fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether a retry after `outcome` may be sent. Danger: every tier retrying multiplies a failure; only an
-    /// attempt that never ran is repeated for free.
+    /// Returns whether a retry after `outcome` may be sent. Retries in every tier would multiply a
+    /// failure, so only a retry of an attempt that never ran needs no token.
     pub(crate) fn allows_retry_after(&self, outcome: Outcome) -> bool {
         outcome.was_never_executed() || self.has_token()
     }
