--- a/crates/decisions/src/admission/tests.rs
+++ b/crates/decisions/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! When load is shed, and whose.
+//! Tests of load shedding and tenant quotas.
 
 use super::*;
 use crate::latency_estimate::LatencySample;
@@ -9,7 +9,7 @@
 const NOW: Nanos = 1000 * SECOND;
 const OBJECTIVE: Nanos = 200 * MS;
 
-/// Two classes of the same work, the second worth a quarter of the first.
+/// Two classes of the same work; the second has a quarter of the first one's weight.
 fn settings() -> Settings {
     let class = Class { latency_objective: OBJECTIVE, ..Class::default() };
     let cheap = Class { priority_weight: 0.25, ..class.clone() };
@@ -20,8 +20,12 @@
     settings
 }
 
-/// After `responses` responses a moment ago, each of which took `duration`.
-fn after(settings: &Settings, responses: u32, duration: Nanos) -> (AdmissionControl, LatencyEstimates) {
+/// Returns the state after `responses` responses at `NOW`, each of which took `duration`.
+fn after_responses(
+    settings: &Settings,
+    responses: u32,
+    duration: Nanos,
+) -> (AdmissionControl, LatencyEstimates) {
     let mut admission = AdmissionControl::new(settings.tenants.len());
     let mut latencies = LatencyEstimates::new(&settings.classes);
     for class in [0, 1] {
@@ -36,10 +40,10 @@
     (admission, latencies)
 }
 
-/// The least number of requests in flight at which one more is rejected.
+/// Returns the least number of requests in flight, including a new one, at which the new one is rejected.
 fn limit(class: usize, over_quota: bool, responses: u32, duration: Nanos) -> Option<usize> {
     let settings = settings();
-    let (mut admission, latencies) = after(&settings, responses, duration);
+    let (mut admission, latencies) = after_responses(&settings, responses, duration);
     (1..10_000).find(|&in_flight| {
         let request = AdmissionRequest { class, over_quota, in_flight };
         admission.rejects(NOW, &request, &settings, &latencies).is_some()
@@ -47,9 +51,9 @@
 }
 
 #[test]
-fn more_in_flight_than_answered_in_the_objective_is_rejected() {
+fn request_is_rejected_if_more_are_in_flight_than_answered_in_the_objective() {
     let limit = limit(0, false, 400, OBJECTIVE).expect("a limit");
-    assert!((400..=402).contains(&limit), "{limit} where 400 are answered, and one is slack");
+    assert!((400..=402).contains(&limit), "limit {limit}, expected 400 responses and a slack of 1");
 }
 
 #[test]
@@ -58,32 +62,32 @@
 }
 
 #[test]
-fn class_of_less_weight_and_request_over_quota_are_rejected_earlier() {
+fn lower_weight_or_exceeded_quota_reduces_the_limit() {
     let full = limit(0, false, 400, OBJECTIVE).expect("a limit") as f64;
     for (class, over_quota, root) in [(1, false, 0.5), (0, true, 0.5), (1, true, 0.25)] {
-        let earlier = limit(class, over_quota, 400, OBJECTIVE).expect("a limit") as f64;
-        assert!((earlier / full - root).abs() < 0.02, "class {class}: {earlier} of {full}");
+        let reduced = limit(class, over_quota, 400, OBJECTIVE).expect("a limit") as f64;
+        assert!((reduced / full - root).abs() < 0.02, "class {class}: limit {reduced} of {full}");
     }
 }
 
 #[test]
-fn rejected_client_is_told_about_the_time_to_serve_what_is_in_flight() {
+fn rejection_returns_the_time_to_serve_the_requests_in_flight() {
     let settings = settings();
-    let (mut admission, latencies) = after(&settings, 400, OBJECTIVE);
+    let (mut admission, latencies) = after_responses(&settings, 400, OBJECTIVE);
     let request = AdmissionRequest { class: 0, over_quota: false, in_flight: 800 };
     let wait = admission.rejects(NOW, &request, &settings, &latencies);
     assert_eq!(wait, Some(2 * OBJECTIVE));
 }
 
-/// How many of a thousand requests of the first tenant are over its quota, with so many of the other between
-/// them.
-fn over_quota(others: u32, gap: Nanos) -> usize {
+/// Returns how many of 1,000 requests of the first tenant, sent at `interval`, are over its quota. The
+/// second tenant sends `others` requests with each of them.
+fn count_over_quota(others: u32, interval: Nanos) -> usize {
     let settings = settings();
     let mut admission = AdmissionControl::new(settings.tenants.len());
     let mut rng = fastrand::Rng::with_seed(1);
     let mut now = NOW;
     let draws = (0..1_000).filter(|_| {
-        now += gap;
+        now += interval;
         for _ in 0..others {
             admission.is_over_quota(now, 1, &settings, &mut rng);
         }
@@ -93,15 +97,15 @@
 }
 
 #[test]
-fn what_exceeds_the_quota_is_drawn_in_proportion() {
-    assert_eq!(over_quota(0, SECOND / 5), 0, "five a second of ten");
-    let twice = over_quota(0, SECOND / 20);
+fn requests_over_quota_are_chosen_in_proportion_to_the_excess() {
+    assert_eq!(count_over_quota(0, SECOND / 5), 0, "5 per second, quota 10");
+    let twice = count_over_quota(0, SECOND / 20);
     assert!((250..=500).contains(&twice), "{twice} of 1,000 at twice the quota");
 }
 
 #[test]
-fn excess_is_granted_where_the_others_exceed_their_quotas_as_far() {
-    assert_eq!(over_quota(2, SECOND / 20), 0);
+fn quota_is_raised_if_other_tenants_exceed_theirs_as_much() {
+    assert_eq!(count_over_quota(2, SECOND / 20), 0);
 }
 
 #[test]
--- a/crates/decisions/src/capacity/tests.rs
+++ b/crates/decisions/src/capacity/tests.rs
@@ -1,4 +1,4 @@
-//! Limits on attempts in flight.
+//! Tests of the limits on attempts in flight.
 
 use super::*;
 use crate::settings::Class;
@@ -12,42 +12,42 @@
     CapacityLimits::new(&settings, endpoints, mean_responses)
 }
 
-/// The most attempts that may be in flight, with one more allowed at each lower count.
-fn most_in_flight(limits: &CapacityLimits, responses: f64, rank: f64) -> u32 {
+/// Returns the number of attempts in flight at which no further one is allowed.
+fn max_in_flight(limits: &CapacityLimits, responses: f64, rank: f64) -> u32 {
     (0..=u32::MAX)
         .find(|in_flight| !limits.has_capacity(*in_flight, responses, rank, false))
         .unwrap_or(u32::MAX)
 }
 
 #[test]
-fn endpoint_may_hold_what_it_answers_in_half_the_shortest_objective() {
-    // 300 responses over the time constant of 3 s: 100 a second, and 10 in 100 ms.
-    assert_eq!(most_in_flight(&limits(0, 1, 4, 300.0), 300.0, 0.0), 10);
-    assert_eq!(most_in_flight(&limits(0, 1, 4, 300.0), 600.0, 0.0), 20, "one twice as fast as the mean");
+fn limit_is_the_number_of_responses_in_half_the_shortest_objective() {
+    // 300 responses over the time constant of 3 s are 100 per second and 10 in 100 ms.
+    assert_eq!(max_in_flight(&limits(0, 1, 4, 300.0), 300.0, 0.0), 10);
+    assert_eq!(max_in_flight(&limits(0, 1, 4, 300.0), 600.0, 0.0), 20, "twice as fast as the mean");
 }
 
 #[test]
-fn endpoint_without_responses_may_hold_six_attempts() {
-    assert_eq!(most_in_flight(&limits(0, 1, 4, 0.0), 0.0, 0.0), 6);
-    assert_eq!(most_in_flight(&limits(0, 2, 4, 0.0), 0.0, 1.0), 6);
+fn limit_without_responses_is_six_attempts() {
+    assert_eq!(max_in_flight(&limits(0, 1, 4, 0.0), 0.0, 0.0), 6);
+    assert_eq!(max_in_flight(&limits(0, 2, 4, 0.0), 0.0, 1.0), 6);
     assert_eq!(
-        most_in_flight(&limits(1, 100, 4, 0.0), 0.0, 1.0),
+        max_in_flight(&limits(1, 100, 4, 0.0), 0.0, 1.0),
         6,
-        "below the first tier nothing is shared"
+        "the limit is not shared below the first tier"
     );
 }
 
 #[test]
-fn replicas_of_the_first_tier_share_twelve_attempts_and_keep_six_over_all_endpoints() {
-    assert_eq!(most_in_flight(&limits(0, 12, 100, 0.0), 0.0, 0.0), 1);
-    // Of a hundred replicas each has six at sixteen endpoints: at those that it prefers.
+fn first_tier_replicas_share_twelve_attempts_per_endpoint_and_have_six_in_total() {
+    assert_eq!(max_in_flight(&limits(0, 12, 100, 0.0), 0.0, 0.0), 1);
+    // Each of 100 replicas has six attempts over 16 endpoints, at those that it prefers.
     let limits = limits(0, 100, 16, 0.0);
-    let in_all: u32 = (0..16).map(|n| most_in_flight(&limits, 0.0, f64::from(n) / 16.0)).sum();
-    assert_eq!(in_all, 7, "each rounded up");
+    let total: u32 = (0..16).map(|n| max_in_flight(&limits, 0.0, f64::from(n) / 16.0)).sum();
+    assert_eq!(total, 7, "six, rounded up per endpoint");
 }
 
 #[test]
-fn rate_is_shrunk_towards_the_mean_where_few_responses_are_seen() {
+fn rate_is_shrunk_towards_the_mean_with_few_responses() {
     let limits = limits(0, 100, 1, 2.0);
     let rate_of = |responses| limits.limit(responses, PRIOR_RESPONSES) / limits.limit(2.0, PRIOR_RESPONSES);
     assert_eq!(limits.limit(0.0, PRIOR_RESPONSES), limits.min_limit);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn retry_needs_no_capacity_only_where_up_to_two_replicas_send() {
+fn retry_needs_no_capacity_only_if_the_limit_is_not_shared() {
     assert!(limits(0, 2, 4, 0.0).has_capacity(100, 0.0, 0.0, true));
     assert!(limits(1, 100, 4, 0.0).has_capacity(100, 0.0, 0.0, true));
     assert!(!limits(0, 3, 4, 0.0).has_capacity(100, 0.0, 0.0, true));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn overloaded_endpoint_is_so_until_the_given_time() {
+fn endpoint_is_overloaded_until_the_given_time() {
     let capacity = EndpointCapacity { overloaded_until: 1_000, ..EndpointCapacity::default() };
     assert!(capacity.is_overloaded(999));
     assert!(!capacity.is_overloaded(1_000));
--- a/crates/decisions/src/ewma/tests.rs
+++ b/crates/decisions/src/ewma/tests.rs
@@ -1,18 +1,18 @@
-//! The two averages.
+//! Tests of decaying sums and moving averages.
 
 use super::*;
 
 #[test]
-fn sum_fades_by_a_factor_of_e_over_its_time_constant() {
+fn sum_decays_by_a_factor_of_e_over_its_time_constant() {
     let mut sum = DecayingSum::default();
     assert_eq!(sum.add(1_000, 500.0, 8.0), 8.0);
-    assert_eq!(sum.decay(1_000, 500.0), 8.0, "no time has passed");
-    let faded = sum.decay(1_500, 500.0);
-    assert!((faded - 8.0 / std::f64::consts::E).abs() < 1e-12, "{faded}");
+    assert_eq!(sum.decay(1_000, 500.0), 8.0, "no decay at the time of the update");
+    let decayed = sum.decay(1_500, 500.0);
+    assert!((decayed - 8.0 / std::f64::consts::E).abs() < 1e-12, "{decayed}");
 }
 
 #[test]
-fn time_before_the_last_update_counts_as_that_update() {
+fn time_before_the_last_update_causes_no_decay() {
     let mut sum = DecayingSum::default();
     sum.add(1_000, 500.0, 1.0);
     assert_eq!(sum.add(400, 500.0, 1.0), 2.0);
--- a/crates/decisions/src/health_check/tests.rs
+++ b/crates/decisions/src/health_check/tests.rs
@@ -1,24 +1,24 @@
-//! How often endpoints are checked.
+//! Tests of the health check intervals.
 
 use super::*;
 
 const POLL_INTERVAL: Nanos = 10_000;
 
 #[test]
-fn checks_are_a_tenth_of_the_attempts_between_half_and_three_times_the_poll_interval() {
+fn check_period_targets_a_tenth_of_the_attempts_within_half_to_three_poll_intervals() {
     for (endpoints, recent_attempts, period) in [
-        (10, 100.0, POLL_INTERVAL),         // ten checks to a hundred attempts
+        (10, 100.0, POLL_INTERVAL),         // 10 checks for 100 attempts
         (10, 50.0, 2 * POLL_INTERVAL),      // half as many attempts, half as many checks
-        (10, 0.0, 3 * POLL_INTERVAL),       // no attempts, but it is still checked
-        (10, 100_000.0, POLL_INTERVAL / 2), // many attempts
-        (0, 100.0, POLL_INTERVAL / 2),      // nothing listed
+        (10, 0.0, 3 * POLL_INTERVAL),       // checks continue without attempts
+        (10, 100_000.0, POLL_INTERVAL / 2), // lower bound with many attempts
+        (0, 100.0, POLL_INTERVAL / 2),      // empty endpoint list
     ] {
         assert_eq!(check_period(POLL_INTERVAL, endpoints, recent_attempts), period, "{recent_attempts}");
     }
 }
 
 #[test]
-fn timer_of_a_check_that_was_rescheduled_is_not_due() {
+fn check_is_due_at_its_scheduled_time_and_not_before() {
     let state = HealthCheckState { is_healthy: true, next_check_at: 500 };
     assert!(!state.is_due(499));
     assert!(state.is_due(500));
--- a/crates/decisions/src/learned_state/tests.rs
+++ b/crates/decisions/src/learned_state/tests.rs
@@ -1,44 +1,44 @@
-//! What a new process makes of what the old one has learned.
+//! Tests of restoring learned state in a new process.
 
 use crate::*;
 
 const S: Nanos = 1_000_000_000;
 
-/// Takes twenty requests a second, each answered at once, and says how many of them went to an endpoint.
+/// Handles 20 requests per second, each answered at once. Returns how many were sent to `endpoint`.
 fn serve(balancer: &mut Balancer, from: u64, seconds: u64, endpoint: EndpointId) -> usize {
-    let mut there = 0;
+    let mut sent_to_endpoint = 0;
     for n in 0..seconds * 20 {
         let (now, mut out) = ((1000 + from) * S + n * S / 20, Vec::new());
         let request = RequestId(from * 1000 + n);
         balancer.handle(now, Event::RequestArrived(Request::new(request, ClassId(0), S)), &mut out);
-        let sent = out.iter().find_map(|action| match action {
+        let selected = out.iter().find_map(|action| match action {
             Action::StartAttempt { endpoint, .. } => Some(*endpoint),
             _ => None,
         });
-        let Some(at) = sent else { continue };
-        there += usize::from(at == endpoint);
-        let (outcome, took, load) = (Outcome::Ok, S / 100, None);
+        let Some(at) = selected else { continue };
+        sent_to_endpoint += usize::from(at == endpoint);
+        let (outcome, duration, load) = (Outcome::Ok, S / 100, None);
         let end = AttemptEnd {
             request,
             attempt: 0,
             endpoint: at,
             outcome,
-            duration: took,
+            duration,
             request_completed: true,
             load,
         };
         balancer.handle(now, Event::AttemptEnded(end), &mut Vec::new());
     }
-    there
+    sent_to_endpoint
 }
 
 #[test]
-fn restored_replica_avoids_unhealthy_endpoint_and_uses_the_slow_start_rate_that_was_learned() {
+fn restored_replica_avoids_unhealthy_endpoint_and_uses_the_learned_rate_for_slow_start() {
     let settings = Settings { classes: vec![Class::default()], ..Settings::default() };
     let start = |now| {
         let entry =
             |n, name: &str, started| EndpointEntry { started, ..EndpointEntry::ready(EndpointId(n), name) };
-        // In a release: the cold endpoint is another process for the next replica.
+        // As during a release: the cold endpoint has restarted before each replica starts.
         let list = vec![entry(0, "warm", None), entry(1, "cold", Some(now - S))];
         let mut balancer = Balancer::new(settings.clone(), 1, now);
         balancer.handle(now, Event::Endpoints(EndpointUpdate::Snapshot(list)), &mut Vec::new());
@@ -59,7 +59,7 @@
     fails_health_check(&mut fresh);
     let cold = EndpointId(1);
     let [restored, fresh] = [&mut restored, &mut fresh].map(|balancer| serve(balancer, 10, 3, cold));
-    assert!(restored > 20 && fresh < 5, "{restored} of 60, and {fresh} where nothing was handed over");
+    assert!(restored > 20 && fresh < 5, "{restored} of 60 with restored state, {fresh} without");
 }
 
 #[test]
--- a/crates/decisions/src/retry_policy/tests.rs
+++ b/crates/decisions/src/retry_policy/tests.rs
@@ -1,4 +1,4 @@
-//! What may be retried, and the budget.
+//! Tests of attempt permits and the retry budget.
 
 use super::*;
 use crate::request_queue::QueueDeadlines;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn keyed_retry_is_bound_to_the_scope_and_window_of_the_first_attempt_that_may_have_run() {
+fn keyed_retry_is_limited_to_the_scope_and_window_of_the_first_attempt_that_may_have_run() {
     let attempts = vec![
         attempt(3, 100, Some(Outcome::ConnectFailed)),
         attempt(5, 200, Some(Outcome::Timeout)),
@@ -60,20 +60,20 @@
 }
 
 #[test]
-fn keyed_request_may_be_shed_where_every_endpoint_drops_a_repeat() {
+fn keyed_request_may_be_shed_only_if_all_endpoints_share_the_scope() {
     let attempts = || vec![attempt(0, 100, Some(Outcome::Error))];
     assert!(permit(keyed(DeduplicationScope::All), attempts()).may_shed);
     assert!(!permit(keyed(DeduplicationScope::Cell), attempts()).may_shed);
 }
 
 #[test]
-fn budget_is_earned_by_requests_up_to_a_bound_and_spent_by_retries() {
+fn requests_add_to_the_budget_up_to_a_maximum_and_retries_use_it() {
     let mut budget = RetryBudget::new();
     assert!(budget.has_token(), "the first failure may be retried");
     budget.withdraw();
     assert!(!budget.has_token());
     (0..6).for_each(|_| budget.deposit());
-    assert!(!budget.has_token(), "six requests earn less than one retry");
+    assert!(!budget.has_token(), "six requests add less than one token");
     budget.deposit();
     assert!(budget.has_token());
     (0..1_000).for_each(|_| budget.deposit());
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn retry_of_what_never_ran_needs_no_token() {
+fn retry_of_attempt_that_never_ran_needs_no_token() {
     let mut budget = RetryBudget::new();
     budget.withdraw();
     assert!(budget.allows_retry_after(Outcome::Overloaded));
--- a/crates/decisions/src/slow_start/tests.rs
+++ b/crates/decisions/src/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! The slow start fraction and the token budget.
+//! Tests of the slow start fraction and the token budget.
 
 use super::*;
 use crate::settings::Settings;
@@ -15,7 +15,7 @@
     }
 }
 
-/// Two warm endpoints of the size 1 that give `per_s` responses a second each.
+/// Two warm endpoints with a relative capacity of 1 and `per_s` responses per second each.
 fn warm(per_s: f64) -> WarmEndpoints {
     let mut warm = WarmEndpoints::default();
     for _ in 0..2 {
@@ -36,18 +36,18 @@
 }
 
 #[test]
-fn budget_fills_at_part_of_the_warm_rate_times_fraction_and_multiple() {
-    // 100 a second, times 0.1, times 2.0, times 0.6.
+fn refill_rate_is_a_share_of_the_warm_rate_times_fraction_and_multiple() {
+    // 100 per second, times the fraction 0.1, times the multiple 2.0, times the share 0.6.
     let refill = BudgetRefill::new(&warm(100.0), 1.0, 0.1, 0.0, &rules());
     assert!((refill.rate * 1e9 - 12.0).abs() < 1e-9, "{}", refill.rate);
     let small = BudgetRefill::new(&warm(100.0), 0.5, 0.1, 0.0, &rules());
-    assert!((small.rate * 1e9 - 6.0).abs() < 1e-9, "half the size, half the rate: {}", small.rate);
+    assert!((small.rate * 1e9 - 6.0).abs() < 1e-9, "half the capacity, half the rate: {}", small.rate);
     let large = BudgetRefill::new(&warm(100.0), 4.0, 0.1, 0.0, &rules());
-    assert_eq!(large.rate, refill.rate, "no larger than the mean counts");
+    assert_eq!(large.rate, refill.rate, "capacity counts up to the mean");
 }
 
 #[test]
-fn rate_sent_takes_the_place_of_responses_where_no_endpoint_is_warm() {
+fn refill_uses_the_rate_sent_without_warm_endpoints() {
     let refill = BudgetRefill::new(&WarmEndpoints::default(), 1.0, 0.5, 20e-9, &rules());
     assert!((refill.rate * 1e9 - 12.0).abs() < 1e-9, "{}", refill.rate);
     let unknown = BudgetRefill::new(&WarmEndpoints::default(), 1.0, 0.5, 0.0, &rules());
@@ -55,17 +55,17 @@
 }
 
 #[test]
-fn debt_is_paid_before_the_next_attempt() {
+fn overdraft_is_refilled_before_the_next_attempt() {
     let refill = BudgetRefill::new(&warm(100.0), 1.0, 0.1, 0.0, &rules());
     let mut budget = SlowStartBudget::new(0, 0.0);
     assert!(budget.allows(0, 1.0, &refill));
     budget.withdraw(1.0);
-    assert!(!budget.allows(SECOND / 24, 1.0, &refill), "half of the token is there");
+    assert!(!budget.allows(SECOND / 24, 1.0, &refill), "only half of the token is refilled");
     assert!(budget.allows(SECOND / 12 + 1, 1.0, &refill));
 }
 
 #[test]
-fn heavy_request_needs_its_excess_work_saved_up() {
+fn heavy_request_needs_savings_for_its_excess_work() {
     let refill = BudgetRefill::new(&warm(100.0), 1.0, 0.1, 0.0, &rules());
     let mut budget = SlowStartBudget::new(0, 0.0);
     assert!(!budget.allows(0, 3.0, &refill));
@@ -73,17 +73,17 @@
 }
 
 #[test]
-fn savings_are_bounded_by_half_a_window_beside_warm_endpoints() {
+fn savings_are_at_most_half_a_window_with_warm_endpoints() {
     let refill = BudgetRefill::new(&warm(100.0), 1.0, 0.1, 0.0, &rules());
     let mut budget = SlowStartBudget::new(0, 0.0);
     budget.allows(3_600 * SECOND, 1.0, &refill);
-    assert!((5.0..=6.0).contains(&budget.tokens), "{} of 12 a window", budget.tokens);
+    assert!((5.0..=6.0).contains(&budget.tokens), "{} of 12 tokens per window", budget.tokens);
 }
 
 #[test]
-fn lone_endpoint_saves_up_one_rare_request() {
+fn savings_without_warm_endpoints_suffice_for_one_rare_request() {
     let refill = BudgetRefill::new(&WarmEndpoints::default(), 1.0, 0.1, 1e-12, &rules());
     let mut budget = SlowStartBudget::new(0, 0.0);
-    assert!(budget.allows(1_000_000 * SECOND, 4.0, &refill), "its excess work is saved up");
-    assert!((budget.tokens - 5.0).abs() < 1e-9, "{}: 1.5 times its work, less one", budget.tokens);
+    assert!(budget.allows(1_000_000 * SECOND, 4.0, &refill), "the savings cover the excess work");
+    assert!((budget.tokens - 5.0).abs() < 1e-9, "{}, expected 1.5 times the work, less one", budget.tokens);
 }
--- a/crates/decisions/src/status_view/tests.rs
+++ b/crates/decisions/src/status_view/tests.rs
@@ -1,4 +1,4 @@
-//! Each status, from the events that lead to it.
+//! Tests of each status after the events that lead to it.
 
 use crate::*;
 
@@ -26,7 +26,7 @@
     let mut list: Vec<_> =
         names.iter().zip(0..).map(|(name, n)| EndpointEntry::ready(EndpointId(n), name)).collect();
     list[4].started = Some(990 * S);
-    list[5].started = Some(900 * S); // its slow start is long over
+    list[5].started = Some(900 * S); // 100 s ago, after the slow start window of 30 s
     handle(&mut balancer, Event::Endpoints(EndpointUpdate::Cached(list.clone())));
     list[0].state = EndpointState::Draining;
     handle(&mut balancer, Event::Endpoints(EndpointUpdate::Delta(list[..1].to_vec())));
