--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A balancer with a clock, for hand-made sequences of events.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! A balancer with a clock, for hand-written sequences of events.
+#![allow(dead_code, reason = "each test file uses a part of the module")]
 
 use olivecart_decisions::*;
 
@@ -20,8 +20,8 @@
     s
 }
 
-/// `n` warm endpoints, two to a cell, all in the first zone.
-pub fn list(n: u32) -> Vec<EndpointEntry> {
+/// Returns `n` warm endpoints, two per cell, all in the first zone.
+pub fn endpoint_entries(n: u32) -> Vec<EndpointEntry> {
     let entry = |i| EndpointEntry {
         cell: CellId(u64::from(i / 2)),
         ..EndpointEntry::ready(EndpointId(i), &format!("e{i}"))
@@ -29,57 +29,57 @@
     (0..n).map(entry).collect()
 }
 
-pub struct Bench {
+pub struct TestBalancer {
     pub balancer: Balancer,
     pub now: Nanos,
-    next: u64,
+    next_id: u64,
 }
 
-impl Bench {
-    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Bench {
-        Bench::seeded(1, settings, entries)
+impl TestBalancer {
+    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> TestBalancer {
+        TestBalancer::seeded(1, settings, entries)
     }
 
-    pub fn seeded(seed: u64, settings: Settings, entries: Vec<EndpointEntry>) -> Bench {
+    pub fn seeded(seed: u64, settings: Settings, entries: Vec<EndpointEntry>) -> TestBalancer {
         let now = 1000 * S;
-        let mut bench = Bench { balancer: Balancer::new(settings, seed, now), now, next: 0 };
-        bench.list(EndpointUpdate::Cached(entries));
-        bench
+        let mut balancer = TestBalancer { balancer: Balancer::new(settings, seed, now), now, next_id: 0 };
+        balancer.update_endpoints(EndpointUpdate::Cached(entries));
+        balancer
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, change: EndpointUpdate) -> Vec<Action> {
-        self.tell(Event::Endpoints(change))
+    pub fn update_endpoints(&mut self, update: EndpointUpdate) -> Vec<Action> {
+        self.handle(Event::Endpoints(update))
     }
 
-    pub fn state(&mut self, entry: &EndpointEntry, state: EndpointState) -> Vec<Action> {
-        self.list(EndpointUpdate::Delta(vec![EndpointEntry { state, ..entry.clone() }]))
+    pub fn set_state(&mut self, entry: &EndpointEntry, state: EndpointState) -> Vec<Action> {
+        self.update_endpoints(EndpointUpdate::Delta(vec![EndpointEntry { state, ..entry.clone() }]))
     }
 
-    pub fn request(&mut self, left: Nanos) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
-        (id, self.tell(Event::RequestArrived(Request::new(id, ClassId(0), left))))
+    pub fn request(&mut self, time_left: Nanos) -> (RequestId, Vec<Action>) {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        (id, self.handle(Event::RequestArrived(Request::new(id, ClassId(0), time_left))))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: u32,
-        at: EndpointId,
+        endpoint: EndpointId,
         outcome: Outcome,
         duration: Nanos,
     ) -> Vec<Action> {
         let request_completed = outcome == Outcome::Ok;
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
-            endpoint: at,
+            endpoint,
             outcome,
             duration,
             request_completed,
@@ -87,32 +87,32 @@
         }))
     }
 
-    pub fn check(&mut self, endpoint: EndpointId, outcome: Outcome) -> Vec<Action> {
-        self.tell(Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None })
+    pub fn complete_health_check(&mut self, endpoint: EndpointId, outcome: Outcome) -> Vec<Action> {
+        self.handle(Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None })
     }
 
-    /// A request that is served at once where it is sent.
+    /// Sends a request, completes it successfully after `duration` and returns the endpoint.
     pub fn serve(&mut self, duration: Nanos) -> EndpointId {
         let (id, actions) = self.request(S);
-        let at = sent(&actions).expect("sent");
+        let at = selected_endpoint(&actions).expect("sent");
         self.now += duration;
-        self.end(id, 0, at, Outcome::Ok, duration);
+        self.end_attempt(id, 0, at, Outcome::Ok, duration);
         at
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<EndpointId> {
+pub fn selected_endpoint(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|a| match a {
         Action::StartAttempt { endpoint, .. } => Some(*endpoint),
         _ => None,
     })
 }
 
-pub fn shed(actions: &[Action]) -> bool {
+pub fn is_shed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Shed { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn has_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
 
--- a/crates/decisions/tests/invariants.rs
+++ b/crates/decisions/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Random legal sequences of events against an invariant checker of the rules: it keeps the account of one
-//! replica's requests and lists; it does not model servers.
+//! Property tests: random valid sequences of events, with a checker of the invariants. The checker tracks
+//! the requests and the endpoint list of one replica; it does not model servers.
 
 mod common;
 use common::*;
@@ -11,11 +11,11 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
-    Arrive { class: u16, left_ms: u64 },
+    Arrive { class: u16, time_left_ms: u64 },
     End { pick: usize, outcome: Outcome },
     Abort(usize),
     State { endpoint: u32, state: EndpointState, restarted: bool },
-    Check { endpoint: u32, ok: bool },
+    Check { endpoint: u32, passes: bool },
     ListFails,
 }
 
@@ -30,12 +30,12 @@
     ]);
     let step = prop_oneof![
         3 => (1..200u64).prop_map(Step::Wait),
-        6 => (0..3u16, 0..1200u64).prop_map(|(class, left_ms)| Step::Arrive { class, left_ms }),
+        6 => (0..3u16, 0..1200u64).prop_map(|(class, time_left_ms)| Step::Arrive { class, time_left_ms }),
         6 => (any::<usize>(), outcome).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
         1 => any::<usize>().prop_map(Step::Abort),
         1 => (0..8u32, state, any::<bool>())
             .prop_map(|(endpoint, state, restarted)| Step::State { endpoint, state, restarted }),
-        1 => (0..8u32, any::<bool>()).prop_map(|(endpoint, ok)| Step::Check { endpoint, ok }),
+        1 => (0..8u32, any::<bool>()).prop_map(|(endpoint, passes)| Step::Check { endpoint, passes }),
         1 => Just(Step::ListFails),
     ];
     prop::collection::vec(step, 1..150)
@@ -43,138 +43,145 @@
 
 struct Attempt {
     endpoint: EndpointId,
-    sent: Nanos,
-    due: Nanos,
-    done: Option<Outcome>,
+    sent_at: Nanos,
+    times_out_at: Nanos,
+    outcome: Option<Outcome>,
 }
 
-struct Account {
+struct TrackedRequest {
     class: usize,
     deadline: Nanos,
     ended: bool,
     attempts: Vec<Attempt>,
 }
 
-/// What one replica was told and did, and whether that keeps the rules.
+/// Drives one replica and checks its actions against the invariants.
 struct Checker {
     balancer: Balancer,
     settings: Settings,
     now: Nanos,
     entries: Vec<EndpointEntry>,
-    accounts: BTreeMap<RequestId, Account>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     timers: BTreeSet<(Nanos, Timer)>,
     actions: Vec<Action>,
 }
 
 impl Checker {
-    fn tell(&mut self, event: Event) -> Result<(), TestCaseError> {
+    fn handle(&mut self, event: Event) -> Result<(), TestCaseError> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.act(action)?;
+            self.check_action(action)?;
         }
         self.actions.extend(actions);
         Ok(())
     }
 
-    fn act(&mut self, action: &Action) -> Result<(), TestCaseError> {
+    fn check_action(&mut self, action: &Action) -> Result<(), TestCaseError> {
         match action {
             Action::StartAttempt { request, endpoint, timeout, .. } => {
                 let entry = &self.entries[endpoint.0 as usize];
-                prop_assert_eq!(
-                    entry.state,
-                    EndpointState::Ready,
-                    "sent to an endpoint that does not take requests"
-                );
-                let account = self.accounts.get_mut(request).expect("known");
-                prop_assert!(!account.ended, "sent for a request that has ended");
-                prop_assert!(account.attempts.len() < self.settings.limits.max_attempts as usize);
+                prop_assert_eq!(entry.state, EndpointState::Ready, "endpoint is not ready");
+                let tracked = self.requests.get_mut(request).expect("known");
+                prop_assert!(!tracked.ended, "attempt for a request that has ended");
+                prop_assert!(tracked.attempts.len() < self.settings.limits.max_attempts as usize);
                 let ran =
-                    account.attempts.iter().filter(|a| !a.done.is_some_and(Outcome::was_never_executed));
+                    tracked.attempts.iter().filter(|a| !a.outcome.is_some_and(Outcome::was_never_executed));
                 for earlier in ran.clone() {
-                    match self.settings.classes[account.class].idempotency {
+                    match self.settings.classes[tracked.class].idempotency {
                         Idempotency::Idempotent => {}
-                        Idempotency::NonIdempotent => prop_assert!(false, "an unsafe request was sent again"),
+                        Idempotency::NonIdempotent => prop_assert!(false, "non-idempotent request repeated"),
                         Idempotency::Keyed { scope, window } => {
                             prop_assert!(
                                 scope.is_shared_by(&self.entries[earlier.endpoint.0 as usize], entry)
                             );
-                            prop_assert!(self.now - earlier.sent < window);
+                            prop_assert!(self.now - earlier.sent_at < window);
                         }
                     }
                 }
-                let out = account.attempts.iter().any(|a| a.done.is_none());
-                prop_assert!(self.settings.limits.hedging_enabled || !out, "two attempts out at once");
-                let due =
-                    if *timeout == 0 { account.deadline } else { account.deadline.min(self.now + timeout) };
-                account.attempts.push(Attempt { endpoint: *endpoint, sent: self.now, due, done: None });
+                let in_flight = tracked.attempts.iter().any(|a| a.outcome.is_none());
+                prop_assert!(self.settings.limits.hedging_enabled || !in_flight, "two attempts in flight");
+                let times_out_at =
+                    if *timeout == 0 { tracked.deadline } else { tracked.deadline.min(self.now + timeout) };
+                tracked.attempts.push(Attempt {
+                    endpoint: *endpoint,
+                    sent_at: self.now,
+                    times_out_at,
+                    outcome: None,
+                });
             }
             Action::Shed { request, .. } | Action::Fail(request) => {
-                let account = self.accounts.get_mut(request).expect("known");
-                prop_assert!(!account.ended, "answered twice");
-                account.ended = true;
-                let ran = account.attempts.iter().any(|a| !a.done.is_some_and(Outcome::was_never_executed));
-                let idempotency = self.settings.classes[account.class].idempotency;
+                let tracked = self.requests.get_mut(request).expect("known");
+                prop_assert!(!tracked.ended, "two final responses");
+                tracked.ended = true;
+                let ran =
+                    tracked.attempts.iter().any(|a| !a.outcome.is_some_and(Outcome::was_never_executed));
+                let idempotency = self.settings.classes[tracked.class].idempotency;
                 let harmless = match idempotency {
                     Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
                         true
                     }
                     _ => !ran,
                 };
-                prop_assert!(harmless || matches!(action, Action::Fail(_)), "refused what may have run");
+                prop_assert!(harmless || matches!(action, Action::Fail(_)), "shed, but may have run");
             }
             Action::CancelAttempt { request, attempt } => {
-                prop_assert!((*attempt as usize) < self.accounts[request].attempts.len());
+                prop_assert!((*attempt as usize) < self.requests[request].attempts.len());
             }
             Action::SetTimer { at, timer } => {
                 prop_assert!(*at > self.now);
                 self.timers.insert((*at, *timer));
             }
             Action::StartHealthCheck(_) | Action::CloseIdleConnections(_) | Action::WatchEndpoints(_) => {}
-            other => prop_assert!(false, "unexpected {:?}", other),
+            other => prop_assert!(false, "unexpected action {:?}", other),
         }
         Ok(())
     }
 
-    fn end(&mut self, id: RequestId, n: usize, outcome: Outcome) -> Result<(), TestCaseError> {
-        let account = self.accounts.get_mut(&id).expect("known");
-        let attempt = &mut account.attempts[n];
-        attempt.done = Some(outcome);
-        account.ended |= outcome == Outcome::Ok;
-        let (endpoint, took, over) = (attempt.endpoint, self.now - attempt.sent, account.ended);
+    fn end_attempt(&mut self, id: RequestId, n: usize, outcome: Outcome) -> Result<(), TestCaseError> {
+        let tracked = self.requests.get_mut(&id).expect("known");
+        let attempt = &mut tracked.attempts[n];
+        attempt.outcome = Some(outcome);
+        tracked.ended |= outcome == Outcome::Ok;
+        let (endpoint, duration, request_completed) =
+            (attempt.endpoint, self.now - attempt.sent_at, tracked.ended);
         let attempt = n as u32;
-        self.tell(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             endpoint,
             outcome,
-            duration: took,
-            request_completed: over,
+            duration,
+            request_completed,
             load: None,
         }))
     }
 
-    /// Lets time pass, with every timer and time-out at its moment, as the wire does.
+    /// Advances the time and fires every timer and attempt timeout at its time.
     fn advance(&mut self, until: Nanos) -> Result<(), TestCaseError> {
         loop {
-            let out = self.accounts.iter().flat_map(|(id, a)| {
-                a.attempts.iter().enumerate().filter(|(_, t)| t.done.is_none()).map(|(n, t)| (t.due, *id, n))
+            let in_flight = self.requests.iter().flat_map(|(id, a)| {
+                a.attempts
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, t)| t.outcome.is_none())
+                    .map(|(n, t)| (t.times_out_at, *id, n))
             });
-            let time_out = out.min();
+            let timeout_due = in_flight.min();
             let timer = self.timers.first().copied();
-            let next = [time_out.map(|t| t.0), timer.map(|t| t.0)].into_iter().flatten().min();
+            let next = [timeout_due.map(|t| t.0), timer.map(|t| t.0)].into_iter().flatten().min();
             let Some(next) = next.filter(|n| *n <= until) else { break };
             self.now = self.now.max(next);
-            match (time_out, timer) {
-                (Some((due, id, n)), _) if due == next => self.end(id, n, Outcome::Timeout)?,
+            match (timeout_due, timer) {
+                (Some((due, id, n)), _) if due == next => self.end_attempt(id, n, Outcome::Timeout)?,
                 (_, Some(timer)) => {
                     self.timers.remove(&timer);
-                    self.tell(Event::TimerFired(timer.1))?;
+                    self.handle(Event::TimerFired(timer.1))?;
                 }
-                _ => unreachable!("one of the two is due"),
+                _ => unreachable!("a timer or a timeout is due"),
             }
-            for account in self.accounts.values() {
-                prop_assert!(account.ended || self.now <= account.deadline, "no answer by the deadline");
+            for tracked in self.requests.values() {
+                prop_assert!(tracked.ended || self.now <= tracked.deadline, "no response by the deadline");
             }
         }
         self.now = until;
@@ -184,31 +191,31 @@
     fn step(&mut self, step: &Step, number: u64) -> Result<(), TestCaseError> {
         match step {
             Step::Wait(ms) => self.advance(self.now + ms * MS)?,
-            Step::Arrive { class, left_ms } => {
-                let (id, left, ended) = (RequestId(number), left_ms * MS, false);
-                let (class, deadline) = (*class, self.now + left);
-                let account = Account { class: class as usize, deadline, ended, attempts: Vec::new() };
-                self.accounts.insert(id, account);
-                self.tell(Event::RequestArrived(Request::new(id, ClassId(class), left)))?;
+            Step::Arrive { class, time_left_ms } => {
+                let (id, time_left, ended) = (RequestId(number), time_left_ms * MS, false);
+                let (class, deadline) = (*class, self.now + time_left);
+                let tracked = TrackedRequest { class: class as usize, deadline, ended, attempts: Vec::new() };
+                self.requests.insert(id, tracked);
+                self.handle(Event::RequestArrived(Request::new(id, ClassId(class), time_left)))?;
             }
             Step::End { pick, outcome } => {
-                let open = self.accounts.iter().flat_map(|(id, a)| {
-                    let out = a.attempts.iter().enumerate().filter(|(_, t)| t.done.is_none());
-                    out.map(|(n, _)| (*id, n))
+                let open = self.requests.iter().flat_map(|(id, a)| {
+                    let in_flight = a.attempts.iter().enumerate().filter(|(_, t)| t.outcome.is_none());
+                    in_flight.map(|(n, _)| (*id, n))
                 });
                 let open: Vec<_> = open.collect();
                 if !open.is_empty() {
                     let (id, n) = open[pick % open.len()];
-                    self.end(id, n, *outcome)?;
+                    self.end_attempt(id, n, *outcome)?;
                 }
             }
             Step::Abort(pick) => {
                 let open: Vec<_> =
-                    self.accounts.iter().filter(|(_, a)| !a.ended).map(|(id, _)| *id).collect();
+                    self.requests.iter().filter(|(_, a)| !a.ended).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
-                    self.accounts.get_mut(&id).expect("known").ended = true;
-                    self.tell(Event::RequestAborted(id))?;
+                    self.requests.get_mut(&id).expect("known").ended = true;
+                    self.handle(Event::RequestAborted(id))?;
                 }
             }
             Step::State { endpoint, state, restarted } => {
@@ -216,20 +223,20 @@
                 entry.state = *state;
                 entry.started = if *restarted { Some(self.now) } else { entry.started };
                 let entry = entry.clone();
-                self.tell(Event::Endpoints(EndpointUpdate::Delta(vec![entry])))?;
+                self.handle(Event::Endpoints(EndpointUpdate::Delta(vec![entry])))?;
             }
-            Step::Check { endpoint, ok } => {
-                let outcome = if *ok { Outcome::Ok } else { Outcome::Timeout };
+            Step::Check { endpoint, passes } => {
+                let outcome = if *passes { Outcome::Ok } else { Outcome::Timeout };
                 let endpoint = EndpointId(*endpoint);
-                self.tell(Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None })?;
+                self.handle(Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None })?;
             }
-            Step::ListFails => self.tell(Event::Endpoints(EndpointUpdate::Failed))?,
+            Step::ListFails => self.handle(Event::Endpoints(EndpointUpdate::Failed))?,
         }
         Ok(())
     }
 }
 
-fn play(steps: &[Step], hedging: bool, seed: u64) -> Result<Vec<Action>, TestCaseError> {
+fn run(steps: &[Step], hedging: bool, seed: u64) -> Result<Vec<Action>, TestCaseError> {
     let mut settings = settings(Idempotency::Idempotent);
     settings.classes.push(class(cell(300 * MS)));
     settings.classes.push(class(Idempotency::NonIdempotent));
@@ -239,36 +246,36 @@
         balancer: Balancer::new(settings.clone(), seed, now),
         settings,
         now,
-        entries: list(8),
-        accounts: BTreeMap::new(),
+        entries: endpoint_entries(8),
+        requests: BTreeMap::new(),
         timers: BTreeSet::new(),
         actions: Vec::new(),
     };
-    checker.tell(Event::Endpoints(EndpointUpdate::Cached(list(8))))?;
+    checker.handle(Event::Endpoints(EndpointUpdate::Cached(endpoint_entries(8))))?;
     for (number, step) in steps.iter().enumerate() {
         checker.step(step, number as u64)?;
     }
     checker.advance(checker.now + 2 * S)?;
-    prop_assert!(checker.accounts.values().all(|a| a.ended), "a request was never answered");
+    prop_assert!(checker.requests.values().all(|a| a.ended), "a request without a final response");
     Ok(checker.actions)
 }
 
-/// The same cases every time.
-fn check(test: impl Fn((Vec<Step>, bool, u64)) -> Result<(), TestCaseError>) {
+/// Runs a property test on 400 cases from a fixed seed.
+fn check_property(test: impl Fn((Vec<Step>, bool, u64)) -> Result<(), TestCaseError>) {
     let config = ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
-    runner.run(&(steps(), any::<bool>(), any::<u64>()), test).expect("the rules hold");
+    runner.run(&(steps(), any::<bool>(), any::<u64>()), test).expect("the property holds");
 }
 
 #[test]
-fn the_rules_hold_on_random_legal_sequences() {
-    check(|(steps, hedging, seed)| play(&steps, hedging, seed).map(|_| ()));
+fn invariants_hold_on_random_valid_sequences() {
+    check_property(|(steps, hedging, seed)| run(&steps, hedging, seed).map(|_| ()));
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
-    check(|(steps, hedging, seed)| {
-        prop_assert_eq!(play(&steps, hedging, seed)?, play(&steps, hedging, seed)?);
+fn same_seed_and_events_give_the_same_actions() {
+    check_property(|(steps, hedging, seed)| {
+        prop_assert_eq!(run(&steps, hedging, seed)?, run(&steps, hedging, seed)?);
         Ok(())
     });
 }
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start for the fleet: what all replicas together send to an endpoint that has just started, in virtual
-//! time. The sum over replicas is what is bounded: in any `overload_window` it is at most N, what the
-//! settings allow, and 2 x root of N + 2 for chance.
+//! Slow start over all replicas: the work that they send together to an endpoint that has just started, in
+//! virtual time. In any `overload_window`, the sum over replicas is at most N + 2 x root of N + 2, where N
+//! is the work that the settings allow and the rest is for random variation.
 
 mod common;
 use common::*;
@@ -9,37 +9,37 @@
 
 const ENDPOINTS: u32 = 10;
 const SEEDS: u64 = 20;
-const USUAL: f64 = 50e6;
-/// Requests a second of all replicas together, and with it of an endpoint while all are warm.
-const PER_S: f64 = 200.0;
-const WARM_UP: Nanos = 8 * S;
+const MEAN_DURATION_NS: f64 = 50e6;
+/// Requests per second of all replicas together. A warm endpoint receives this divided by [`ENDPOINTS`].
+const REQUESTS_PER_S: f64 = 200.0;
+const WARM_UP_TIME: Nanos = 8 * S;
 const START: Nanos = 1000 * S;
-/// What a check costs an endpoint, in calls of mean work.
-const CHECK: f64 = 0.05;
+/// The work of a health check, in requests of mean work.
+const HEALTH_CHECK_WORK: f64 = 0.05;
 
-/// What happens besides the restart of endpoints.
+/// The load, and the conditions besides the restart of endpoints.
 #[derive(Clone, Copy, Default)]
-#[expect(clippy::struct_excessive_bools, reason = "each is one thing that may happen besides the restart")]
+#[expect(clippy::struct_excessive_bools, reason = "each is an independent condition of the test")]
 struct Workload {
     replicas: u32,
     seed: u64,
-    /// Every fifth replica is ten times as busy as the others.
-    uneven: bool,
-    /// How many endpoints restart.
+    /// Every fifth replica has ten times the request rate of the others.
+    unequal: bool,
+    /// The number of endpoints that restart.
     restarts: u32,
-    /// One replica after the other is replaced by one that knows the list only.
+    /// Replicas are replaced one after another by replicas without learned state.
     replicas_restart: bool,
-    /// During slow start seven in ten replicas are replaced at once.
+    /// During slow start, seven in ten replicas are replaced at once.
     replicas_fail: bool,
     /// One request in ten is ten times as heavy as the others.
     heavy: bool,
-    /// One request in ten is of a class ten times as heavy, and nothing hints at that.
+    /// One request in ten is of a class ten times as heavy, without a work estimate.
     classes: bool,
-    /// One answer in twenty is an error, and is tried again elsewhere.
+    /// One response in twenty is an error, and the request is retried at another endpoint.
     errors: bool,
-    /// The endpoints that restarted fail their checks for a while, and then pass them at the same moment.
-    away: bool,
-    /// Clients pause for a while and come back together.
+    /// The restarted endpoints fail their health checks for 3 s and then pass them at the same time.
+    fails_checks: bool,
+    /// Clients pause for 3 s and resume at the same time.
     pause: bool,
 }
 
@@ -56,10 +56,10 @@
 struct Replica {
     balancer: Balancer,
     incarnation: u32,
-    per_s: f64,
+    requests_per_s: f64,
 }
 
-/// An attempt: where, since when, of what work.
+/// An attempt: its endpoint, start time and work; the work is negative once it has ended.
 type Attempt = (EndpointId, Nanos, f64);
 
 struct Fleet {
@@ -73,7 +73,7 @@
     entries: Vec<EndpointEntry>,
     in_flight: BTreeMap<(usize, u32, u64, u32), Attempt>,
     work: BTreeMap<(usize, u32, u64), f64>,
-    /// Work that reached each endpoint, with its time.
+    /// The time and the work of each arrival, by endpoint.
     arrivals: Vec<Vec<(Nanos, f64)>>,
 }
 
@@ -92,7 +92,8 @@
                 ..class(Idempotency::Idempotent)
             });
         }
-        let weight = |me: u32| if workload.uneven && me.is_multiple_of(5) { 10.0 } else { 1.0 };
+        let weight =
+            |replica_index: u32| if workload.unequal && replica_index.is_multiple_of(5) { 10.0 } else { 1.0 };
         let all: f64 = (0..workload.replicas).map(weight).sum();
         let mut fleet = Fleet {
             settings,
@@ -101,62 +102,66 @@
             queue: BTreeMap::new(),
             count: 0,
             replicas: Vec::new(),
-            entries: list(ENDPOINTS),
+            entries: endpoint_entries(ENDPOINTS),
             in_flight: BTreeMap::new(),
             work: BTreeMap::new(),
             arrivals: vec![Vec::new(); ENDPOINTS as usize],
             workload,
         };
-        for me in 0..workload.replicas {
-            let balancer = fleet.balancer(me, 0);
-            fleet.replicas.push(Replica { balancer, incarnation: 0, per_s: PER_S * weight(me) / all });
+        for replica_index in 0..workload.replicas {
+            let balancer = fleet.balancer(replica_index, 0);
+            fleet.replicas.push(Replica {
+                balancer,
+                incarnation: 0,
+                requests_per_s: REQUESTS_PER_S * weight(replica_index) / all,
+            });
         }
         for replica in 0..fleet.replicas.len() {
-            fleet.tell(replica, Event::Endpoints(EndpointUpdate::Cached(fleet.entries.clone())));
+            fleet.handle(replica, Event::Endpoints(EndpointUpdate::Cached(fleet.entries.clone())));
             fleet.next_arrival(replica);
         }
-        let restart = START + WARM_UP;
-        fleet.at(restart, Occurrence::EndpointsStart);
+        let restart = START + WARM_UP_TIME;
+        fleet.schedule(restart, Occurrence::EndpointsStart);
         if workload.replicas_restart {
             let every = fleet.settings.rules.slow_start_window / u64::from(workload.replicas);
             for replica in 0..workload.replicas {
                 let at = restart + u64::from(replica) * every + fleet.rng.u64(0..every);
-                fleet.at(at, Occurrence::ReplicaRestarts(replica as usize));
+                fleet.schedule(at, Occurrence::ReplicaRestarts(replica as usize));
             }
         }
         if workload.replicas_fail {
-            fleet.at(restart + S, Occurrence::ReplicasFail);
+            fleet.schedule(restart + S, Occurrence::ReplicasFail);
         }
-        if workload.away {
-            fleet.at(restart + S, Occurrence::Checks { pass: false });
-            fleet.at(restart + 4 * S, Occurrence::Checks { pass: true });
+        if workload.fails_checks {
+            fleet.schedule(restart + S, Occurrence::Checks { pass: false });
+            fleet.schedule(restart + 4 * S, Occurrence::Checks { pass: true });
         }
         fleet
     }
 
-    fn at(&mut self, at: Nanos, what: Occurrence) {
+    fn schedule(&mut self, at: Nanos, occurrence: Occurrence) {
         self.count += 1;
-        self.queue.insert((at, self.count), what);
+        self.queue.insert((at, self.count), occurrence);
     }
 
-    fn balancer(&self, me: u32, incarnation: u32) -> Balancer {
+    fn balancer(&self, replica_index: u32, incarnation: u32) -> Balancer {
         let settings =
-            Settings { replica_index: me, replica_count: self.workload.replicas, ..self.settings.clone() };
-        let seed = self.workload.seed * 100_003 + u64::from(me) * 101 + u64::from(incarnation);
+            Settings { replica_index, replica_count: self.workload.replicas, ..self.settings.clone() };
+        let seed = self.workload.seed * 100_003 + u64::from(replica_index) * 101 + u64::from(incarnation);
         Balancer::new(settings, seed, self.now)
     }
 
     fn next_arrival(&mut self, replica: usize) {
-        let wait = (-(1.0 - self.rng.f64()).ln() / self.replicas[replica].per_s * 1e9) as Nanos;
+        let wait = (-(1.0 - self.rng.f64()).ln() / self.replicas[replica].requests_per_s * 1e9) as Nanos;
         let mut at = self.now + wait;
-        let quiet = START + WARM_UP + S;
+        let quiet = START + WARM_UP_TIME + S;
         if self.workload.pause && (quiet..quiet + 3 * S).contains(&at) {
             at += 3 * S;
         }
-        self.at(at, Occurrence::Arrive(replica));
+        self.schedule(at, Occurrence::Arrive(replica));
     }
 
-    fn tell(&mut self, replica: usize, event: Event) {
+    fn handle(&mut self, replica: usize, event: Event) {
         let mut actions = Vec::new();
         self.replicas[replica].balancer.handle(self.now, event, &mut actions);
         let incarnation = self.replicas[replica].incarnation;
@@ -165,13 +170,16 @@
                 Action::StartAttempt { request, endpoint, .. } => self.send(replica, request.0, endpoint),
                 Action::CancelAttempt { request, attempt } => {
                     let (request, outcome) = (request.0, Outcome::Cancelled);
-                    self.at(self.now, Occurrence::Ends { replica, incarnation, request, attempt, outcome });
+                    self.schedule(
+                        self.now,
+                        Occurrence::Ends { replica, incarnation, request, attempt, outcome },
+                    );
                 }
                 Action::StartHealthCheck(endpoint) => {
-                    self.arrivals[endpoint.0 as usize].push((self.now, CHECK));
+                    self.arrivals[endpoint.0 as usize].push((self.now, HEALTH_CHECK_WORK));
                 }
                 Action::SetTimer { at, timer } => {
-                    self.at(at, Occurrence::Timer { replica, incarnation, timer });
+                    self.schedule(at, Occurrence::Timer { replica, incarnation, timer });
                 }
                 Action::Shed { request, .. } | Action::Fail(request) => {
                     self.work.remove(&(replica, incarnation, request.0));
@@ -189,28 +197,32 @@
             .expect("a number");
         self.in_flight.insert((replica, incarnation, request, attempt), (endpoint, self.now, work));
         self.arrivals[endpoint.0 as usize].push((self.now, work));
-        let duration = (USUAL * work * (0.5 + self.rng.f64())) as Nanos;
+        let duration = (MEAN_DURATION_NS * work * (0.5 + self.rng.f64())) as Nanos;
         let error = self.workload.errors && self.rng.f64() < 0.05;
         let outcome = if error { Outcome::Error } else { Outcome::Ok };
-        self.at(self.now + duration, Occurrence::Ends { replica, incarnation, request, attempt, outcome });
+        self.schedule(
+            self.now + duration,
+            Occurrence::Ends { replica, incarnation, request, attempt, outcome },
+        );
     }
 
     fn restart(&mut self, replica: usize) {
         let incarnation = self.replicas[replica].incarnation + 1;
         self.replicas[replica].balancer = self.balancer(replica as u32, incarnation);
         self.replicas[replica].incarnation = incarnation;
-        self.tell(replica, Event::Endpoints(EndpointUpdate::Cached(self.entries.clone())));
+        self.handle(replica, Event::Endpoints(EndpointUpdate::Cached(self.entries.clone())));
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm for each kind of occurrence")]
-    #[expect(clippy::needless_pass_by_value, reason = "an occurrence is over once it is applied")]
-    fn apply(&mut self, what: Occurrence) {
-        match what {
+    #[expect(clippy::needless_pass_by_value, reason = "an occurrence is applied only once")]
+    fn apply(&mut self, occurrence: Occurrence) {
+        match occurrence {
             Occurrence::Arrive(replica) => {
                 self.next_arrival(replica);
                 self.count += 1;
                 let request = self.count;
-                // In units of the mean, which is 1 in each case. Half of a duration follows the hint.
+                // Work in units of the mean, which is 1 in each case. Half of it is proportional to the
+                // estimate.
                 let rare = self.rng.u32(0..10) == 0;
                 let (class, cost, work) = match (self.workload.heavy, self.workload.classes) {
                     (true, _) => (0, Some(if rare { 100 * MS } else { 0 }), if rare { 5.5 } else { 0.5 }),
@@ -220,7 +232,7 @@
                 self.work.insert((replica, self.replicas[replica].incarnation, request), work);
                 let r =
                     Request { estimated_work: cost, ..Request::new(RequestId(request), ClassId(class), S) };
-                self.tell(replica, Event::RequestArrived(r));
+                self.handle(replica, Event::RequestArrived(r));
             }
             Occurrence::Ends { replica, incarnation, request, attempt, outcome }
                 if incarnation == self.replicas[replica].incarnation =>
@@ -234,39 +246,32 @@
                     return; // ended before
                 }
                 self.in_flight.insert((replica, incarnation, request, attempt), (endpoint, since, -1.0));
-                let (duration, over) = (self.now - since, outcome == Outcome::Ok);
+                let (duration, request_completed) = (self.now - since, outcome == Outcome::Ok);
                 let (request, load) = (RequestId(request), None);
-                let end = AttemptEnd {
-                    request,
-                    attempt,
-                    endpoint,
-                    outcome,
-                    duration,
-                    request_completed: over,
-                    load,
-                };
-                self.tell(replica, Event::AttemptEnded(end));
+                let end =
+                    AttemptEnd { request, attempt, endpoint, outcome, duration, request_completed, load };
+                self.handle(replica, Event::AttemptEnded(end));
             }
             Occurrence::Timer { replica, incarnation, timer }
                 if incarnation == self.replicas[replica].incarnation =>
             {
-                self.tell(replica, Event::TimerFired(timer));
+                self.handle(replica, Event::TimerFired(timer));
             }
-            Occurrence::Ends { .. } | Occurrence::Timer { .. } => {} // of a replica that is no more
+            Occurrence::Ends { .. } | Occurrence::Timer { .. } => {} // of a replica that was replaced
             Occurrence::EndpointsStart => {
                 for entry in &mut self.entries[..self.workload.restarts as usize] {
                     entry.started = Some(self.now);
                 }
                 let changed = self.entries[..self.workload.restarts as usize].to_vec();
                 for replica in 0..self.replicas.len() {
-                    self.tell(replica, Event::Endpoints(EndpointUpdate::Delta(changed.clone())));
+                    self.handle(replica, Event::Endpoints(EndpointUpdate::Delta(changed.clone())));
                 }
             }
             Occurrence::Checks { pass } => {
                 let outcome = if pass { Outcome::Ok } else { Outcome::Timeout };
                 for replica in 0..self.replicas.len() {
                     for endpoint in (0..self.workload.restarts).map(EndpointId) {
-                        self.tell(
+                        self.handle(
                             replica,
                             Event::HealthCheckCompleted { endpoint, outcome, duration: MS, load: None },
                         );
@@ -280,11 +285,11 @@
         }
     }
 
-    fn play(mut self) -> Vec<SlowStartLoad> {
-        let end = START + WARM_UP + self.settings.rules.slow_start_window;
-        while let Some(((at, _), what)) = self.queue.pop_first().filter(|((at, _), _)| *at < end) {
+    fn run(mut self) -> Vec<SlowStartLoad> {
+        let end = START + WARM_UP_TIME + self.settings.rules.slow_start_window;
+        while let Some(((at, _), occurrence)) = self.queue.pop_first().filter(|((at, _), _)| *at < end) {
             self.now = at;
-            self.apply(what);
+            self.apply(occurrence);
         }
         (0..self.workload.restarts as usize)
             .map(|n| SlowStartLoad::of(&self.arrivals[n], &self.settings.rules))
@@ -292,11 +297,11 @@
     }
 }
 
-/// What one endpoint in slow start was sent.
+/// The work sent to one endpoint in slow start.
 struct SlowStartLoad {
-    /// The window that came nearest to the bound, or passed it farthest: its age, sum, N.
+    /// The window with the highest ratio to the bound: the endpoint's age in seconds, the sum, and N.
     worst: (f64, f64, f64),
-    /// All that it got, over all that the settings allow.
+    /// The work received, as a share of the work that the settings allow.
     used: f64,
 }
 
@@ -306,11 +311,12 @@
 
 impl SlowStartLoad {
     fn of(arrivals: &[(Nanos, f64)], rules: &Rules) -> SlowStartLoad {
-        let began = START + WARM_UP;
+        let began = START + WARM_UP_TIME;
         let allowed = |at: Nanos| {
             let age = (at - began) as f64 / rules.slow_start_window as f64;
             let share = rules.slow_start_initial_share + (1.0 - rules.slow_start_initial_share) * age;
-            rules.overload_multiple * share * PER_S / f64::from(ENDPOINTS) * rules.overload_window as f64
+            rules.overload_multiple * share * REQUESTS_PER_S / f64::from(ENDPOINTS)
+                * rules.overload_window as f64
                 / 1e9
         };
         let (mut window, mut sum, mut all) = (VecDeque::new(), 0.0, 0.0);
@@ -337,29 +343,30 @@
     }
 }
 
-/// Plays a workload on all seeds and numbers of replicas.
-fn check(least: f64, workload: Workload) {
+/// Runs a workload with all seeds and replica counts. Fails if the sum of a window exceeds the bound, or
+/// if less than the share `min_share` of the allowed work was sent.
+fn check_workload(min_share: f64, workload: Workload) {
     let mut broken = Vec::new();
     for replicas in [1, 2, 3, 7, 20, 30, 60] {
-        let (mut far, mut used, mut few) = ((0.0, 0.0, 1.0), 0.0, f64::MAX);
+        let (mut worst, mut used, mut min_used) = ((0.0, 0.0, 1.0), 0.0, f64::MAX);
         for seed in 0..SEEDS {
-            for ramp in Fleet::new(Workload { replicas, seed, ..workload }).play() {
-                let (_, sum, n) = ramp.worst;
-                if sum / bound(n) > far.1 / bound(far.2) {
-                    far = ramp.worst;
+            for load in Fleet::new(Workload { replicas, seed, ..workload }).run() {
+                let (_, sum, n) = load.worst;
+                if sum / bound(n) > worst.1 / bound(worst.2) {
+                    worst = load.worst;
                 }
-                used += ramp.used / (SEEDS as f64 * f64::from(workload.restarts));
-                few = ramp.used.min(few);
+                used += load.used / (SEEDS as f64 * f64::from(workload.restarts));
+                min_used = load.used.min(min_used);
             }
         }
-        let (at, sum, n) = far;
+        let (at, sum, n) = worst;
         let line = format!(
             "{replicas:2} replicas: {sum:5.1} of {:5.1} (N {n:4.1}) after {at:.1} s; \
-             in all {used:.2} of what is allowed, at least {few:.2}",
+             {used:.2} of the allowed work sent, at least {min_used:.2}",
             bound(n)
         );
         println!("{line}");
-        if sum > bound(n) || used < least {
+        if sum > bound(n) || used < min_share {
             broken.push(line);
         }
     }
@@ -367,38 +374,41 @@
 }
 
 #[test]
-fn slow_start_holds_with_even_replicas() {
-    check(0.25, Workload { restarts: 1, ..Workload::default() });
+fn slow_start_load_is_bounded_with_equal_replicas() {
+    check_workload(0.25, Workload { restarts: 1, ..Workload::default() });
 }
 
 #[test]
-fn slow_start_holds_with_uneven_replicas() {
-    check(0.25, Workload { restarts: 1, uneven: true, ..Workload::default() });
+fn slow_start_load_is_bounded_with_unequal_replicas() {
+    check_workload(0.25, Workload { restarts: 1, unequal: true, ..Workload::default() });
 }
 
 #[test]
-fn slow_start_holds_for_several_endpoints() {
-    check(0.25, Workload { restarts: 4, ..Workload::default() });
+fn slow_start_load_is_bounded_for_several_endpoints() {
+    check_workload(0.25, Workload { restarts: 4, ..Workload::default() });
 }
 
 #[test]
-fn slow_start_holds_while_replicas_restart() {
-    check(0.25, Workload { restarts: 1, replicas_restart: true, uneven: true, ..Workload::default() });
-    check(0.25, Workload { restarts: 2, replicas_fail: true, ..Workload::default() });
+fn slow_start_load_is_bounded_while_replicas_restart() {
+    check_workload(
+        0.25,
+        Workload { restarts: 1, replicas_restart: true, unequal: true, ..Workload::default() },
+    );
+    check_workload(0.25, Workload { restarts: 2, replicas_fail: true, ..Workload::default() });
 }
 
 #[test]
-fn slow_start_holds_with_heavy_requests_and_retries() {
-    check(0.25, Workload { restarts: 1, heavy: true, errors: true, ..Workload::default() });
+fn slow_start_load_is_bounded_with_heavy_requests_and_retries() {
+    check_workload(0.25, Workload { restarts: 1, heavy: true, errors: true, ..Workload::default() });
 }
 
 #[test]
-fn slow_start_holds_with_classes_of_different_work() {
-    check(0.25, Workload { restarts: 1, classes: true, ..Workload::default() });
+fn slow_start_load_is_bounded_with_classes_of_different_work() {
+    check_workload(0.25, Workload { restarts: 1, classes: true, ..Workload::default() });
 }
 
 #[test]
-fn slow_start_holds_after_a_pause() {
-    check(0.1, Workload { restarts: 1, away: true, ..Workload::default() });
-    check(0.1, Workload { restarts: 1, pause: true, ..Workload::default() });
+fn slow_start_load_is_bounded_after_a_pause() {
+    check_workload(0.1, Workload { restarts: 1, fails_checks: true, ..Workload::default() });
+    check_workload(0.1, Workload { restarts: 1, pause: true, ..Workload::default() });
 }
--- a/crates/decisions/tests/stored_state.rs
+++ b/crates/decisions/tests/stored_state.rs
@@ -1,11 +1,11 @@
-//! The stored form of what a replica has learned: a process of another build reads it at a hot restart, so
-//! that its names and their order never change.
+//! Compatibility of the stored learned state. A process of another build reads it at a hot restart, so its
+//! names and their order never change.
 
 use olivecart_decisions::*;
 
 const S: Nanos = 1_000_000_000;
 
-/// As the first build that stored it wrote it.
+/// The state as written by the first build that stored it.
 const STORED: &str = concat!(
     r#"{"norms":[[25000000.5,0.25,40.0,3000.0],[7.0,1.0,0.0,0.0]],"retry_budget":3.5,"#,
     r#""sent_work":[1.5,1000000000001],"served":[2.5,1000000000002],"arrived":[3.5,1000000000003],"#,
@@ -34,7 +34,7 @@
     balancer.restore(&stored);
 
     assert_eq!(balancer.learned_state(), stored);
-    assert_eq!(serde_json::to_string(&balancer.learned_state()).expect("it is plain data"), STORED);
+    assert_eq!(serde_json::to_string(&balancer.learned_state()).expect("serializable"), STORED);
     let ejected = EndpointStatus::Ejected { since: 1_000_000_000_006 };
     assert_eq!(balancer.endpoint_status(EndpointId(0)), ejected);
     assert_eq!(balancer.endpoint_status(EndpointId(1)), EndpointStatus::Unhealthy);
