--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/decisions/tests/common/mod.rs
@@ -15,9 +15,9 @@
 }
 
 pub fn settings(idempotency: Idempotency) -> Settings {
-    let mut s = Settings { classes: vec![class(idempotency)], ..Settings::default() };
-    (s.limits.cancellation_enabled, s.limits.hedging_enabled) = (true, true);
-    s
+    let mut settings = Settings { classes: vec![class(idempotency)], ..Settings::default() };
+    (settings.limits.cancellation_enabled, settings.limits.hedging_enabled) = (true, true);
+    settings
 }
 
 /// Returns `n` warm endpoints, two per cell, all in the first zone.
@@ -94,7 +94,7 @@
     /// Sends a request, completes it successfully after `duration` and returns the endpoint.
     pub fn serve(&mut self, duration: Nanos) -> EndpointId {
         let (id, actions) = self.request(S);
-        let at = selected_endpoint(&actions).expect("sent");
+        let at = selected_endpoint(&actions).expect("an attempt");
         self.now += duration;
         self.end_attempt(id, 0, at, Outcome::Ok, duration);
         at
--- a/crates/decisions/tests/failures.rs
+++ b/crates/decisions/tests/failures.rs
@@ -45,18 +45,19 @@
 
 #[test]
 fn nothing_is_shed_below_the_first_tier() {
-    let mut s = settings(Idempotency::NonIdempotent);
-    s.tier = 1;
-    let mut balancer = TestBalancer::new(s, endpoint_entries(8));
+    let mut settings = settings(Idempotency::NonIdempotent);
+    settings.tier = 1;
+    let mut balancer = TestBalancer::new(settings, endpoint_entries(8));
     assert_eq!(count_shed(&mut balancer, 200, 10 * MS, 400 * MS), 0);
 }
 
 #[test]
 fn requests_over_tenant_quota_are_shed_first() {
-    let mut s = settings(Idempotency::NonIdempotent);
-    s.over_quota_weight_ratio = 0.1;
-    s.tenants = vec![Tenant { quota_per_s: 100.0, share: 0.9 }, Tenant { quota_per_s: 1.0, share: 0.1 }];
-    let mut balancer = TestBalancer::new(s, endpoint_entries(8));
+    let mut settings = settings(Idempotency::NonIdempotent);
+    settings.over_quota_weight_ratio = 0.1;
+    settings.tenants =
+        vec![Tenant { quota_per_s: 100.0, share: 0.9 }, Tenant { quota_per_s: 1.0, share: 0.1 }];
+    let mut balancer = TestBalancer::new(settings, endpoint_entries(8));
     let (mut in_flight, mut shed_count) = (Vec::<(Nanos, RequestId, EndpointId)>::new(), [0, 0]);
     for n in 0..600u64 {
         balancer.now += 20 * MS;
@@ -81,7 +82,7 @@
 #[test]
 fn hanging_endpoint_with_passing_checks_stays_ejected_until_a_trial_succeeds() {
     let mut balancer = TestBalancer::new(settings(Idempotency::Idempotent), endpoint_entries(4));
-    let preferred = (0..20).map(|_| balancer.serve(10 * MS)).last().expect("served");
+    let preferred = (0..20).map(|_| balancer.serve(10 * MS)).last().expect("an endpoint");
     let (id, actions) = balancer.request(S);
     assert_eq!(selected_endpoint(&actions), Some(preferred));
     let (at, timer) = *timers(&actions).iter().find(|(_, t)| *t == Timer::Request(id)).expect("a timer");
@@ -98,13 +99,13 @@
 
 #[test]
 fn non_idempotent_request_is_never_a_trial() {
-    let mut s = settings(Idempotency::Idempotent);
-    s.classes.push(class(Idempotency::NonIdempotent));
-    let mut balancer = TestBalancer::new(s, endpoint_entries(8));
-    let preferred = (0..20).map(|_| balancer.serve(10 * MS)).last().expect("served");
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.classes.push(class(Idempotency::NonIdempotent));
+    let mut balancer = TestBalancer::new(settings, endpoint_entries(8));
+    let preferred = (0..20).map(|_| balancer.serve(10 * MS)).last().expect("an endpoint");
     for _ in 0..2 {
         let (id, actions) = balancer.request(S);
-        let at = selected_endpoint(&actions).expect("sent");
+        let at = selected_endpoint(&actions).expect("an attempt");
         balancer.end_attempt(id, 0, at, Outcome::Error, MS);
     }
     balancer.now += 60 * S;
@@ -120,7 +121,7 @@
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..80 {
         let (id, actions) = balancer.request(S);
-        let at = selected_endpoint(&actions).expect("sent");
+        let at = selected_endpoint(&actions).expect("an attempt");
         balancer.now += 300 * MS;
         balancer.end_attempt(id, 0, at, Outcome::Error, MS);
         used.insert(at);
@@ -147,7 +148,7 @@
         if let Some(at) = selected_endpoint(&balancer.end_attempt(
             id,
             0,
-            selected_endpoint(&actions).expect("sent"),
+            selected_endpoint(&actions).expect("an attempt"),
             Outcome::Error,
             MS,
         )) {
@@ -161,7 +162,7 @@
 #[test]
 fn refused_connection_does_not_eject_an_endpoint_that_responded_recently() {
     let mut balancer = TestBalancer::new(settings(Idempotency::NonIdempotent), endpoint_entries(4));
-    let preferred = (0..20).map(|_| balancer.serve(10 * MS)).last().expect("served");
+    let preferred = (0..20).map(|_| balancer.serve(10 * MS)).last().expect("an endpoint");
     let (id, _) = balancer.request(S);
     let after = balancer.end_attempt(id, 0, preferred, Outcome::ConnectFailed, MS);
     assert!(!after.contains(&Action::StartHealthCheck(preferred)), "ejected");
@@ -268,7 +269,7 @@
     (0..20).for_each(|_| _ = balancer.serve(10 * MS));
     let reset_one = |balancer: &mut TestBalancer| {
         let (id, actions) = balancer.request(S);
-        let at = selected_endpoint(&actions).expect("sent");
+        let at = selected_endpoint(&actions).expect("an attempt");
         (at, balancer.end_attempt(id, 0, at, Outcome::Reset, MS))
     };
     let (first, after) = reset_one(&mut balancer);
@@ -294,7 +295,7 @@
 }
 
 #[test]
-fn responses_refill_the_budget_of_a_lone_slow_start_endpoint() {
+fn lone_slow_start_endpoint_is_sent_as_much_as_it_answers_and_no_more() {
     let entries = endpoint_entries(2);
     let mut balancer = TestBalancer::new(settings(Idempotency::NonIdempotent), entries.clone());
     for _ in 0..200 {
@@ -330,7 +331,7 @@
     let (id, mut actions) = balancer.request(10 * S);
     let mut waits = Vec::new();
     for attempt in 0..3 {
-        let endpoint = selected_endpoint(&actions).expect("sent");
+        let endpoint = selected_endpoint(&actions).expect("an attempt");
         let (at, timer) = *timers(&actions).iter().find(|(_, t)| *t == Timer::Request(id)).expect("a timer");
         waits.push(at - balancer.now);
         balancer.now = at;
@@ -417,7 +418,7 @@
         .collect();
     assert_eq!(in_flight.len(), 6, "three per endpoint");
     let (id, actions) = &in_flight[0];
-    let at = selected_endpoint(actions).expect("sent");
+    let at = selected_endpoint(actions).expect("an attempt");
     let after = balancer.end_attempt(*id, 0, at, Outcome::Overloaded, MS);
     assert!(selected_endpoint(&after).is_none(), "fourth attempt to the other endpoint: {after:?}");
     assert!(is_shed(&after), "not shed at once: {after:?}");
@@ -479,10 +480,10 @@
     // there, so each slow attempt looks like a hanging one. Each cancelled attempt wastes its work and is
     // sent again on a new connection. If only responses counted, estimates would stay low and every slow
     // attempt would be cancelled.
-    let mut s = settings(Idempotency::Idempotent);
-    s.limits.hedging_enabled = false;
-    s.classes[0].latency_objective = 4 * S;
-    let mut balancer = TestBalancer::new(s, endpoint_entries(40));
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging_enabled = false;
+    settings.classes[0].latency_objective = 4 * S;
+    let mut balancer = TestBalancer::new(settings, endpoint_entries(40));
     count_cancelled(&mut balancer, 200, 400 * MS);
     count_cancelled(&mut balancer, 200, 900 * MS);
     let later = count_cancelled(&mut balancer, 200, 900 * MS);
--- a/crates/decisions/tests/invariants.rs
+++ b/crates/decisions/tests/invariants.rs
@@ -82,7 +82,7 @@
             Action::StartAttempt { request, endpoint, timeout, .. } => {
                 let entry = &self.entries[endpoint.0 as usize];
                 prop_assert_eq!(entry.state, EndpointState::Ready, "endpoint is not ready");
-                let tracked = self.requests.get_mut(request).expect("known");
+                let tracked = self.requests.get_mut(request).expect("a known request");
                 prop_assert!(!tracked.ended, "attempt for a request that has ended");
                 prop_assert!(tracked.attempts.len() < self.settings.limits.max_attempts as usize);
                 let ran =
@@ -111,7 +111,7 @@
                 });
             }
             Action::Shed { request, .. } | Action::Fail(request) => {
-                let tracked = self.requests.get_mut(request).expect("known");
+                let tracked = self.requests.get_mut(request).expect("a known request");
                 prop_assert!(!tracked.ended, "two final responses");
                 tracked.ended = true;
                 let ran =
@@ -139,7 +139,7 @@
     }
 
     fn end_attempt(&mut self, id: RequestId, n: usize, outcome: Outcome) -> Result<(), TestCaseError> {
-        let tracked = self.requests.get_mut(&id).expect("known");
+        let tracked = self.requests.get_mut(&id).expect("a known request");
         let attempt = &mut tracked.attempts[n];
         attempt.outcome = Some(outcome);
         tracked.ended |= outcome == Outcome::Ok;
@@ -214,7 +214,7 @@
                     self.requests.iter().filter(|(_, a)| !a.ended).map(|(id, _)| *id).collect();
                 if !open.is_empty() {
                     let id = open[pick % open.len()];
-                    self.requests.get_mut(&id).expect("known").ended = true;
+                    self.requests.get_mut(&id).expect("a known request").ended = true;
                     self.handle(Event::RequestAborted(id))?;
                 }
             }
--- a/crates/decisions/tests/rules.rs
+++ b/crates/decisions/tests/rules.rs
@@ -22,7 +22,8 @@
 #[test]
 fn endpoint_over_the_load_allowance_is_skipped() {
     let mut balancer = TestBalancer::new(settings(Idempotency::NonIdempotent), endpoint_entries(4));
-    let targets: Vec<_> = (0..4).map(|_| selected_endpoint(&balancer.request(S).1).expect("sent")).collect();
+    let targets: Vec<_> =
+        (0..4).map(|_| selected_endpoint(&balancer.request(S).1).expect("an attempt")).collect();
     let mut distinct = targets.clone();
     distinct.sort();
     distinct.dedup();
@@ -33,9 +34,9 @@
 fn replicas_prefer_different_endpoints() {
     let mut firsts: Vec<_> = (0..8)
         .map(|replica_index| {
-            let mut s = settings(Idempotency::NonIdempotent);
-            (s.replica_index, s.replica_count) = (replica_index, 8);
-            TestBalancer::new(s, endpoint_entries(8)).serve(MS)
+            let mut settings = settings(Idempotency::NonIdempotent);
+            (settings.replica_index, settings.replica_count) = (replica_index, 8);
+            TestBalancer::new(settings, endpoint_entries(8)).serve(MS)
         })
         .collect();
     firsts.sort();
@@ -45,9 +46,9 @@
 
 #[test]
 fn every_endpoint_is_checked_within_a_few_periods_at_spread_times() {
-    let s = settings(Idempotency::NonIdempotent);
-    let longest = 4 * s.rules.poll_interval;
-    let mut balancer = Balancer::new(s, 1, 0);
+    let settings = settings(Idempotency::NonIdempotent);
+    let longest = 4 * settings.rules.poll_interval;
+    let mut balancer = Balancer::new(settings, 1, 0);
     let mut actions = Vec::new();
     balancer.handle(0, Event::Endpoints(EndpointUpdate::Cached(endpoint_entries(20))), &mut actions);
     let due: Vec<_> = timers(&actions);
@@ -59,7 +60,7 @@
         let mut actions = Vec::new();
         balancer.handle(at, Event::TimerFired(timer), &mut actions);
         let checks = actions.iter().filter(|a| matches!(a, Action::StartHealthCheck(_))).count();
-        assert_eq!((checks, timers(&actions).len()), (1, 1), "one check and one timer for the next");
+        assert_eq!((checks, timers(&actions).len()), (1, 1), "not one check and one timer");
     }
 }
 
@@ -92,7 +93,7 @@
 fn timeout_at_the_deadline_completes_the_request_once() {
     let mut balancer = TestBalancer::new(settings(Idempotency::NonIdempotent), endpoint_entries(3));
     let (id, actions) = balancer.request(S);
-    let at = selected_endpoint(&actions).expect("sent");
+    let at = selected_endpoint(&actions).expect("an attempt");
     balancer.now += S;
     assert!(has_failed(&balancer.end_attempt(id, 0, at, Outcome::Timeout, S)));
     assert!(
@@ -108,7 +109,7 @@
 fn aborted_request_gets_no_response_and_its_attempt_is_cancelled() {
     let mut balancer = TestBalancer::new(settings(Idempotency::Idempotent), endpoint_entries(3));
     let (id, actions) = balancer.request(S);
-    let at = selected_endpoint(&actions).expect("sent");
+    let at = selected_endpoint(&actions).expect("an attempt");
     assert_eq!(
         balancer.handle(Event::RequestAborted(id)),
         vec![Action::CancelAttempt { request: id, attempt: 0 }]
@@ -130,7 +131,8 @@
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
         let mut balancer = TestBalancer::new(settings(Idempotency::NonIdempotent), endpoint_entries(4));
         let (id, actions) = balancer.request(S);
-        let after = balancer.end_attempt(id, 0, selected_endpoint(&actions).expect("sent"), outcome, MS);
+        let after =
+            balancer.end_attempt(id, 0, selected_endpoint(&actions).expect("an attempt"), outcome, MS);
         assert!(has_failed(&after) && selected_endpoint(&after).is_none() && !is_shed(&after), "{outcome:?}");
     }
 }
@@ -140,7 +142,7 @@
     for outcome in [Outcome::Overloaded, Outcome::ConnectFailed] {
         let mut balancer = TestBalancer::new(settings(Idempotency::NonIdempotent), endpoint_entries(4));
         let (id, actions) = balancer.request(S);
-        let first = selected_endpoint(&actions).expect("sent");
+        let first = selected_endpoint(&actions).expect("an attempt");
         let second = selected_endpoint(&balancer.end_attempt(id, 0, first, outcome, MS)).expect("retried");
         assert_ne!(first, second);
     }
@@ -149,19 +151,19 @@
 #[test]
 fn keyed_retry_stays_in_its_cell_and_window() {
     for n in 0..4 {
-        let mut s = settings(cell(400 * MS));
-        s.replica_index = n;
-        s.replica_count = 4;
-        let mut balancer = TestBalancer::new(s, endpoint_entries(8));
+        let mut settings = settings(cell(400 * MS));
+        settings.replica_index = n;
+        settings.replica_count = 4;
+        let mut balancer = TestBalancer::new(settings, endpoint_entries(8));
         let (id, actions) = balancer.request(S);
-        let first = selected_endpoint(&actions).expect("sent");
+        let first = selected_endpoint(&actions).expect("an attempt");
         let second = selected_endpoint(&balancer.end_attempt(id, 0, first, Outcome::Error, MS))
             .expect("retried in the cell");
         assert_eq!(second.0 / 2, first.0 / 2);
         assert_ne!(second, first);
 
         let (id, actions) = balancer.request(S);
-        let at = selected_endpoint(&actions).expect("sent");
+        let at = selected_endpoint(&actions).expect("an attempt");
         balancer.now += 390 * MS;
         let late = balancer.end_attempt(id, 0, at, Outcome::Reset, 390 * MS);
         assert!(
@@ -191,9 +193,9 @@
 
 #[test]
 fn without_hedging_one_attempt_is_in_flight_at_a_time() {
-    let mut s = settings(Idempotency::Idempotent);
-    s.limits.hedging_enabled = false;
-    let mut balancer = TestBalancer::new(s.clone(), endpoint_entries(1));
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.limits.hedging_enabled = false;
+    let mut balancer = TestBalancer::new(settings.clone(), endpoint_entries(1));
     (0..20).for_each(|_| _ = balancer.serve(10 * MS));
     let (slow, _) = balancer.request(S);
     balancer.now += 10 * MS;
@@ -201,10 +203,10 @@
     balancer.now += 300 * MS;
     assert_eq!(balancer.handle(Event::TimerFired(Timer::Request(slow))), [], "endpoint responded since");
 
-    let mut balancer = TestBalancer::new(s, endpoint_entries(8));
+    let mut balancer = TestBalancer::new(settings, endpoint_entries(8));
     (0..20).for_each(|_| _ = balancer.serve(10 * MS));
     let (hanging, actions) = balancer.request(S);
-    let at = selected_endpoint(&actions).expect("sent");
+    let at = selected_endpoint(&actions).expect("an attempt");
     balancer.now += 300 * MS;
     let overdue = balancer.handle(Event::TimerFired(Timer::Request(hanging)));
     assert!(selected_endpoint(&overdue).is_none());
@@ -235,8 +237,8 @@
         let entries = endpoint_entries(2);
         let mut balancer = TestBalancer::new(settings(Idempotency::NonIdempotent), entries.clone());
         let (id, actions) = balancer.request(S);
-        let first = selected_endpoint(&actions).expect("sent");
-        let other = entries.iter().find(|e| e.id != first).expect("two");
+        let first = selected_endpoint(&actions).expect("an attempt");
+        let other = entries.iter().find(|e| e.id != first).expect("a second endpoint");
         balancer.set_state(other, state);
         assert!(selected_endpoint(&balancer.end_attempt(id, 0, first, Outcome::Overloaded, MS)).is_none());
         assert!((0..5).all(|_| selected_endpoint(&balancer.request(S).1).is_none_or(|at| at == first)));
@@ -256,10 +258,10 @@
 
 #[test]
 fn subscription_is_requested_and_renewed_within_the_poll_interval() {
-    let mut s = settings(Idempotency::NonIdempotent);
-    s.discovery = Discovery::Subscribe;
-    let poll_interval = s.rules.poll_interval;
-    let mut balancer = Balancer::new(s, 3, 0);
+    let mut settings = settings(Idempotency::NonIdempotent);
+    settings.discovery = Discovery::Subscribe;
+    let poll_interval = settings.rules.poll_interval;
+    let mut balancer = Balancer::new(settings, 3, 0);
     let mut actions = Vec::new();
     balancer.handle(0, Event::Endpoints(EndpointUpdate::Cached(endpoint_entries(2))), &mut actions);
     let discovery_timer =
@@ -285,7 +287,7 @@
 /// responses.
 fn request_except(balancer: &mut TestBalancer, silent: Option<EndpointId>) -> EndpointId {
     let (id, actions) = balancer.request(S);
-    let at = selected_endpoint(&actions).expect("sent");
+    let at = selected_endpoint(&actions).expect("an attempt");
     balancer.now += MS;
     if silent == Some(at) {
         balancer.handle(Event::RequestAborted(id));
@@ -301,14 +303,15 @@
 fn sent_to_cold(replicas: u32, per_s: u64, age: Nanos, seconds: u64) -> u64 {
     let mut total = 0;
     for replica_index in 0..replicas {
-        let mut s = settings(Idempotency::NonIdempotent);
-        (s.replica_index, s.replica_count) = (replica_index, replicas);
-        let mut balancer = TestBalancer::seeded(u64::from(replica_index), s, endpoint_entries(10));
+        let mut settings = settings(Idempotency::NonIdempotent);
+        (settings.replica_index, settings.replica_count) = (replica_index, replicas);
+        let mut balancer = TestBalancer::seeded(u64::from(replica_index), settings, endpoint_entries(10));
         let send_request = |balancer: &mut TestBalancer, silent| {
             balancer.now += S / per_s - MS;
             request_except(balancer, silent)
         };
-        let preferred = (0..20 * per_s).map(|_| send_request(&mut balancer, None)).last().expect("served");
+        let preferred =
+            (0..20 * per_s).map(|_| send_request(&mut balancer, None)).last().expect("an endpoint");
         let started = Some(balancer.now - age);
         balancer.update_endpoints(EndpointUpdate::Delta(vec![EndpointEntry {
             started,
@@ -355,7 +358,7 @@
             balancer.now += 4 * MS;
             request_except(balancer, silent)
         };
-        let preferred = (0..4000).map(|_| send_request(&mut balancer, None)).last().expect("served");
+        let preferred = (0..4000).map(|_| send_request(&mut balancer, None)).last().expect("an endpoint");
         let entry = EndpointEntry {
             started: Some(balancer.now),
             relative_capacity: size,
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -77,9 +77,9 @@
     arrivals: Vec<Vec<(Nanos, f64)>>,
 }
 
-fn rules(mut s: Settings) -> Settings {
-    (s.rules.slow_start_window, s.rules.poll_interval) = (10 * S, 4 * S);
-    s
+fn rules(mut settings: Settings) -> Settings {
+    (settings.rules.slow_start_window, settings.rules.poll_interval) = (10 * S, 4 * S);
+    settings
 }
 
 impl Fleet {
@@ -194,7 +194,7 @@
         let work = self.work[&(replica, incarnation, request)];
         let attempt = (0..=u32::MAX)
             .find(|n| !self.in_flight.contains_key(&(replica, incarnation, request, *n)))
-            .expect("a number");
+            .expect("a free attempt number");
         self.in_flight.insert((replica, incarnation, request, attempt), (endpoint, self.now, work));
         self.arrivals[endpoint.0 as usize].push((self.now, work));
         let duration = (MEAN_DURATION_NS * work * (0.5 + self.rng.f64())) as Nanos;
@@ -230,9 +230,9 @@
                     _ => (0, None, 1.0),
                 };
                 self.work.insert((replica, self.replicas[replica].incarnation, request), work);
-                let r =
+                let new_request =
                     Request { estimated_work: cost, ..Request::new(RequestId(request), ClassId(class), S) };
-                self.handle(replica, Event::RequestArrived(r));
+                self.handle(replica, Event::RequestArrived(new_request));
             }
             Occurrence::Ends { replica, incarnation, request, attempt, outcome }
                 if incarnation == self.replicas[replica].incarnation =>
--- a/crates/decisions/tests/stored_state.rs
+++ b/crates/decisions/tests/stored_state.rs
@@ -30,7 +30,7 @@
     let list = vec![EndpointEntry::ready(EndpointId(0), "a"), second];
     balancer.handle(1000 * S, Event::Endpoints(EndpointUpdate::Snapshot(list)), &mut Vec::new());
 
-    let stored: LearnedState = serde_json::from_str(STORED).expect("the stored form");
+    let stored: LearnedState = serde_json::from_str(STORED).expect("valid stored state");
     balancer.restore(&stored);
 
     assert_eq!(balancer.learned_state(), stored);
