--- a/crates/lab/examples/agreement.rs
+++ b/crates/lab/examples/agreement.rs
@@ -11,7 +11,7 @@
 use olivecart_lab::sockets::program::{Build, find};
 use olivecart_lab::sockets::settings::Limits;
 use olivecart_lab::sockets::show::interrupted;
-use olivecart_lab::sockets::stage::{Setting, Stage};
+use olivecart_lab::sockets::testbed::{Testbed, TestbedOptions};
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -57,14 +57,14 @@
 
 async fn on_sockets(scenario: &Checked, program: &Path, seed: u64) -> Result<RunResult, Box<dyn Error>> {
     let topology = Topology::new(scenario.clone().into_inner(), seed, PolicyChoice::named(POLICY)?);
-    let setting = Setting { program: program.to_owned(), limits: Limits::default(), fronts: true };
-    let stage = Stage::set(Arc::new(topology), setting).await?;
+    let setting = TestbedOptions { program: program.to_owned(), limits: Limits::default(), fronts: true };
+    let stage = Testbed::start(Arc::new(topology), setting).await?;
     let load = stage.load(load::Options::default())?;
     let begin = Instant::now() + Duration::from_millis(500);
     stage.begin(begin);
     let mut report = load.run(begin).await?;
     stage.complete(&mut report);
-    stage.end().await;
+    stage.shut_down().await;
     Ok(report.result)
 }
 
--- a/crates/lab/src/cli/sockets.rs
+++ b/crates/lab/src/cli/sockets.rs
@@ -10,7 +10,7 @@
 use olivecart_lab::sockets::program::{Build, find};
 use olivecart_lab::sockets::settings::Limits;
 use olivecart_lab::sockets::show::{self, interrupted};
-use olivecart_lab::sockets::stage::{Setting, Stage};
+use olivecart_lab::sockets::testbed::{Testbed, TestbedOptions};
 use slog::{Logger, info};
 use std::error::Error;
 use std::net::SocketAddr;
@@ -115,8 +115,8 @@
             false => Ok(PathBuf::new()), // nobody is started
         });
         let fronts = self.without_proxies.is_none();
-        let setting = Setting { program: program.await??, limits: Limits::default(), fronts };
-        let stage = Stage::set(topology.clone(), setting).await?;
+        let setting = TestbedOptions { program: program.await??, limits: Limits::default(), fronts };
+        let stage = Testbed::start(topology.clone(), setting).await?;
         match &self.without_proxies {
             Some(folder) => configurations(&topology, &stage, folder)?,
             None => stage.fronts().iter().for_each(|front| println!("proxy {}", front.addr)),
@@ -131,13 +131,13 @@
         info!(log, "all is up"; "scenario" => &topology.scenario.name);
         stage.begin(Instant::now() + SETTLES);
         tokio::time::sleep(SETTLES + Duration::from_nanos(topology.ends())).await;
-        stage.end().await;
+        stage.shut_down().await;
         Ok(FINE)
     }
 }
 
 /// Writes the configuration of each first-tier proxy, for somebody else to start them.
-fn configurations(topology: &Topology, stage: &Stage, folder: &Path) -> Result<(), Box<dyn Error>> {
+fn configurations(topology: &Topology, stage: &Testbed, folder: &Path) -> Result<(), Box<dyn Error>> {
     std::fs::create_dir_all(folder)?;
     for machine in topology.fronts.iter().flatten() {
         let listen = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -5,10 +5,10 @@
 use crate::run_result::RunResult;
 use crate::scenario::{Problems, Scenario, Span};
 use crate::sockets::load::{self, LoadError};
-use crate::sockets::program::{Build, NoProgram, find};
+use crate::sockets::program::{Build, ProgramError, find};
 use crate::sockets::settings::Limits;
 use crate::sockets::show::{self, WatchError, interrupted};
-use crate::sockets::stage::{Setting, Stage, StageError};
+use crate::sockets::testbed::{Testbed, TestbedError, TestbedOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -47,10 +47,10 @@
     Policy(#[from] UnknownPolicy),
     /// There is no program `olivecart`.
     #[error(transparent)]
-    Program(#[from] NoProgram),
+    Program(#[from] ProgramError),
     /// Something does not come up.
     #[error(transparent)]
-    Stage(#[from] StageError),
+    Testbed(#[from] TestbedError),
     /// There is no load.
     #[error(transparent)]
     Load(#[from] LoadError),
@@ -88,15 +88,15 @@
     let program = tokio::task::spawn_blocking(move || find(options.proxy.as_deref(), Build::Always));
     let program = program.await.map_err(io::Error::other)??;
     writeln!(out, "{}", topology.scenario.about)?;
-    let setting = Setting { program, limits: Limits::default(), fronts: true };
-    let stage = Stage::set(topology.clone(), setting).await?;
+    let setting = TestbedOptions { program, limits: Limits::default(), fronts: true };
+    let stage = Testbed::start(topology.clone(), setting).await?;
     introduce(&topology, &stage, out)?;
     let (load, begin) = (stage.load(load::Options::default())?, Instant::now() + SETTLES);
     stage.begin(begin);
     let mut report = show::watch(load, begin, || stage.down(), out).await?;
     stage.complete(&mut report);
     let tracks = stage.tracks();
-    stage.end().await;
+    stage.shut_down().await;
     writeln!(out)?;
     show::table(&report, out)?;
     let (attempts, twice) = (report.result.totals.attempts_per_request, report.result.totals.second_effects);
@@ -105,7 +105,7 @@
     Ok(report.result)
 }
 
-fn introduce(topology: &Topology, stage: &Stage, out: &mut dyn Write) -> io::Result<()> {
+fn introduce(topology: &Topology, stage: &Testbed, out: &mut dyn Write) -> io::Result<()> {
     let tiers = topology.scenario.tier.iter().map(|t| format!("{} {}", t.servers, t.name));
     writeln!(out, "tiers: {}", tiers.collect::<Vec<_>>().join(", "))?;
     let fronts = stage.fronts().iter().map(|front| front.addr.to_string());
--- a/crates/lab/src/sockets/child.rs
+++ b/crates/lab/src/sockets/child.rs
@@ -1,4 +1,4 @@
-//! A real proxy as a child process.
+//! Runs a real proxy as a child process.
 
 use super::client::Pool;
 use super::protocol::READY;
@@ -16,40 +16,40 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// Longest wait until a child is ready.
-const STARTS: Duration = Duration::from_secs(15);
-/// Between two looks.
-const LOOKS: Duration = Duration::from_millis(10);
-/// Of a child's log, as much is told when it fails.
-const TOLD: usize = 600;
+/// How long a child may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// The time between two checks of a child's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The number of characters from the end of a child's log that an error quotes.
+const MAX_QUOTED_LOG_CHARS: usize = 600;
 
 /// Why a child does not run.
 #[derive(Debug, thiserror::Error)]
 pub enum ChildError {
-    /// Its files cannot be written, or the program cannot be started.
+    /// A file of the child cannot be written, or the program cannot be started.
     #[error("{}: {}", .0.display(), .1)]
     Start(PathBuf, io::Error),
-    /// It ended by itself.
+    /// The child ended unexpectedly.
     #[error("{name} ended ({status}): {log}")]
     Ended {
-        /// Its name.
+        /// The child's name.
         name: String,
-        /// How.
+        /// The exit status.
         status: String,
-        /// The end of its log.
+        /// The end of the child's log.
         log: String,
     },
-    /// It does not become ready.
-    #[error("{name} was not ready after {STARTS:?}: {log}")]
+    /// The child did not become ready in time.
+    #[error("{name} was not ready after {READY_TIMEOUT:?}: {log}")]
     NotReady {
-        /// Its name.
+        /// The child's name.
         name: String,
-        /// The end of its log.
+        /// The end of the child's log.
         log: String,
     },
 }
 
-/// A proxy that runs. Dropped, it is killed and reaped, whatever state it is in.
+/// A running proxy. Dropping it kills and reaps the process, even if it is stopped.
 pub struct Child {
     name: String,
     listen: SocketAddr,
@@ -58,12 +58,12 @@
 }
 
 impl Child {
-    /// Starts `olivecart serve` with a configuration; its files go into a folder. It has a process group of
-    /// its own. Danger: an interrupt from the terminal would reach it too, and it would leave before whoever
-    /// started it has seen the interrupt.
+    /// Starts `olivecart serve` with a configuration; its files are written to `folder`. The child has its
+    /// own process group. Otherwise, an interrupt from the terminal would reach the child too, and it would
+    /// exit before the parent process had handled the interrupt.
     ///
     /// # Errors
-    /// The program cannot be started.
+    /// A file cannot be written, or the program cannot be started.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -72,70 +72,72 @@
         config: &Value,
     ) -> Result<Child, ChildError> {
         let (file, log) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.log")));
-        let at = |path: &Path, e| ChildError::Start(path.to_owned(), e);
-        std::fs::write(&file, config.to_string()).map_err(|e| at(&file, e))?;
-        let to = File::options().create(true).append(true).open(&log).map_err(|e| at(&log, e))?;
+        let start_error = |path: &Path, e| ChildError::Start(path.to_owned(), e);
+        std::fs::write(&file, config.to_string()).map_err(|e| start_error(&file, e))?;
+        let log_file =
+            File::options().create(true).append(true).open(&log).map_err(|e| start_error(&log, e))?;
         let mut command = Command::new(program);
         command.arg("serve").env("EDGE_CONFIG", &file).process_group(0);
         ["EDGE_NAME", "EDGE_LISTEN", "EDGE_DISCOVERY"].iter().for_each(|name| _ = command.env_remove(name));
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(to);
-        let process = command.spawn().map_err(|e| at(program, e))?;
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log_file);
+        let process = command.spawn().map_err(|e| start_error(program, e))?;
         Ok(Child { name: name.to_owned(), listen, process, log })
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.process.id()
     }
 
-    /// Its name.
+    /// Returns the child's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where it listens.
+    /// Returns the address on which the child listens.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Whether it has ended, and that nobody asked it to.
+    /// Checks that the child still runs.
     ///
     /// # Errors
-    /// It has.
+    /// The child has ended.
     pub fn check(&mut self) -> Result<(), ChildError> {
         match self.process.try_wait() {
             Ok(None) => Ok(()),
             Ok(Some(status)) => Err(ChildError::Ended {
                 name: self.name.clone(),
                 status: status.to_string(),
-                log: end_of(&self.log),
+                log: log_tail(&self.log),
             }),
             Err(e) => Err(ChildError::Start(self.log.clone(), e)),
         }
     }
 
-    /// The child as it is not ready yet.
+    /// Returns the error for a child that did not become ready in time.
     pub fn not_ready(&self) -> ChildError {
-        ChildError::NotReady { name: self.name.clone(), log: end_of(&self.log) }
+        ChildError::NotReady { name: self.name.clone(), log: log_tail(&self.log) }
     }
 
-    /// Asks it to leave.
+    /// Asks the child to shut down with SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Stops it as if its machine had vanished: it says nothing more, and its connections stay open.
+    /// Stops the child with SIGSTOP, as if its machine had vanished: it sends nothing more, and its
+    /// connections stay open.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_child(&self.process);
-        let _ = kill_process(pid, signal); // it has ended, and is not reaped before it is dropped
+        let _ = kill_process(pid, signal); // the child may have ended, but is not reaped yet
     }
 
-    /// Waits for its end. False: it still runs after this time.
-    pub async fn ends_within(&mut self, time: Duration) -> bool {
+    /// Waits for the child to end. Returns `false` if it still runs after `time`.
+    pub async fn wait_for_exit(&mut self, time: Duration) -> bool {
         let end = Instant::now() + time;
         loop {
             if !matches!(self.process.try_wait(), Ok(None)) {
@@ -144,39 +146,39 @@
             if Instant::now() >= end {
                 return false;
             }
-            sleep(LOOKS).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 impl Drop for Child {
     fn drop(&mut self) {
-        let _ = self.process.kill(); // it has ended already
+        let _ = self.process.kill(); // an error means that the child has ended already
         let _ = self.process.wait();
     }
 }
 
-/// Waits until a proxy says that it is ready, as long as `runs` does not say why it will not be. False: it
-/// did not become ready in time.
+/// Waits until a proxy reports that it is ready. Returns `false` if it does not do so in time, and stops
+/// early with the error of `check` if that fails.
 pub async fn becomes_ready<E>(
     listen: SocketAddr,
-    mut runs: impl FnMut() -> Result<(), E>,
+    mut check: impl FnMut() -> Result<(), E>,
 ) -> Result<bool, E> {
-    let (pool, end) = (Pool::new(listen, 1), Instant::now() + STARTS);
+    let (pool, end) = (Pool::new(listen, 1), Instant::now() + READY_TIMEOUT);
     while Instant::now() < end {
-        runs()?;
-        let ask = Request::get(READY).header("host", "api.internal").body(Full::<Bytes>::default());
-        let asked = timeout(STARTS / 10, pool.call(ask.unwrap_or_default())).await;
-        if matches!(asked, Ok(Ok(answer)) if answer.status == StatusCode::OK) {
+        check()?;
+        let request = Request::get(READY).header("host", "api.internal").body(Full::<Bytes>::default());
+        let response = timeout(READY_TIMEOUT / 10, pool.call(request.unwrap_or_default())).await;
+        if matches!(response, Ok(Ok(answer)) if answer.status == StatusCode::OK) {
             return Ok(true);
         }
-        sleep(LOOKS).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(false)
 }
 
-fn end_of(log: &Path) -> String {
+fn log_tail(log: &Path) -> String {
     let text = std::fs::read_to_string(log).unwrap_or_default();
-    let from = text.char_indices().rev().nth(TOLD).map_or(0, |(at, _)| at);
+    let from = text.char_indices().rev().nth(MAX_QUOTED_LOG_CHARS).map_or(0, |(at, _)| at);
     text[from..].trim().replace('\n', " / ")
 }
--- a/crates/lab/src/sockets/client.rs
+++ b/crates/lab/src/sockets/client.rs
@@ -1,6 +1,6 @@
-//! Calls over HTTP/1.1 on connections that are kept, one request at a time on each.
+//! An HTTP/1.1 client with a connection pool and one request at a time per connection.
 
-use super::held;
+use super::lock;
 use super::protocol::BODY_LIMIT;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -17,39 +17,39 @@
 use tokio::sync::Semaphore;
 use tokio::task::AbortHandle;
 
-/// A connection that has been idle for this long is not used again. Danger: peers close idle ones, and a
-/// request that crosses their closing is lost.
-const IDLE: Duration = Duration::from_secs(5);
+/// A connection that has been idle for this long is not reused. Peers close idle connections, and a request
+/// sent at the same time is lost.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
 
-/// How a call came to no answer.
+/// Why a call got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection came up; nothing was sent.
-    #[error("no connection: {0}")]
+    /// No connection was established; nothing was sent.
+    #[error("cannot connect: {0}")]
     Connect(io::Error),
-    /// The connection broke with the request under way; it may have run.
-    #[error("the connection broke: {0}")]
-    Broken(hyper::Error),
-    /// The answer is longer than any may be.
-    #[error("the answer is longer than {BODY_LIMIT} bytes, or broke off")]
+    /// The connection failed after the request was sent; the request may have been executed.
+    #[error("the connection failed during the request: {0}")]
+    ConnectionFailed(hyper::Error),
+    /// The response body is too long or incomplete.
+    #[error("the response body is longer than {BODY_LIMIT} bytes or incomplete")]
     Body,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// A request as calls send it.
+/// A request with a complete body.
 pub type Outgoing = Request<Full<Bytes>>;
 
-/// One connection. Dropped, it closes at once, whatever is under way on it.
+/// A connection. Dropping it closes it at once, even during a request.
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
@@ -62,80 +62,86 @@
     }
 }
 
-/// The connections to one address.
+/// A pool of connections to one address.
 pub struct Pool {
-    to: SocketAddr,
-    /// Idle for longest first.
+    address: SocketAddr,
+    /// Idle connections, longest idle first.
     idle: Mutex<VecDeque<Connection>>,
-    room: Semaphore,
+    permits: Semaphore,
     opened: AtomicU64,
     waited: AtomicU64,
 }
 
 impl Pool {
-    /// No connection yet; at most `most` at a time, idle ones included.
-    pub fn new(to: SocketAddr, most: usize) -> Pool {
-        let room = Semaphore::new(most.min(Semaphore::MAX_PERMITS));
-        Pool { to, idle: Mutex::default(), room, opened: AtomicU64::new(0), waited: AtomicU64::new(0) }
+    /// Creates an empty pool of at most `max_connections` connections, including idle ones.
+    pub fn new(address: SocketAddr, max_connections: usize) -> Pool {
+        let permits = Semaphore::new(max_connections.min(Semaphore::MAX_PERMITS));
+        Pool {
+            address,
+            idle: Mutex::default(),
+            permits,
+            opened: AtomicU64::new(0),
+            waited: AtomicU64::new(0),
+        }
     }
 
-    /// Where it leads.
-    pub fn to(&self) -> SocketAddr {
-        self.to
+    /// Returns the address of the server.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
-    /// Connections opened so far.
+    /// Returns the number of connections opened so far.
     pub fn opened(&self) -> u64 {
         self.opened.load(Ordering::Relaxed)
     }
 
-    /// Calls that had to wait for one of the connections.
+    /// Returns the number of calls that had to wait for a free connection.
     pub fn waited(&self) -> u64 {
         self.waited.load(Ordering::Relaxed)
     }
 
-    /// Sends a request and waits for its whole answer. Dropped before that, it closes the connection. A
-    /// request that a kept connection did not take any more goes out on a new one.
+    /// Sends a request and waits for the complete response. Dropping the future closes the connection. If an
+    /// idle connection turns out closed before the request is sent, another connection is used.
     ///
     /// # Errors
-    /// No connection came up, or it broke.
+    /// No connection was established, it failed, or the response body is too long.
     pub async fn call(&self, mut request: Outgoing) -> Result<Answer, CallError> {
-        let _room = match self.room.try_acquire() {
-            Ok(room) => Some(room),
+        let _permit = match self.permits.try_acquire() {
+            Ok(permit) => Some(permit),
             Err(_) => {
                 self.waited.fetch_add(1, Ordering::Relaxed);
-                self.room.acquire().await.ok() // it is never closed
+                self.permits.acquire().await.ok() // the semaphore is never closed
             }
         };
-        while let Some(mut kept) = self.take_idle() {
-            match kept.sender.try_send_request(request).await {
-                Ok(response) => return self.whole(kept, response).await,
+        while let Some(mut idle_connection) = self.take_idle() {
+            match idle_connection.sender.try_send_request(request).await {
+                Ok(response) => return self.read_response(idle_connection, response).await,
                 Err(mut failed) => match failed.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(CallError::Broken(failed.into_error())),
+                    None => return Err(CallError::ConnectionFailed(failed.into_error())),
                 },
             }
         }
-        let mut new = self.connect().await?;
-        let response = new.sender.send_request(request).await.map_err(CallError::Broken)?;
-        self.whole(new, response).await
+        let mut connection = self.connect().await?;
+        let response = connection.sender.send_request(request).await.map_err(CallError::ConnectionFailed)?;
+        self.read_response(connection, response).await
     }
 
-    async fn whole(
+    async fn read_response(
         &self,
         connection: Connection,
         response: hyper::Response<hyper::body::Incoming>,
     ) -> Result<Answer, CallError> {
         let (head, body) = response.into_parts();
         let body = Limited::new(body, BODY_LIMIT).collect().await.map_err(|_| CallError::Body)?.to_bytes();
-        self.keep(connection);
+        self.put_idle(connection);
         Ok(Answer { status: head.status, headers: head.headers, body })
     }
 
-    /// The connection used last of those that are still good.
+    /// Takes the most recently used idle connection that is still open.
     fn take_idle(&self) -> Option<Connection> {
-        let mut idle = held(&self.idle);
-        while idle.front().is_some_and(|oldest| oldest.idle_since.elapsed() >= IDLE) {
+        let mut idle = lock(&self.idle);
+        while idle.front().is_some_and(|oldest| oldest.idle_since.elapsed() >= MAX_IDLE_TIME) {
             idle.pop_front();
         }
         while let Some(last) = idle.pop_back() {
@@ -146,18 +152,18 @@
         None
     }
 
-    fn keep(&self, mut connection: Connection) {
+    fn put_idle(&self, mut connection: Connection) {
         if !connection.sender.is_closed() {
             connection.idle_since = Instant::now();
-            held(&self.idle).push_back(connection);
+            lock(&self.idle).push_back(connection);
         }
     }
 
     async fn connect(&self) -> Result<Connection, CallError> {
-        let stream = TcpStream::connect(self.to).await.map_err(CallError::Connect)?;
+        let stream = TcpStream::connect(self.address).await.map_err(CallError::Connect)?;
         let _ = stream.set_nodelay(true); // a hint; without it small requests wait for acknowledgements
-        let shaken = handshake(TokioIo::new(stream)).await;
-        let (sender, driver) = shaken.map_err(|e| CallError::Connect(io::Error::other(e)))?;
+        let handshaken = handshake(TokioIo::new(stream)).await;
+        let (sender, driver) = handshaken.map_err(|e| CallError::Connect(io::Error::other(e)))?;
         let driver = tokio::spawn(async move { _ = driver.await }).abort_handle();
         self.opened.fetch_add(1, Ordering::Relaxed);
         Ok(Connection { sender, driver, idle_since: Instant::now() })
--- a/crates/lab/src/sockets/clock.rs
+++ b/crates/lab/src/sockets/clock.rs
@@ -1,6 +1,6 @@
-//! Time on sockets: nanoseconds since a start, and calls that are made when they are due.
+//! A clock in nanoseconds since a start, and a timer thread that makes calls when they are due.
 
-use super::held;
+use super::lock;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Condvar, Mutex};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 
-/// The time since a start.
+/// Measures time since a start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -16,23 +16,23 @@
 }
 
 impl Clock {
-    /// Begins now.
+    /// Creates a clock that starts now.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), unix_ms: unix.as_millis() as u64 }
     }
 
-    /// Nanoseconds since the start.
+    /// Returns the nanoseconds since the start.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_nanos() as u64
     }
 
-    /// A time as the runtime knows it.
+    /// Converts a time of this clock to an [`Instant`].
     pub fn instant(&self, at: u64) -> Instant {
         self.start + Duration::from_nanos(at)
     }
 
-    /// A time as discovery tells it: Unix time in milliseconds.
+    /// Converts a time of this clock to Unix time in milliseconds, as used by discovery.
     pub fn unix_ms(&self, at: u64) -> u64 {
         self.unix_ms + at / 1_000_000
     }
@@ -50,11 +50,11 @@
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
-    earlier: Condvar,
+    earlier_call: Condvar,
 }
 
-/// Makes calls when they are due, from a thread of its own. Danger: the runtime's timers go by the
-/// millisecond, which is much of a server's work.
+/// Makes calls when they are due, from its own thread. The runtime's timers have a resolution of one
+/// millisecond, which is too coarse compared to a server's work per request.
 pub struct Alarm {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
@@ -64,28 +64,29 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The thread cannot be started.
     pub fn start() -> io::Result<Alarm> {
         let shared = Arc::<Shared>::default();
-        let its = shared.clone();
-        let thread = std::thread::Builder::new().name("alarm".into()).spawn(move || ring(&its))?;
+        let thread_shared = shared.clone();
+        let thread =
+            std::thread::Builder::new().name("alarm".into()).spawn(move || run_timer(&thread_shared))?;
         Ok(Alarm { shared, thread: Some(thread) })
     }
 
-    /// Makes a call at a time. It must be quick: those after it wait.
+    /// Schedules a call. The call must be fast, because later calls wait for it.
     pub fn at(&self, at: Instant, call: impl FnOnce() + Send + 'static) {
-        let mut state = held(&self.shared.state);
+        let mut state = lock(&self.shared.state);
         let number = state.next;
         state.next += 1;
         let first = state.calls.first_key_value().is_none_or(|((due, _), _)| at < *due);
         state.calls.insert((at, number), Box::new(call));
         drop(state);
         if first {
-            self.shared.earlier.notify_one();
+            self.shared.earlier_call.notify_one();
         }
     }
 
-    /// Waits for a time; does not return where the thread has ended.
+    /// Waits until a time. Never returns if the thread has ended.
     pub async fn until(&self, at: Instant) {
         if at <= Instant::now() {
             return;
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Waits for a length of time.
+    /// Waits for a duration.
     pub async fn wait(&self, length: Duration) {
         if !length.is_zero() {
             self.until(Instant::now() + length).await;
@@ -105,21 +106,21 @@
     }
 }
 
-fn ring(shared: &Shared) {
-    let mut state = held(&shared.state);
+fn run_timer(shared: &Shared) {
+    let mut state = lock(&shared.state);
     while !state.closed {
         let now = Instant::now();
         match state.calls.first_key_value().map(|((due, _), _)| *due) {
-            None => state = shared.earlier.wait(state).unwrap_or_else(|e| e.into_inner()),
+            None => state = shared.earlier_call.wait(state).unwrap_or_else(|e| e.into_inner()),
             Some(due) if due > now => {
-                let waited = shared.earlier.wait_timeout(state, due - now);
+                let waited = shared.earlier_call.wait_timeout(state, due - now);
                 state = waited.unwrap_or_else(|e| e.into_inner()).0;
             }
             Some(_) => {
                 let call = state.calls.pop_first().map(|(_, call)| call);
                 drop(state);
                 call.into_iter().for_each(|call| call());
-                state = held(&shared.state);
+                state = lock(&shared.state);
             }
         }
     }
@@ -128,16 +129,16 @@
 impl Drop for Alarm {
     fn drop(&mut self) {
         let calls = {
-            let mut state = held(&self.shared.state);
+            let mut state = lock(&self.shared.state);
             state.closed = true;
             std::mem::take(&mut state.calls)
         };
-        drop(calls); // not under the lock: what they hold may call back
-        self.shared.earlier.notify_one();
+        drop(calls); // without the lock: captured values may schedule calls on drop
+        self.shared.earlier_call.notify_one();
         if let Some(thread) = self.thread.take()
             && thread.thread().id() != std::thread::current().id()
         {
-            let _ = thread.join(); // it panicked in a call, which has been reported
+            let _ = thread.join(); // an error means that a call panicked, which has been reported
         }
     }
 }
@@ -148,7 +149,7 @@
     use std::sync::mpsc::channel;
 
     #[test]
-    fn calls_are_made_in_the_order_in_which_they_are_due_and_never_early() {
+    fn calls_are_made_in_due_order_and_never_early() {
         let alarm = Alarm::start().unwrap();
         let (sender, made) = channel();
         let begin = Instant::now();
@@ -161,7 +162,7 @@
     }
 
     #[test]
-    fn what_is_not_due_at_the_end_is_dropped() {
+    fn calls_not_due_when_the_alarm_is_dropped_are_discarded() {
         let alarm = Alarm::start().unwrap();
         let (sender, made) = channel::<()>();
         alarm.at(Instant::now() + Duration::from_secs(3600), move || sender.send(()).unwrap());
--- a/crates/lab/src/sockets/effects.rs
+++ b/crates/lab/src/sockets/effects.rs
@@ -1,20 +1,20 @@
-//! Who did what already: the key tables of a tier's servers, seen together, so that an effect which took
-//! place twice is found wherever that was.
+//! The deduplication tables of a tier's servers in one place, so that an effect that took place twice is
+//! detected even on different servers.
 //!
-//! An execution counts when it has run to its end, whether or not anybody gets the answer.
+//! An execution counts when it is complete, whether or not the response reaches the sender.
 
 use crate::scenario::{Class, Effect, Group};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What an execution amounts to.
+/// The result of an execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It is done.
+    /// The effect took place for the first time.
     Done,
-    /// It is known in its group, and has no effect.
+    /// The key is known in its deduplication scope; the execution has no effect.
     Dropped,
-    /// It is done, and was done before.
+    /// The effect took place again.
     DoneTwice,
 }
 
@@ -22,35 +22,41 @@
     effect: Effect,
     group: Group,
     window: u64,
-    /// For so long a key can come again at all.
-    remembered: u64,
+    /// How long a repeat of a key can still arrive.
+    retention: u64,
 }
 
-/// The tables of a tier.
+/// The deduplication tables of a tier.
 pub struct Effects {
     rules: Vec<Rule>,
-    /// For each key where it was done, and when last.
+    /// By class and key: the scopes in which the effect took place, with the time.
     done: FxHashMap<(usize, String), Vec<(u64, u64)>>,
     order: VecDeque<(u64, (usize, String))>,
     by_cell: BTreeMap<u64, u64>,
-    twice: u64,
+    repeated_keys: u64,
 }
 
 impl Effects {
-    /// Empty tables for these classes.
+    /// Creates empty tables for these classes.
     pub fn new(classes: &[Class]) -> Effects {
         let rule = |class: &Class| {
             let window = class.window.map_or(0, |w| w.nanos());
-            let remembered = 2 * (window + class.deadline.nanos());
-            Rule { effect: class.effect, group: class.group, window, remembered }
+            let retention = 2 * (window + class.deadline.nanos());
+            Rule { effect: class.effect, group: class.group, window, retention }
         };
         let (done, order) = (FxHashMap::default(), VecDeque::new());
-        Effects { rules: classes.iter().map(rule).collect(), done, order, by_cell: BTreeMap::new(), twice: 0 }
+        Effects {
+            rules: classes.iter().map(rule).collect(),
+            done,
+            order,
+            by_cell: BTreeMap::new(),
+            repeated_keys: 0,
+        }
     }
 
-    /// A request of a class with this key has run to its end in a cell of a zone.
-    pub fn ran(&mut self, now: u64, class: usize, key: Option<&str>, zone: u64, cell: u64) -> Execution {
-        self.forget(now);
+    /// Records a complete execution of a request in a cell of a zone.
+    pub fn record(&mut self, now: u64, class: usize, key: Option<&str>, zone: u64, cell: u64) -> Execution {
+        self.remove_expired(now);
         let (Some(rule), Some(key)) = (self.rules.get(class), key) else { return Execution::Done };
         let group = match (rule.effect, rule.group) {
             (Effect::Repeatable, _) => return Execution::Done,
@@ -59,7 +65,7 @@
             (Effect::ByKey, Group::Zone) => Some(zone),
             (Effect::ByKey, Group::Cell) => Some(cell),
         };
-        let (window, until) = (rule.window, now + rule.remembered);
+        let (window, until) = (rule.window, now + rule.retention);
         let name = (class, key.to_owned());
         let done = self.done.entry(name.clone()).or_default();
         if done.iter().any(|(g, at)| Some(*g) == group && now - at <= window) {
@@ -72,25 +78,25 @@
         match times {
             1 => Execution::Done,
             _ => {
-                self.twice += u64::from(times == 2);
+                self.repeated_keys += u64::from(times == 2);
                 Execution::DoneTwice
             }
         }
     }
 
-    /// Keys whose effect took place more than once.
-    pub fn twice(&self) -> u64 {
-        self.twice
+    /// Returns the number of keys whose effect took place more than once.
+    pub fn repeated_keys(&self) -> u64 {
+        self.repeated_keys
     }
 
-    /// Effects by cell.
+    /// Returns the number of effects by cell.
     pub fn by_cell(&self) -> &BTreeMap<u64, u64> {
         &self.by_cell
     }
 
-    /// Lets go of keys that cannot come again, so that a long run does not grow without bound. Classes
-    /// remember for different times; one that is behind a longer one waits for it.
-    fn forget(&mut self, now: u64) {
+    /// Removes keys that cannot repeat any more, so that memory stays bounded in a long run. Retention
+    /// differs between classes; a key queued behind one with a longer retention is removed after that one.
+    fn remove_expired(&mut self, now: u64) {
         while self.order.front().is_some_and(|(until, _)| *until < now) {
             let Some((_, name)) = self.order.pop_front() else { return };
             if let Some(done) = self.done.get_mut(&name) {
@@ -118,9 +124,9 @@
     }
 
     #[test]
-    fn a_repeat_is_dropped_in_its_group_and_its_window_and_seen_outside() {
+    fn repeat_is_dropped_within_scope_and_window_and_detected_outside() {
         use Execution::*;
-        // (effect, group), then (time, zone, cell) of the second execution, and what it is.
+        // (effect, scope), then (time, zone, cell) of the second execution, and its result.
         for (effect, group, second, is) in [
             ("repeatable", "all", (0, 0, 0), Done),
             ("by_key", "all", (4 * S, 1, 9), Dropped),
@@ -132,23 +138,23 @@
             ("once", "all", (S, 0, 3), DoneTwice),
         ] {
             let mut effects = Effects::new(&[class(effect, group)]);
-            assert_eq!(effects.ran(0, 0, Some("k"), 0, 3), Done);
+            assert_eq!(effects.record(0, 0, Some("k"), 0, 3), Done);
             let (now, zone, cell) = second;
-            assert_eq!(effects.ran(now, 0, Some("k"), zone, cell), is, "{effect} {group} {second:?}");
-            assert_eq!(effects.ran(now, 0, Some("other"), zone, cell), Done);
-            assert_eq!(effects.twice(), u64::from(is == DoneTwice));
+            assert_eq!(effects.record(now, 0, Some("k"), zone, cell), is, "{effect} {group} {second:?}");
+            assert_eq!(effects.record(now, 0, Some("other"), zone, cell), Done);
+            assert_eq!(effects.repeated_keys(), u64::from(is == DoneTwice));
         }
     }
 
     #[test]
-    fn a_key_counts_once_however_often_it_was_done_and_is_forgotten_in_the_end() {
+    fn repeated_key_counts_once_and_is_removed_after_its_retention() {
         let mut effects = Effects::new(&[class("once", "all")]);
         for now in 0..3 {
-            effects.ran(now, 0, Some("k"), 0, now);
+            effects.record(now, 0, Some("k"), 0, now);
         }
-        assert_eq!(effects.twice(), 1);
+        assert_eq!(effects.repeated_keys(), 1);
         assert_eq!(effects.by_cell().values().sum::<u64>(), 3);
-        assert_eq!(effects.ran(100 * S, 0, Some("k"), 0, 0), Execution::Done);
+        assert_eq!(effects.record(100 * S, 0, Some("k"), 0, 0), Execution::Done);
         assert_eq!((effects.done.len(), effects.order.len()), (1, 1));
     }
 }
--- a/crates/lab/src/sockets/fleet/discovery.rs
+++ b/crates/lab/src/sockets/fleet/discovery.rs
@@ -1,11 +1,11 @@
-//! Discovery on sockets: one service for all tiers, with a list of its own for each.
+//! The discovery service on sockets: one service for all tiers, with a separate list of servers for each.
 
 use crate::scenario::Scenario;
 use crate::sockets::clock::{Alarm, Clock};
-use crate::sockets::held;
+use crate::sockets::lock;
 use crate::sockets::protocol::{Document, LIST, WATCH_PERIOD};
-use crate::sockets::registry::{Desk, Entry, Registry};
-use crate::sockets::stream::{Door, Line, Silence};
+use crate::sockets::registry::{CallQueue, RegisteredServer, Registry};
+use crate::sockets::stream::{Blackhole, BlackholeListener, ServerStream};
 use bytes::Bytes;
 use futures_util::stream::unfold;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -22,82 +22,82 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The zone where it lives, as in the model.
-pub const LIVES_IN: usize = 0;
-/// After a listener failed.
-const AGAIN: Duration = Duration::from_millis(20);
+/// The index of the zone that contains discovery, as in the model.
+pub const DISCOVERY_ZONE: usize = 0;
+/// The delay before the next `accept` after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A watch ends with discovery.
+/// Ends open watches when discovery goes down.
 #[derive(Debug, thiserror::Error)]
-#[error("discovery goes down")]
-struct GoesDown;
+#[error("discovery is shutting down")]
+struct DiscoveryDown;
 
-type Body = UnsyncBoxBody<Bytes, GoesDown>;
+type Body = UnsyncBoxBody<Bytes, DiscoveryDown>;
 
-/// The service.
+/// The discovery service.
 pub struct Discovery {
     clock: Clock,
     alarm: Arc<Alarm>,
-    boards: Vec<Board>,
-    desk: Mutex<Desk>,
+    tiers: Vec<TierList>,
+    call_queue: Mutex<CallQueue>,
     down: watch::Sender<bool>,
-    patience: Duration,
-    /// Whether it is silent, as seen from each zone.
-    pub silences: Vec<Arc<Silence>>,
+    timeout: Duration,
+    /// Whether it is unreachable, for each zone.
+    pub blackholes: Vec<Arc<Blackhole>>,
 }
 
-/// The list of one tier.
-struct Board {
+/// The servers of one tier.
+struct TierList {
     registry: Mutex<Registry>,
     version: watch::Sender<u64>,
 }
 
 impl Discovery {
-    /// A service with a first list for each tier.
+    /// Creates a service with an initial list for each tier.
     pub fn new(
         (clock, alarm): (Clock, Arc<Alarm>),
-        lists: Vec<Vec<Entry>>,
+        lists: Vec<Vec<RegisteredServer>>,
         scenario: &Scenario,
     ) -> Arc<Discovery> {
         let of = &scenario.discovery;
-        let board = |list| {
+        let tier_list = |list| {
             let registry = Registry::new(of.lag.nanos(), list);
-            Board { version: watch::channel(registry.version()).0, registry: Mutex::new(registry) }
+            TierList { version: watch::channel(registry.version()).0, registry: Mutex::new(registry) }
         };
-        let silences = scenario.zones.iter().map(|_| Arc::default()).collect();
+        let blackholes = scenario.zones.iter().map(|_| Arc::default()).collect();
         Arc::new(Discovery {
             clock,
             alarm,
-            boards: lists.into_iter().map(board).collect(),
-            desk: Mutex::new(Desk::new(of.calls_per_s, of.timeout.nanos())),
+            tiers: lists.into_iter().map(tier_list).collect(),
+            call_queue: Mutex::new(CallQueue::new(of.calls_per_s, of.timeout.nanos())),
             down: watch::channel(false).0,
-            patience: of.timeout.duration(),
-            silences,
+            timeout: of.timeout.duration(),
+            blackholes,
         })
     }
 
-    /// The whole list of a tier as it stands.
+    /// Returns the current full list of a tier.
     pub fn list(&self, tier: usize, zone: usize) -> Document {
-        held(&self.boards[tier].registry).full(zone)
+        lock(&self.tiers[tier].registry).full(zone)
     }
 
-    /// Something of a tier has changed; it is told once the lag has passed.
-    pub fn report(self: &Arc<Discovery>, tier: usize, entry: Entry) {
+    /// Reports a change of a server. It becomes visible after the configured lag.
+    pub fn report(self: &Arc<Discovery>, tier: usize, entry: RegisteredServer) {
         let now = self.clock.now();
-        held(&self.boards[tier].registry).report(now, entry);
-        self.hear(tier, now);
+        lock(&self.tiers[tier].registry).report(now, entry);
+        self.apply_due_changes(tier, now);
     }
 
-    /// It hears nothing new from now on, or hears again.
-    pub fn deaf(self: &Arc<Discovery>, on: bool) {
-        for tier in 0..self.boards.len() {
-            held(&self.boards[tier].registry).deaf(on);
-            self.hear(tier, self.clock.now());
+    /// Stops applying changes while `on` is set, so that the lists become stale.
+    pub fn set_stale(self: &Arc<Discovery>, on: bool) {
+        for tier in 0..self.tiers.len() {
+            lock(&self.tiers[tier].registry).set_stale(on);
+            self.apply_due_changes(tier, self.clock.now());
         }
     }
 
-    /// It goes down with all watches, or comes back.
-    pub fn down(&self, on: bool) {
+    /// Begins or ends an outage. Open watches end when it begins.
+    pub fn set_down(&self, on: bool) {
         self.down.send_replace(on);
     }
 
@@ -105,36 +105,41 @@
         *self.down.borrow()
     }
 
-    /// Takes in what it has heard of by now, and comes back for the rest.
-    fn hear(self: &Arc<Discovery>, tier: usize, now: u64) {
-        let Some(due) = advance(&self.boards[tier], now) else { return };
+    /// Applies the changes of a tier that are due, and sets an alarm for the next one.
+    fn apply_due_changes(self: &Arc<Discovery>, tier: usize, now: u64) {
+        let Some(due) = advance(&self.tiers[tier], now) else { return };
         let this = Arc::downgrade(self);
         self.alarm.at(self.clock.instant(due), move || {
             if let Some(discovery) = this.upgrade() {
-                discovery.hear(tier, due);
+                discovery.apply_due_changes(tier, due);
             }
         });
     }
 
-    /// Serves a door until this is dropped, and with it all connections.
-    pub async fn take(self: Arc<Discovery>, mut door: Door, tier: usize, zone: usize) {
+    /// Accepts and serves connections. Dropping the future closes them.
+    pub async fn accept_connections(
+        self: Arc<Discovery>,
+        mut listener: BlackholeListener,
+        tier: usize,
+        zone: usize,
+    ) {
         let mut connections = JoinSet::new();
         loop {
             while connections.try_join_next().is_some() {}
-            match door.accept().await {
-                Ok(stream) => _ = connections.spawn(self.clone().connected(stream, tier, zone)),
-                Err(_) => tokio::time::sleep(AGAIN).await,
+            match listener.accept().await {
+                Ok(stream) => _ = connections.spawn(self.clone().serve_connection_from(stream, tier, zone)),
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    async fn connected(self: Arc<Discovery>, stream: TcpStream, tier: usize, zone: usize) {
-        let line = Line::new(stream, self.silences[zone].clone(), Arc::default());
+    async fn serve_connection_from(self: Arc<Discovery>, stream: TcpStream, tier: usize, zone: usize) {
+        let stream = ServerStream::new(stream, self.blackholes[zone].clone(), Arc::default());
         let service = service_fn(|request: Request<Incoming>| {
             let discovery = self.clone();
             async move { Ok::<_, Infallible>(discovery.answer(&request, tier, zone).await) }
         });
-        let _ = http1::Builder::new().serve_connection(TokioIo::new(line), service).await; // it has ended
+        let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await; // it failed
     }
 
     async fn answer(
@@ -146,10 +151,10 @@
         if request.uri().path() != LIST {
             return plain(StatusCode::NOT_FOUND, "nothing here\n".into());
         }
-        let turn = held(&self.desk).call(self.clock.now());
+        let turn = lock(&self.call_queue).call(self.clock.now());
         match turn {
             Some(at) => self.alarm.until(self.clock.instant(at)).await,
-            None => tokio::time::sleep(self.patience).await,
+            None => tokio::time::sleep(self.timeout).await,
         }
         if turn.is_none() || self.is_down() {
             return plain(StatusCode::SERVICE_UNAVAILABLE, "discovery cannot answer\n".into());
@@ -163,55 +168,56 @@
         plain(StatusCode::OK, text(&self.list(tier, zone)))
     }
 
-    /// What changes after a version: a line each, and an empty one when nothing has for a while.
+    /// Streams the changes after a version, one line each, and an empty line after [`WATCH_PERIOD`] without
+    /// one.
     fn watch(self: Arc<Discovery>, tier: usize, zone: usize, after: u64) -> Body {
-        let (versions, downs) = (self.boards[tier].version.subscribe(), self.down.subscribe());
-        let follow = Follow { discovery: self, tier, zone, at: after, versions, downs, begun: false };
-        let lines = unfold(Some(follow), |follow| async {
-            let mut follow = follow?;
-            match follow.next().await {
-                Some(line) => Some((Ok(Frame::data(line)), Some(follow))),
-                None => Some((Err(GoesDown), None)),
+        let (versions, downs) = (self.tiers[tier].version.subscribe(), self.down.subscribe());
+        let watch = Watch { discovery: self, tier, zone, at: after, versions, downs, has_begun: false };
+        let lines = unfold(Some(watch), |watch| async {
+            let mut watch = watch?;
+            match watch.next().await {
+                Some(line) => Some((Ok(Frame::data(line)), Some(watch))),
+                None => Some((Err(DiscoveryDown), None)),
             }
         });
         StreamBody::new(lines).boxed_unsync()
     }
 }
 
-/// Takes in what is due, tells who watches, and says when there is more.
-fn advance(board: &Board, now: u64) -> Option<u64> {
-    let mut registry = held(&board.registry);
+/// Applies the changes that are due, notifies the watches, and returns when the next change is due.
+fn advance(tier_list: &TierList, now: u64) -> Option<u64> {
+    let mut registry = lock(&tier_list.registry);
     if registry.advance(now) {
-        board.version.send_replace(registry.version());
+        tier_list.version.send_replace(registry.version());
     }
     registry.due()
 }
 
-/// One watch.
-struct Follow {
+/// An open watch.
+struct Watch {
     discovery: Arc<Discovery>,
     tier: usize,
     zone: usize,
-    /// The version that the other side has.
+    /// The version that the client has.
     at: u64,
     versions: watch::Receiver<u64>,
     downs: watch::Receiver<bool>,
-    begun: bool,
+    has_begun: bool,
 }
 
-impl Follow {
-    /// The next line; none: discovery has gone down.
+impl Watch {
+    /// Returns the next line, or `None` if discovery went down.
     async fn next(&mut self) -> Option<Bytes> {
-        let begins = !std::mem::replace(&mut self.begun, true);
+        let begins = !std::mem::replace(&mut self.has_begun, true);
         loop {
             self.versions.borrow_and_update();
-            let news = held(&self.discovery.boards[self.tier].registry).after(self.at, self.zone);
-            if let Some(news) = news {
-                self.at = news.version;
-                return Some(text(&news));
+            let changes = lock(&self.discovery.tiers[self.tier].registry).after(self.at, self.zone);
+            if let Some(changes) = changes {
+                self.at = changes.version;
+                return Some(text(&changes));
             }
             if begins {
-                return Some(Bytes::from_static(b"\n")); // so that the other side knows that it watches
+                return Some(Bytes::from_static(b"\n")); // tells the client that the watch is established
             }
             tokio::select! {
                 biased;
@@ -224,7 +230,7 @@
 }
 
 fn text(document: &Document) -> Bytes {
-    let mut text = serde_json::to_vec(document).unwrap_or_default(); // of numbers and texts alone
+    let mut text = serde_json::to_vec(document).unwrap_or_default(); // cannot fail: only numbers and strings
     text.push(b'\n');
     text.into()
 }
--- a/crates/lab/src/sockets/fleet/node.rs
+++ b/crates/lab/src/sockets/fleet/node.rs
@@ -1,12 +1,12 @@
-//! One server on sockets: its machine under a lock, and a timer for what happens there by itself.
+//! One server on sockets: its simulated machine behind a lock, and a timer for the machine's events.
 
 use super::{Place, Time};
 use crate::model::{MachineChange, Topology};
-use crate::sockets::chance::{Chance, stream};
 use crate::sockets::clock::{Alarm, Clock};
-use crate::sockets::held;
-use crate::sockets::server::{Ask, Figures, Machine, Said, Shape, Tally, Ticket};
-use crate::sockets::stream::Silence;
+use crate::sockets::lock;
+use crate::sockets::random::{RandomStream, stream};
+use crate::sockets::server::{Figures, Machine, RequestEvent, RequestSpec, Shape, Tally, Ticket};
+use crate::sockets::stream::Blackhole;
 use rand::Rng;
 use rustc_hash::FxHashMap;
 use std::net::SocketAddr;
@@ -14,65 +14,70 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{oneshot, watch};
 
-/// What a request hears of its machine; an error: the machine died.
-pub type Hears = oneshot::Receiver<Said>;
+/// Receives the next event of a request. The channel closes if the machine dies.
+pub type EventReceiver = oneshot::Receiver<RequestEvent>;
 
 struct Inner {
     machine: Machine,
-    waiting: FxHashMap<Ticket, oneshot::Sender<Said>>,
-    /// For when the alarm is set, if it is.
+    waiting: FxHashMap<Ticket, oneshot::Sender<RequestEvent>>,
+    /// When the alarm is set to fire, if it is set.
     alarm: Option<u64>,
-    chance: Chance,
+    rng: RandomStream,
 }
 
-/// One server.
+/// A server on sockets.
 pub struct Node {
-    /// Which it is.
+    /// Its tier and its index there.
     pub place: Place,
     /// Its name.
     pub name: String,
     /// Its zone.
     pub zone: usize,
-    /// Where it is, as seen from each zone.
-    pub doors: Vec<SocketAddr>,
-    /// Whether it is silent, as seen from each zone.
-    pub silences: Vec<Arc<Silence>>,
+    /// Its listening address for each zone.
+    pub addresses: Vec<SocketAddr>,
+    /// Whether it is unreachable, for each zone.
+    pub blackholes: Vec<Arc<Blackhole>>,
     vanished: AtomicBool,
-    /// When its present life began; 0: long ago.
+    /// When the process last started; 0 if it ran before the start of the clock.
     started: Mutex<u64>,
     inner: Mutex<Inner>,
-    /// Counts its lives; 0: it is not there yet. Changes when one ends.
-    life: watch::Sender<u32>,
+    /// The number of the current process incarnation; incremented when one ends.
+    incarnation: watch::Sender<u32>,
     clock: Clock,
     alarm: Arc<Alarm>,
 }
 
 impl Node {
-    /// A server that is warm and runs, or is not there yet.
-    pub fn new(topology: &Topology, place: Place, doors: Vec<SocketAddr>, (clock, alarm): Time) -> Arc<Node> {
+    /// Creates a server. It is warm and running if the topology has it at the start of the run.
+    pub fn new(
+        topology: &Topology,
+        place: Place,
+        addresses: Vec<SocketAddr>,
+        (clock, alarm): Time,
+    ) -> Arc<Node> {
         let spec = place.spec(topology);
         let (kind, rules) = (place.kind(topology).clone(), topology.scenario.rules.clone());
         let shape = Shape { kind, speed: spec.speed, rules };
-        let chance = |purpose| stream(topology.seed, purpose, spec.machine.into());
+        let rng = |purpose| stream(topology.seed, purpose, spec.machine.into());
         let inner = Inner {
-            machine: Machine::new(shape, chance("machine"), spec.present_at_start),
+            machine: Machine::new(shape, rng("machine"), spec.present_at_start),
             waiting: FxHashMap::default(),
             alarm: None,
-            chance: chance("node"),
+            rng: rng("node"),
         };
-        let silences = doors.iter().map(|_| Arc::default()).collect();
-        let (inner, life) = (Mutex::new(inner), watch::channel(1).0);
+        let blackholes = addresses.iter().map(|_| Arc::default()).collect();
+        let (inner, incarnation) = (Mutex::new(inner), watch::channel(1).0);
         let (name, zone, started) = (spec.name.clone(), spec.zone as usize, Mutex::new(0));
         let node = Arc::new(Node {
             place,
             name,
             zone,
-            doors,
-            silences,
+            addresses,
+            blackholes,
             vanished: AtomicBool::new(false),
             started,
             inner,
-            life,
+            incarnation,
             clock,
             alarm,
         });
@@ -80,19 +85,20 @@
         node
     }
 
-    /// When its present life began, since the start; 0: long ago.
+    /// Returns when the process last started, in nanoseconds since the start of the clock; 0 if it ran
+    /// before.
     pub fn started(&self) -> u64 {
-        *held(&self.started)
+        *lock(&self.started)
     }
 
-    /// Does something with the machine, tells whoever waits what the machine says, and sets the alarm.
+    /// Runs `act` on the machine, delivers the machine's events to the waiting requests, and sets the alarm.
     fn with<T>(self: &Arc<Node>, act: impl FnOnce(&mut Machine, u64) -> T) -> T {
         let now = self.clock.now();
-        let mut inner = held(&self.inner);
+        let mut inner = lock(&self.inner);
         let result = act(&mut inner.machine, now);
-        for (ticket, said) in inner.machine.said() {
+        for (ticket, event) in inner.machine.take_events() {
             if let Some(waits) = inner.waiting.remove(&ticket) {
-                let _ = waits.send(said); // it has gone meanwhile
+                let _ = waits.send(event); // the receiver was dropped meanwhile
             }
         }
         let due = inner.machine.due(now);
@@ -101,16 +107,16 @@
             let node = Arc::downgrade(self);
             self.alarm.at(self.clock.instant(due), move || {
                 if let Some(node) = node.upgrade() {
-                    node.rings(due);
+                    node.on_alarm(due);
                 }
             });
         }
         result
     }
 
-    fn rings(self: Arc<Node>, due: u64) {
+    fn on_alarm(self: Arc<Node>, due: u64) {
         {
-            let mut inner = held(&self.inner);
+            let mut inner = lock(&self.inner);
             if inner.alarm == Some(due) {
                 inner.alarm = None;
             }
@@ -118,152 +124,153 @@
         self.with(|machine, now| machine.advance(now.max(due)));
     }
 
-    /// A request has arrived. The second: what it hears of its first part. A cold server that bears no more
-    /// of them falls over, and ends.
-    pub fn arrive(self: &Arc<Node>, ask: Ask) -> (Ticket, Hears) {
-        let (sender, hears) = oneshot::channel();
+    /// Accepts a request. Returns its ticket and the receiver for the event of its first part. A cold server
+    /// that this request overloads dies.
+    pub fn arrive(self: &Arc<Node>, spec: RequestSpec) -> (Ticket, EventReceiver) {
+        let (sender, events) = oneshot::channel();
         let now = self.clock.now();
         let (ticket, fell_over) = {
-            let mut inner = held(&self.inner);
-            let ticket = inner.machine.arrive(now, ask);
+            let mut inner = lock(&self.inner);
+            let ticket = inner.machine.arrive(now, spec);
             inner.waiting.insert(ticket, sender);
             (ticket, inner.machine.alive() && inner.machine.fell_over())
         };
         if fell_over {
-            self.dies();
-            self.ends();
+            self.die();
+            self.reset_connections();
         }
         self.with(|_, _| ());
-        (ticket, hears)
+        (ticket, events)
     }
 
-    /// A request goes on with its next part.
-    pub fn goes_on(self: &Arc<Node>, ticket: Ticket) -> Hears {
-        let (sender, hears) = oneshot::channel();
-        held(&self.inner).waiting.insert(ticket, sender);
-        self.with(|machine, now| machine.goes_on(now, ticket));
-        hears
+    /// Begins the next part of a request.
+    pub fn resume(self: &Arc<Node>, ticket: Ticket) -> EventReceiver {
+        let (sender, events) = oneshot::channel();
+        lock(&self.inner).waiting.insert(ticket, sender);
+        self.with(|machine, now| machine.resume(now, ticket));
+        events
     }
 
-    /// A request leaves; see [`Machine::leave`].
-    pub fn leave(self: &Arc<Node>, ticket: Ticket, served: bool) -> Option<bool> {
-        self.with(|machine, now| machine.leave(now, ticket, served))
+    /// Removes a request; see [`Machine::finish`].
+    pub fn finish(self: &Arc<Node>, ticket: Ticket, served: bool) -> Option<bool> {
+        self.with(|machine, now| machine.finish(now, ticket, served))
     }
 
-    /// Nobody waits for a request any more; see [`Machine::call_off`].
-    pub fn call_off(self: &Arc<Node>, ticket: Ticket) -> bool {
-        let stops = self.with(|machine, now| machine.call_off(now, ticket));
+    /// Handles a cancellation by the sender; see [`Machine::cancel_request`].
+    pub fn cancel_request(self: &Arc<Node>, ticket: Ticket) -> bool {
+        let stops = self.with(|machine, now| machine.cancel_request(now, ticket));
         if stops {
-            held(&self.inner).waiting.remove(&ticket);
+            lock(&self.inner).waiting.remove(&ticket);
         }
         stops
     }
 
-    /// A connection is made; see [`Machine::connect`].
+    /// Accepts a connection; see [`Machine::connect`].
     pub fn connect(self: &Arc<Node>) -> bool {
         self.with(|machine, now| machine.connect(now))
     }
 
-    /// A connection has ended.
+    /// Counts a connection that has closed.
     pub fn disconnect(self: &Arc<Node>) {
         self.with(|machine, now| machine.disconnect(now));
     }
 
-    /// A probe has come.
+    /// Counts a health check.
     pub fn probe(self: &Arc<Node>) {
         self.with(|machine, now| machine.probe(now));
     }
 
-    /// The load report that is told now.
+    /// Returns the load report that is visible now.
     pub fn report(self: &Arc<Node>) -> Option<Figures> {
         self.with(|machine, now| machine.report(now))
     }
 
-    /// Draws something by its own chance.
-    pub fn draw<T>(&self, draw: impl FnOnce(&mut Chance) -> T) -> T {
-        draw(&mut held(&self.inner).chance)
+    /// Draws a value from the server's random stream.
+    pub fn draw<T>(&self, draw: impl FnOnce(&mut RandomStream) -> T) -> T {
+        draw(&mut lock(&self.inner).rng)
     }
 
-    /// A whole number for a mean that need not be one.
-    pub fn around(&self, mean: f64) -> u32 {
-        let sure = mean.floor();
-        sure as u32 + u32::from(self.draw(|chance| chance.random::<f64>()) < mean - sure)
+    /// Rounds a mean to one of the two nearest whole numbers at random, so that the mean is kept.
+    pub fn round_randomly(&self, mean: f64) -> u32 {
+        let floor = mean.floor();
+        floor as u32 + u32::from(self.draw(|rng| rng.random::<f64>()) < mean - floor)
     }
 
-    /// Something about it changes, but for its death and its start.
+    /// Applies a change other than a death or a start.
     pub fn change(self: &Arc<Node>, change: MachineChange) {
         self.with(|machine, now| machine.change(now, change));
     }
 
-    /// Its process dies. What it held stays open where nobody is told; see [`Node::ends`].
-    pub fn dies(self: &Arc<Node>) {
+    /// Ends the process. Its connections stay open until [`Node::reset_connections`], as after a silent
+    /// failure.
+    pub fn die(self: &Arc<Node>) {
         self.with(|machine, now| machine.stop(now));
-        held(&self.inner).waiting.clear();
+        lock(&self.inner).waiting.clear();
     }
 
-    /// Its machine vanishes without a word, or is back.
-    pub fn vanishes(&self, has: bool) {
-        self.vanished.store(has, Ordering::SeqCst);
+    /// Sets whether the machine has vanished silently.
+    pub fn set_vanished(&self, vanished: bool) {
+        self.vanished.store(vanished, Ordering::SeqCst);
     }
 
-    /// Whether its machine has vanished.
+    /// Returns whether the machine has vanished.
     pub fn has_vanished(&self) -> bool {
         self.vanished.load(Ordering::SeqCst)
     }
 
-    /// All that belongs to its present life ends: connections are reset.
-    pub fn ends(&self) {
-        self.life.send_modify(|life| *life += 1);
+    /// Ends the current incarnation, which resets its connections.
+    pub fn reset_connections(&self) {
+        self.incarnation.send_modify(|incarnation| *incarnation += 1);
     }
 
-    /// Its process starts, cold.
-    pub fn starts(self: &Arc<Node>) {
+    /// Starts the process, cold.
+    pub fn start(self: &Arc<Node>) {
         let now = self.with(|machine, now| {
             machine.start(now, true);
             now
         });
-        *held(&self.started) = now;
+        *lock(&self.started) = now;
     }
 
-    /// Its present life, for what ends with it.
-    pub fn life(&self) -> Life {
-        let changes = self.life.subscribe();
+    /// Returns a handle to the current incarnation, for tasks that end with it.
+    pub fn incarnation(&self) -> Incarnation {
+        let changes = self.incarnation.subscribe();
         let number = *changes.borrow();
-        Life { number, changes }
+        Incarnation { number, changes }
     }
 
-    /// Whether its process runs.
+    /// Returns whether the process runs.
     pub fn alive(&self) -> bool {
-        held(&self.inner).machine.alive()
+        lock(&self.inner).machine.alive()
     }
 
-    /// Whether it fell over; it does not start again then.
+    /// Returns whether the server failed under overload. It does not start again then.
     pub fn fell_over(&self) -> bool {
-        held(&self.inner).machine.fell_over()
+        lock(&self.inner).machine.fell_over()
     }
 
-    /// Its counts up to now, and cores times speed.
+    /// Returns the counters up to now, and cores times speed.
     pub fn tally(self: &Arc<Node>) -> (Tally, f64) {
         self.with(|machine, now| (machine.tally(now), machine.capacity()))
     }
 }
 
-/// One life of a server.
+/// One incarnation of a server's process.
 #[derive(Clone)]
-pub struct Life {
+pub struct Incarnation {
     number: u32,
     changes: watch::Receiver<u32>,
 }
 
-impl Life {
-    /// Whether it has ended.
-    pub fn is_over(&self) -> bool {
+impl Incarnation {
+    /// Returns whether the incarnation has ended.
+    pub fn has_ended(&self) -> bool {
         *self.changes.borrow() != self.number
     }
 
-    /// Resolves when it has ended.
+    /// Resolves when the incarnation has ended.
     pub async fn ended(&mut self) {
         let number = self.number;
-        let _ = self.changes.wait_for(|life| *life != number).await; // an error: the server is gone with it
+        let _ = self.changes.wait_for(|incarnation| *incarnation != number).await; // the server was dropped
     }
 }
--- a/crates/lab/src/sockets/fleet/play.rs
+++ b/crates/lab/src/sockets/fleet/play.rs
@@ -1,10 +1,10 @@
-//! Plays what goes wrong, when it is due.
+//! Applies the faults and deploys of a scenario's timeline when they are due.
 
 use super::node::Node;
 use super::{Place, Proxies, Shared, discovery, entry};
 use crate::model::{MachineChange, Topology};
 use crate::sockets::client::Pool;
-use crate::sockets::held;
+use crate::sockets::lock;
 use crate::sockets::protocol::State;
 use crate::sockets::stream::listen;
 use std::net::SocketAddr;
@@ -12,25 +12,25 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Between two tries to listen again where a server was.
-const AGAIN: Duration = Duration::from_millis(10);
-/// Connections that a server keeps to the proxy beside it.
-const CALLS: usize = 1024;
+/// The delay between attempts to listen on the address of a server that is restarting.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The largest number of connections from a server to its sidecar.
+const MAX_SIDECAR_CONNECTIONS: usize = 1024;
 
-/// One thing that happens.
+/// An event of the timeline.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// To a machine.
+    /// A machine changes.
     Machine(u32, MachineChange),
-    /// A zone is cut off, or no longer.
+    /// A partition of a zone begins or ends.
     Cut,
-    /// Discovery goes down, or comes back.
+    /// A discovery outage begins (`true`) or ends.
     Outage(bool),
-    /// Discovery hears nothing, or hears again.
+    /// Discovery stops receiving updates (`true`) or receives them again.
     Stale(bool),
 }
 
-/// All that happens, by time. What ends at an instant comes before what begins then.
+/// Returns all events of the timeline by time. At the same instant, faults end before others begin.
 fn steps(topology: &Topology) -> Vec<(u64, Step)> {
     let timeline = &topology.timeline;
     let of = |(machine, changes): (u32, &Vec<(u64, MachineChange)>)| {
@@ -50,82 +50,82 @@
     steps
 }
 
-/// Whoever plays it.
-pub struct Player {
+/// Applies the timeline to a fleet.
+pub struct FaultPlayer {
     shared: Arc<Shared>,
     proxies: Option<Arc<dyn Proxies>>,
-    /// The time of the present step, in the scenario's count.
+    /// The time of the current step since the begin of the run, in nanoseconds.
     at: u64,
 }
 
-impl Player {
-    /// Nothing has happened yet.
-    pub fn new(shared: Arc<Shared>, proxies: Option<Arc<dyn Proxies>>) -> Player {
-        Player { shared, proxies, at: 0 }
+impl FaultPlayer {
+    /// Creates a player at the beginning of the timeline.
+    pub fn new(shared: Arc<Shared>, proxies: Option<Arc<dyn Proxies>>) -> FaultPlayer {
+        FaultPlayer { shared, proxies, at: 0 }
     }
 
-    /// Plays all of it, counted from a time.
+    /// Applies the whole timeline; `begin` is its time 0 on the fleet's clock.
     pub async fn play(mut self, begin: u64) {
         for (at, step) in steps(&self.shared.topology) {
             self.shared.alarm.until(self.shared.clock.instant(begin + at)).await;
             self.at = at;
             match step {
-                Step::Machine(machine, change) => self.machine(machine, change),
-                Step::Cut => self.silence(),
-                Step::Outage(on) => self.shared.discovery.down(on),
-                Step::Stale(on) => self.shared.discovery.deaf(on),
+                Step::Machine(machine, change) => self.change_machine(machine, change),
+                Step::Cut => self.update_blackholes(),
+                Step::Outage(on) => self.shared.discovery.set_down(on),
+                Step::Stale(on) => self.shared.discovery.set_stale(on),
             }
         }
     }
 
-    fn machine(&self, number: u32, change: MachineChange) {
+    fn change_machine(&self, number: u32, change: MachineChange) {
         let Some((tier, slot)) = self.shared.topology.machines[number as usize].server else {
-            return self.front(number, change);
+            return self.change_front_proxy(number, change);
         };
         let node = self.shared.node(Place { tier: tier as usize, index: slot as usize });
         match change {
-            MachineChange::Die { silent } => self.dies(node, silent),
+            MachineChange::Die { silent } => self.kill_server(node, silent),
             MachineChange::Start if !node.fell_over() => {
-                node.vanishes(false);
-                node.ends(); // what a silent death has left open
-                self.silence();
+                node.set_vanished(false);
+                node.reset_connections(); // connections that a silent death has left open
+                self.update_blackholes();
                 let (shared, proxies, node) = (self.shared.clone(), self.proxies.clone(), node.clone());
-                self.shared.spawn(async move { comes_up(&shared, proxies.as_deref(), &node).await });
+                self.shared.spawn(async move { start_server(&shared, proxies.as_deref(), &node).await });
             }
             MachineChange::Start => {}
             MachineChange::Drain => {
                 node.change(change);
-                self.tell(node, State::Draining);
+                self.report_state(node, State::Draining);
             }
             _ => node.change(change),
         }
     }
 
-    fn dies(&self, node: &Arc<Node>, silently: bool) {
-        node.dies();
+    fn kill_server(&self, node: &Arc<Node>, silently: bool) {
+        node.die();
         if silently {
-            node.vanishes(true);
-            self.silence();
+            node.set_vanished(true);
+            self.update_blackholes();
         } else {
-            node.ends();
+            node.reset_connections();
         }
-        held(&self.shared.sidecars).remove(&node.place);
+        lock(&self.shared.sidecars).remove(&node.place);
         if let Some(proxies) = self.proxies.as_ref().filter(|_| self.shared.calls_on(node.place)) {
-            proxies.dies(node.place.machine(&self.shared.topology), silently);
+            proxies.kill(node.place.machine(&self.shared.topology), silently);
         }
-        self.tell(node, State::Gone);
+        self.report_state(node, State::Gone);
     }
 
-    /// A first-tier proxy.
-    fn front(&self, number: u32, change: MachineChange) {
+    /// Applies a change to a first-tier proxy.
+    fn change_front_proxy(&self, number: u32, change: MachineChange) {
         let Some(proxies) = &self.proxies else { return };
         match change {
-            MachineChange::Die { silent } => proxies.dies(number, silent),
+            MachineChange::Die { silent } => proxies.kill(number, silent),
             MachineChange::Start => {
                 let (starts, shared) = (proxies.start(number), self.shared.clone());
                 self.shared.spawn(async move {
-                    if let Err(what) = starts.await {
-                        held(&shared.troubles).push(what);
+                    if let Err(error) = starts.await {
+                        lock(&shared.unexpected_failures).push(error);
                     }
                 });
             }
@@ -133,58 +133,61 @@
         }
     }
 
-    fn tell(&self, node: &Node, state: State) {
+    fn report_state(&self, node: &Node, state: State) {
         let entry = entry(&self.shared.topology, &self.shared.clock, node, state);
         self.shared.discovery.report(node.place.tier, entry);
     }
 
-    /// Sets who says nothing to whom.
-    fn silence(&self) {
+    /// Updates which servers are unreachable from which zones.
+    fn update_blackholes(&self) {
         let joined = |a: usize, b: usize| self.shared.topology.timeline.joined(a as u16, b as u16, self.at);
         for node in self.shared.all_nodes() {
-            for (zone, silence) in node.silences.iter().enumerate() {
-                silence.set(node.has_vanished() || !joined(node.zone, zone));
+            for (zone, blackhole) in node.blackholes.iter().enumerate() {
+                blackhole.set(node.has_vanished() || !joined(node.zone, zone));
             }
         }
-        for (zone, silence) in self.shared.discovery.silences.iter().enumerate() {
-            silence.set(!joined(discovery::LIVES_IN, zone));
+        for (zone, blackhole) in self.shared.discovery.blackholes.iter().enumerate() {
+            blackhole.set(!joined(discovery::DISCOVERY_ZONE, zone));
         }
     }
 }
 
-/// Listens where a server listened before; its old listeners may still be closing.
-async fn listen_again(doors: &[SocketAddr]) -> Vec<TcpListener> {
+/// Listens on a server's previous addresses. Retries while the old listeners are still closing.
+async fn listen_again(addresses: &[SocketAddr]) -> Vec<TcpListener> {
     let mut listeners = Vec::new();
-    for door in doors {
+    for listener in addresses {
         loop {
-            match listen(*door) {
+            match listen(*listener) {
                 Ok(listener) => break listeners.push(listener),
-                Err(_) => tokio::time::sleep(AGAIN).await,
+                Err(_) => tokio::time::sleep(LISTEN_RETRY_DELAY).await,
             }
         }
     }
     listeners
 }
 
-/// A server comes up cold with the proxy beside it, and discovery is told.
-async fn comes_up(shared: &Arc<Shared>, proxies: Option<&dyn Proxies>, node: &Arc<Node>) {
-    let listeners = listen_again(&node.doors).await;
-    if let Err(what) = beside(shared, proxies, node).await {
-        held(&shared.troubles).push(what);
+/// Starts a server cold, together with its sidecar, and reports it to discovery.
+async fn start_server(shared: &Arc<Shared>, proxies: Option<&dyn Proxies>, node: &Arc<Node>) {
+    let listeners = listen_again(&node.addresses).await;
+    if let Err(error) = start_sidecar(shared, proxies, node).await {
+        lock(&shared.unexpected_failures).push(error);
     }
-    node.starts();
+    node.start();
     shared.open(node, listeners);
     shared.discovery.report(node.place.tier, entry(&shared.topology, &shared.clock, node, State::Ready));
 }
 
-/// Starts the proxy beside a server, if it calls anybody. An error says why there is none.
-pub async fn beside(
+/// Starts a server's sidecar if the server calls another tier.
+///
+/// # Errors
+/// The sidecar did not start; the text is the reason.
+pub async fn start_sidecar(
     shared: &Arc<Shared>,
     proxies: Option<&dyn Proxies>,
     node: &Arc<Node>,
 ) -> Result<(), String> {
     let Some(proxies) = proxies.filter(|_| shared.calls_on(node.place)) else { return Ok(()) };
     let addr = proxies.start(node.place.machine(&shared.topology)).await?;
-    held(&shared.sidecars).insert(node.place, Arc::new(Pool::new(addr, CALLS)));
+    lock(&shared.sidecars).insert(node.place, Arc::new(Pool::new(addr, MAX_SIDECAR_CONNECTIONS)));
     Ok(())
 }
--- a/crates/lab/src/sockets/fleet/record.rs
+++ b/crates/lab/src/sockets/fleet/record.rs
@@ -1,63 +1,63 @@
-//! What a fleet has seen, for a run's result.
+//! What the servers of a fleet recorded, for a run's result.
 
 use super::Fleet;
 use crate::run::out_of_bounds;
 use crate::run_result::{RunResult, Server};
 use crate::scenario::Scenario;
-use crate::sockets::held;
+use crate::sockets::lock;
 use std::sync::Mutex;
 
-/// What servers saw of a run.
+/// What the servers recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// Every server that there was.
+    /// Every server that ran.
     pub servers: Vec<Server>,
-    /// Attempts by second since the begin: at the first tier, and at all tiers. The last are those after the
-    /// scenario's length.
+    /// Attempts by second since the begin, at the first tier and at all tiers. The last element counts all
+    /// attempts after the scenario's length.
     pub seconds: Vec<(u64, u64)>,
-    /// Executions with a key by tier and cell, after which those that came again had no effect.
+    /// Effects of keyed requests by tier and cell. Executions dropped as duplicates are not counted.
     pub effects: Vec<Vec<(u64, u64)>>,
-    /// Keys whose effect took place twice, over all tiers.
+    /// Keys whose effect took place more than once, over all tiers.
     pub second_effects: u64,
-    /// Probes at all tiers.
+    /// Health checks at all tiers.
     pub probes: u64,
     /// New connections at all tiers.
     pub handshakes: u64,
-    /// Open connections of a server, mean over servers and time.
+    /// Open connections per server, averaged over servers and time.
     pub connections_per_server: f64,
-    /// Work done for which no answer could be given, over all work done.
+    /// The share of all work that was done for requests whose sender received no response.
     pub wasted_work: f64,
 }
 
 const SECOND: u64 = 1_000_000_000;
 
-/// Attempts by second.
+/// Counts attempts by second.
 pub struct Counts {
     begin: Mutex<Option<u64>>,
     seconds: Mutex<Vec<(u64, u64)>>,
 }
 
 impl Counts {
-    /// For a run of the scenario's length; what comes after it is counted together.
+    /// Creates counters for the scenario's length, and one more for all attempts after it.
     pub fn new(scenario: &Scenario) -> Counts {
         let seconds = scenario.length.nanos().div_ceil(SECOND) as usize;
         Counts { begin: Mutex::new(None), seconds: Mutex::new(vec![(0, 0); seconds + 1]) }
     }
 
-    /// The run begins.
+    /// Sets the begin of the run.
     pub fn begin(&self, now: u64) {
-        *held(&self.begin) = Some(now);
+        *lock(&self.begin) = Some(now);
     }
 
-    /// How long ago the run began, if it has.
+    /// Returns the time since the begin of the run, or `None` before it.
     pub fn since_begin(&self, now: u64) -> Option<u64> {
-        (*held(&self.begin)).and_then(|begin| now.checked_sub(begin))
+        (*lock(&self.begin)).and_then(|begin| now.checked_sub(begin))
     }
 
-    /// An attempt has arrived at a tier.
+    /// Counts an attempt that arrived at a tier.
     pub fn arrived(&self, now: u64, tier: usize) {
         let Some(since) = self.since_begin(now) else { return };
-        let mut seconds = held(&self.seconds);
+        let mut seconds = lock(&self.seconds);
         let last = seconds.len() - 1;
         let second = &mut seconds[last.min((since / SECOND) as usize)];
         second.0 += u64::from(tier == 0);
@@ -66,7 +66,7 @@
 }
 
 impl Record {
-    /// Enters what servers saw into a run's result. Attempts before the end of the warm-up are not counted.
+    /// Writes the record into a run's result. Attempts before the end of the warm-up are not counted.
     pub fn enter(&self, result: &mut RunResult, scenario: &Scenario) {
         for (second, (first, all)) in result.seconds.iter_mut().zip(&self.seconds) {
             (second.attempts, second.attempts_all_tiers) = (*first, *all);
@@ -88,7 +88,7 @@
 }
 
 impl Fleet {
-    /// What the servers have seen so far.
+    /// Returns what the servers have recorded so far.
     pub fn record(&self) -> Record {
         let mut record = Record::default();
         let (mut work, mut wasted, mut uptime, mut connections) = (0.0, 0.0, 0.0, 0.0);
@@ -96,7 +96,7 @@
         for node in self.shared.all_nodes() {
             let (tally, capacity) = node.tally();
             if tally.uptime == 0 {
-                continue; // of a deploy that is still to come
+                continue; // added by a deploy that has not happened yet
             }
             record.probes += tally.probes;
             record.handshakes += tally.handshakes;
@@ -104,7 +104,7 @@
             wasted += tally.wasted;
             uptime += tally.uptime as f64;
             connections += tally.connection_time;
-            let could = capacity * tally.uptime as f64;
+            let possible_work = capacity * tally.uptime as f64;
             record.servers.push(Server {
                 name: node.name.clone(),
                 tier: topology.scenario.tier[node.place.tier].name.clone(),
@@ -114,7 +114,7 @@
                 attempts: tally.attempts,
                 turned_away: tally.turned_away,
                 work_s: tally.work / 1e9,
-                utilization: if could > 0.0 { tally.work / could } else { 0.0 },
+                utilization: if possible_work > 0.0 { tally.work / possible_work } else { 0.0 },
                 peak_requests: tally.peak_requests,
                 probes: tally.probes,
                 peak_connections: tally.peak_connections,
@@ -124,10 +124,10 @@
         }
         record.wasted_work = if work > 0.0 { wasted / work } else { 0.0 };
         record.connections_per_server = if uptime > 0.0 { connections / uptime } else { 0.0 };
-        record.seconds = held(&self.shared.counts.seconds).clone();
+        record.seconds = lock(&self.shared.counts.seconds).clone();
         for effects in &self.shared.effects {
-            let effects = held(effects);
-            record.second_effects += effects.twice();
+            let effects = lock(effects);
+            record.second_effects += effects.repeated_keys();
             record.effects.push(effects.by_cell().iter().map(|(cell, times)| (*cell, *times)).collect());
         }
         record
--- a/crates/lab/src/sockets/fleet/serve.rs
+++ b/crates/lab/src/sockets/fleet/serve.rs
@@ -1,12 +1,12 @@
-//! A server's connections, and the requests on them.
+//! Serves a server's connections and the requests on them.
 
 use super::Shared;
-use super::node::{Hears, Life, Node};
+use super::node::{EventReceiver, Incarnation, Node};
 use crate::scenario::Effect;
 use crate::sockets::client::{Outgoing, Pool};
 use crate::sockets::protocol::{self, API, BODY_LIMIT, LIVE, STATS};
-use crate::sockets::server::{Ask, Said, Ticket};
-use crate::sockets::stream::{Door, Line};
+use crate::sockets::server::{RequestEvent, RequestSpec, Ticket};
+use crate::sockets::stream::{BlackholeListener, ServerStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -21,98 +21,108 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// After a listener failed, for want of descriptors say.
-const AGAIN: Duration = Duration::from_millis(20);
+/// The delay before the next `accept` after an error, such as too many open files.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A connection is to break: the request on it gets no answer.
+/// Breaks a connection without answering the request on it.
 #[derive(Debug, thiserror::Error)]
-#[error("reset")]
+#[error("connection reset")]
 struct Reset;
 
 type Reply = Result<Response<Full<Bytes>>, Reset>;
 
-/// Takes connections from one zone until the server's life ends.
-pub async fn take(shared: Arc<Shared>, node: Arc<Node>, mut door: Door, zone: usize, mut life: Life) {
-    let its = life.clone();
+/// Accepts connections from one zone until the server's incarnation ends.
+pub async fn accept_connections(
+    shared: Arc<Shared>,
+    node: Arc<Node>,
+    mut listener: BlackholeListener,
+    zone: usize,
+    mut incarnation: Incarnation,
+) {
+    let its = incarnation.clone();
     let serve = async {
         loop {
-            match door.accept().await {
+            match listener.accept().await {
                 Ok(stream) => {
-                    let (shared, node, life) = (shared.clone(), node.clone(), its.clone());
-                    let caller = Caller { shared, node, zone, life, abrupt: Arc::default() };
-                    tokio::spawn(caller.connected(stream));
+                    let (shared, node, incarnation) = (shared.clone(), node.clone(), its.clone());
+                    let connection =
+                        ServerConnection { shared, node, zone, incarnation, reset_on_close: Arc::default() };
+                    tokio::spawn(connection.serve_connection_until_death(stream));
                 }
-                Err(_) => tokio::time::sleep(AGAIN).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     };
     tokio::select! {
         biased;
-        () = life.ended() => {}
+        () = incarnation.ended() => {}
         () = serve => {}
     }
 }
 
-/// Whoever is at the other end of a connection.
-struct Caller {
+/// A connection accepted by a server.
+struct ServerConnection {
     shared: Arc<Shared>,
     node: Arc<Node>,
     zone: usize,
-    life: Life,
-    /// The connection is to be reset when it ends.
-    abrupt: Arc<AtomicBool>,
+    incarnation: Incarnation,
+    /// Whether the connection is reset when it ends.
+    reset_on_close: Arc<AtomicBool>,
 }
 
-/// Counts as a connection while it lives.
-struct Counted(Arc<Node>, Life);
+/// Counts an open connection at its server until it is dropped.
+struct OpenConnection(Arc<Node>, Incarnation);
 
-impl Drop for Counted {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        if !self.1.is_over() {
+        if !self.1.has_ended() {
             self.0.disconnect();
         }
     }
 }
 
-impl Caller {
-    /// Serves a connection until one side ends it, it has been idle for too long, or the server dies.
-    async fn connected(self, stream: TcpStream) {
-        let (mut life, abrupt) = (self.life.clone(), self.abrupt.clone());
-        let line = Line::new(stream, self.node.silences[self.zone].clone(), abrupt.clone());
+impl ServerConnection {
+    /// Serves a connection until either side closes it, it exceeds the idle limit, or the server dies.
+    async fn serve_connection_until_death(self, stream: TcpStream) {
+        let (mut incarnation, reset_on_close) = (self.incarnation.clone(), self.reset_on_close.clone());
+        let stream =
+            ServerStream::new(stream, self.node.blackholes[self.zone].clone(), reset_on_close.clone());
         let dies = async {
-            life.ended().await;
-            abrupt.store(true, Ordering::SeqCst); // before the line is dropped
+            incarnation.ended().await;
+            reset_on_close.store(true, Ordering::SeqCst); // must be set before the stream is dropped
         };
         tokio::select! {
             biased;
             () = dies => {}
-            () = self.connection(line) => {}
+            () = self.serve_stream(stream) => {}
         }
     }
 
-    async fn connection(self, line: Line) {
-        let counted = self.node.connect().then(|| Counted(self.node.clone(), self.life.clone()));
+    async fn serve_stream(self, stream: ServerStream) {
+        let counted =
+            self.node.connect().then(|| OpenConnection(self.node.clone(), self.incarnation.clone()));
         let (has_room, connections) =
             (counted.is_some(), self.node.place.kind(&self.shared.topology).connections);
         let trips = connections.handshake_rtts * 2;
-        self.shared.travels(self.node.zone, self.zone, trips).await;
-        let (idle, use_of) = (connections.idle.duration(), Arc::new(Use::new()));
-        let caller = Arc::new(self);
+        self.shared.wait_for_network(self.node.zone, self.zone, trips).await;
+        let (idle, idle_tracker) = (connections.idle.duration(), Arc::new(IdleTracker::new()));
+        let connection = Arc::new(self);
         let service = service_fn(|request: Request<Incoming>| {
-            let (caller, in_use) = (caller.clone(), use_of.clone().begins());
+            let (connection, in_use) = (connection.clone(), idle_tracker.clone().begin_request());
             async move {
-                let reply = if has_room { caller.answer(request).await } else { Ok(no_room()) };
+                let reply =
+                    if has_room { connection.answer(request).await } else { Ok(connection_limit_reached()) };
                 drop(in_use);
                 reply
             }
         });
-        let served = http1::Builder::new().serve_connection(TokioIo::new(line), service);
+        let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::pin!(served);
         tokio::select! {
             _ = served.as_mut() => return,
-            () = use_of.idles_for(idle) => served.as_mut().graceful_shutdown(),
+            () = idle_tracker.wait_until_idle_for(idle) => served.as_mut().graceful_shutdown(),
         }
-        let _ = served.await; // it ends as soon as it is at rest
+        let _ = served.await; // ends after the request in progress, if any
     }
 
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Reply {
@@ -120,88 +130,90 @@
         let is_probe = request.method() == Method::GET && matches!(request.uri().path(), LIVE | STATS);
         if is_probe {
             return if probes {
-                self.probed(request.uri().path() == STATS).await
+                self.answer_health_check(request.uri().path() == STATS).await
             } else {
-                Ok(nothing_here())
+                Ok(not_found())
             };
         }
         if !request.headers().contains_key(protocol::REQUEST_ID) {
-            return Ok(nothing_here());
+            return Ok(not_found());
         }
         let (head, body) = request.into_parts();
         let Ok(_) = Limited::new(body, BODY_LIMIT).collect().await else {
             return Ok(plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long, or broke off\n"));
         };
-        let asked = match Asked::read(&self.shared, &self.node, &head.headers) {
-            Ok(asked) => asked,
+        let request_info = match ReceivedRequest::read(&self.shared, &self.node, &head.headers) {
+            Ok(request_info) => request_info,
             Err(what) => return Ok(plain(StatusCode::BAD_REQUEST, what)),
         };
         self.shared.counts.arrived(self.shared.clock.now(), self.node.place.tier);
-        self.shared.travels(self.node.zone, self.zone, 1).await;
-        let reply = self.run(asked).await?;
-        self.shared.travels(self.node.zone, self.zone, 1).await;
+        self.shared.wait_for_network(self.node.zone, self.zone, 1).await;
+        let reply = self.run(request_info).await?;
+        self.shared.wait_for_network(self.node.zone, self.zone, 1).await;
         Ok(reply)
     }
 
-    async fn probed(&self, as_body: bool) -> Reply {
-        self.shared.travels(self.node.zone, self.zone, 2).await;
+    async fn answer_health_check(&self, as_body: bool) -> Reply {
+        self.shared.wait_for_network(self.node.zone, self.zone, 2).await;
         self.node.probe();
         let report = self.node.report().map(|figures| figures.to_string());
         let body = report.as_deref().filter(|_| as_body).unwrap_or("alive\n").to_owned();
         Ok(with_report(plain(StatusCode::OK, body), report.as_deref()))
     }
 
-    /// Runs a request to its answer. The caller may go meanwhile; what becomes of it then is the kind's
-    /// affair, so that it runs in a task of its own.
-    async fn run(self: &Arc<Self>, asked: Asked) -> Reply {
-        let breaks = self.shared.resets(&self.node);
-        let ask = Ask { part: asked.part, calls: asked.calls, until: asked.until };
-        let (ticket, hears) = self.node.arrive(ask);
-        let job = tokio::spawn(Job { caller: self.clone(), asked, ticket }.run(hears));
-        let mut waits = Waits { node: self.node.clone(), ticket: Some(ticket), job: job.abort_handle() };
+    /// Runs a request until it is answered. The request runs in its own task, because the kind of server
+    /// decides whether it goes on after its client has disconnected.
+    async fn run(self: &Arc<Self>, request_info: ReceivedRequest) -> Reply {
+        let breaks = self.shared.draws_reset(&self.node);
+        let spec =
+            RequestSpec { part: request_info.part, calls: request_info.calls, until: request_info.until };
+        let (ticket, events) = self.node.arrive(spec);
+        let job = tokio::spawn(Job { connection: self.clone(), request_info, ticket }.run(events));
+        let mut cancel_on_drop =
+            CancelOnDrop { node: self.node.clone(), ticket: Some(ticket), job: job.abort_handle() };
         if breaks {
-            self.abrupt.store(true, Ordering::SeqCst);
+            self.reset_on_close.store(true, Ordering::SeqCst);
             return Err(Reset);
         }
         let reply = job.await.unwrap_or(Err(Reset));
-        waits.ticket = None;
+        cancel_on_drop.ticket = None;
         reply
     }
 }
 
-/// Calls a request off when nobody waits for its answer any more.
-struct Waits {
+/// Cancels a request when it is dropped before the response is complete.
+struct CancelOnDrop {
     node: Arc<Node>,
-    /// None once it has its answer.
+    /// `None` once the response is complete.
     ticket: Option<Ticket>,
     job: tokio::task::AbortHandle,
 }
 
-impl Drop for Waits {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        if self.ticket.is_some_and(|ticket| self.node.call_off(ticket)) {
+        if self.ticket.is_some_and(|ticket| self.node.cancel_request(ticket)) {
             self.job.abort();
         }
     }
 }
 
-/// What a request asks for.
-struct Asked {
+/// A request as read from its headers.
+struct ReceivedRequest {
     id: String,
     class: usize,
     tenant: Option<String>,
     key: Option<String>,
-    /// Work of one part, in nanoseconds at speed 1, and calls to the next tier between two parts each.
+    /// The work of one part, in nanoseconds at speed 1. A call to the next tier separates two parts.
     part: u64,
     calls: u32,
-    /// Its whole work over all tiers, in microseconds.
+    /// The request's whole work over all tiers, in microseconds.
     work_us: f64,
-    /// When its sender stops waiting, since the start.
+    /// When the sender's deadline expires, in nanoseconds since the start of the clock.
     until: Option<u64>,
 }
 
-impl Asked {
-    fn read(shared: &Shared, node: &Node, headers: &HeaderMap) -> Result<Asked, &'static str> {
+impl ReceivedRequest {
+    fn read(shared: &Shared, node: &Node, headers: &HeaderMap) -> Result<ReceivedRequest, &'static str> {
         let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
         let id = text(protocol::REQUEST_ID).ok_or("x-request-id: not plain text\n")?.to_owned();
         let class = text(protocol::CLASS).ok_or("x-class: missing\n")?;
@@ -214,13 +226,14 @@
             }
         };
         let given = text(protocol::EXTRAS).and_then(|text| protocol::extra(text, protocol::WORK));
-        let work = || node.draw(|chance| shared.topology.classes[class].work.draw(chance)) as f64 / 1e3;
+        let work = || node.draw(|rng| shared.topology.classes[class].work.draw(rng)) as f64 / 1e3;
         let work_us = given.unwrap_or_else(work);
         let tier = node.place.tier;
-        let calls = shared.topology.scenario.tier.get(tier + 1).map_or(0, |next| node.around(next.calls));
+        let calls =
+            shared.topology.scenario.tier.get(tier + 1).map_or(0, |next| node.round_randomly(next.calls));
         let own = work_us * 1e3 * shared.topology.scenario.tier[tier].work_share;
         let (tenant, key) = (text(protocol::TENANT), text(protocol::KEY));
-        Ok(Asked {
+        Ok(ReceivedRequest {
             id,
             class,
             tenant: tenant.map(str::to_owned),
@@ -233,61 +246,67 @@
     }
 }
 
-/// A request in work.
+/// An admitted request that is being executed.
 struct Job {
-    caller: Arc<Caller>,
-    asked: Asked,
+    connection: Arc<ServerConnection>,
+    request_info: ReceivedRequest,
     ticket: Ticket,
 }
 
 impl Job {
-    async fn run(self, hears: Hears) -> Reply {
-        let mut life = self.caller.life.clone();
+    async fn run(self, events: EventReceiver) -> Reply {
+        let mut incarnation = self.connection.incarnation.clone();
         tokio::select! {
             biased;
-            () = life.ended() => Err(Reset),
-            reply = self.parts(hears) => reply,
+            () = incarnation.ended() => Err(Reset),
+            reply = self.parts(events) => reply,
         }
     }
 
-    async fn parts(&self, mut hears: Hears) -> Reply {
-        let node = &self.caller.node;
-        for calls_left in (0..=self.asked.calls).rev() {
-            match hears.await {
-                Ok(Said::Ran) => {}
-                Ok(Said::Full | Said::Draining) => return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE)),
-                Ok(Said::Over) => return Ok(not_run(StatusCode::GATEWAY_TIMEOUT)),
-                Ok(Said::Error) => return Ok(self.failed()),
-                // The machine died, and perhaps without a word: nobody hears of it before its life ends.
+    async fn parts(&self, mut events: EventReceiver) -> Reply {
+        let node = &self.connection.node;
+        for calls_left in (0..=self.request_info.calls).rev() {
+            match events.await {
+                Ok(RequestEvent::PartDone) => {}
+                Ok(RequestEvent::QueueFull | RequestEvent::Draining) => {
+                    return Ok(not_run(StatusCode::SERVICE_UNAVAILABLE));
+                }
+                Ok(RequestEvent::Expired) => return Ok(not_run(StatusCode::GATEWAY_TIMEOUT)),
+                Ok(RequestEvent::Error) => return Ok(self.failed()),
+                // The machine died, perhaps silently: the client must see nothing until the incarnation ends.
                 Err(_) => return std::future::pending().await,
             }
             if calls_left == 0 {
                 break;
             }
             if !self.call().await {
-                node.leave(self.ticket, false);
+                node.finish(self.ticket, false);
                 return Ok(self.failed());
             }
-            hears = node.goes_on(self.ticket);
+            events = node.resume(self.ticket);
         }
-        if node.leave(self.ticket, true).is_some() {
-            self.caller.shared.took_place(node, self.asked.class, self.asked.key.as_deref());
+        if node.finish(self.ticket, true).is_some() {
+            self.connection.shared.record_effect(
+                node,
+                self.request_info.class,
+                self.request_info.key.as_deref(),
+            );
         }
         let report = node.report().map(|figures| figures.to_string());
-        Ok(with_report(plain(StatusCode::OK, self.asked.id.clone()), report.as_deref()))
+        Ok(with_report(plain(StatusCode::OK, self.request_info.id.clone()), report.as_deref()))
     }
 
     fn failed(&self) -> Response<Full<Bytes>> {
-        let report = self.caller.node.report().map(|figures| figures.to_string());
+        let report = self.connection.node.report().map(|figures| figures.to_string());
         with_report(plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"), report.as_deref())
     }
 
-    /// Calls the next tier, through the proxy beside this server. Whether it was served.
+    /// Calls the next tier through the sidecar. Returns whether the call was served.
     async fn call(&self) -> bool {
-        let shared = &self.caller.shared;
-        let class = &shared.topology.scenario.class[self.asked.class];
-        let Some(pool) = shared.sidecar(self.caller.node.place) else { return false };
-        let left = match self.asked.until.filter(|_| shared.topology.scenario.limits.passes_deadline) {
+        let shared = &self.connection.shared;
+        let class = &shared.topology.scenario.class[self.request_info.class];
+        let Some(pool) = shared.sidecar(self.connection.node.place) else { return false };
+        let left = match self.request_info.until.filter(|_| shared.topology.scenario.limits.passes_deadline) {
             None => class.deadline.duration(),
             Some(until) => Duration::from_nanos(until.saturating_sub(shared.clock.now())),
         };
@@ -301,12 +320,12 @@
     }
 
     fn name(&self, what: &str) -> String {
-        let number: u64 = self.caller.node.draw(|chance| chance.random());
-        format!("{what}-{}-{number:016x}", self.caller.node.name)
+        let number: u64 = self.connection.node.draw(|rng| rng.random());
+        format!("{what}-{}-{number:016x}", self.connection.node.name)
     }
 
     fn request(&self, key: Option<String>, left: Duration) -> Outgoing {
-        let class = &self.caller.shared.topology.scenario.class[self.asked.class];
+        let class = &self.connection.shared.topology.scenario.class[self.request_info.class];
         let mut request = Request::builder()
             .method(if key.is_none() { Method::GET } else { Method::POST })
             .uri(API)
@@ -314,14 +333,14 @@
             .header(protocol::REQUEST_ID, self.name("call"))
             .header(protocol::CLASS, &class.name)
             .header(protocol::DEADLINE, protocol::deadline_text(left))
-            .header(protocol::EXTRAS, format!("{}={:.0}", protocol::WORK, self.asked.work_us));
-        if let Some(tenant) = &self.asked.tenant {
+            .header(protocol::EXTRAS, format!("{}={:.0}", protocol::WORK, self.request_info.work_us));
+        if let Some(tenant) = &self.request_info.tenant {
             request = request.header(protocol::TENANT, tenant);
         }
         if let Some(key) = key {
             request = request.header(protocol::KEY, key);
         }
-        request.body(Full::default()).unwrap_or_default() // of plain texts; names of classes are checked
+        request.body(Full::default()).unwrap_or_default() // cannot fail: class names are validated
     }
 }
 
@@ -335,7 +354,7 @@
     response
 }
 
-fn nothing_here() -> Response<Full<Bytes>> {
+fn not_found() -> Response<Full<Bytes>> {
     plain(StatusCode::NOT_FOUND, "nothing here\n")
 }
 
@@ -345,8 +364,8 @@
     response
 }
 
-/// The answer on a connection that is one too many.
-fn no_room() -> Response<Full<Bytes>> {
+/// Returns the response on a connection beyond the server's connection limit.
+fn connection_limit_reached() -> Response<Full<Bytes>> {
     let mut response = not_run(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert(CONNECTION, hyper::header::HeaderValue::from_static("close"));
     response
@@ -359,15 +378,15 @@
     response
 }
 
-/// Whether a connection has a request, and since when it has none.
-struct Use {
+/// Tracks whether a connection has a request in progress, and since when it is idle.
+struct IdleTracker {
     begin: Instant,
-    /// Nanoseconds since the begin; `u64::MAX` while it has one.
+    /// Nanoseconds since `begin`, or `u64::MAX` while a request is in progress.
     idle_since: AtomicU64,
 }
 
-/// A request on a connection.
-struct InUse(Arc<Use>);
+/// Marks a connection as in use until it is dropped.
+struct InUse(Arc<IdleTracker>);
 
 impl Drop for InUse {
     fn drop(&mut self) {
@@ -376,18 +395,18 @@
     }
 }
 
-impl Use {
-    fn new() -> Use {
-        Use { begin: Instant::now(), idle_since: AtomicU64::new(0) }
+impl IdleTracker {
+    fn new() -> IdleTracker {
+        IdleTracker { begin: Instant::now(), idle_since: AtomicU64::new(0) }
     }
 
-    fn begins(self: Arc<Use>) -> InUse {
+    fn begin_request(self: Arc<IdleTracker>) -> InUse {
         self.idle_since.store(u64::MAX, Ordering::Relaxed);
         InUse(self)
     }
 
-    /// Resolves when it has been idle for this long.
-    async fn idles_for(&self, time: Duration) {
+    /// Resolves when the connection has been idle for `time`.
+    async fn wait_until_idle_for(&self, time: Duration) {
         loop {
             let since = self.idle_since.load(Ordering::Relaxed);
             let idle = self.begin.elapsed().saturating_sub(Duration::from_nanos(since));
--- a/crates/lab/src/sockets/load/front.rs
+++ b/crates/lab/src/sockets/load/front.rs
@@ -1,49 +1,50 @@
-//! Which proxy a client uses: one of its zone that the front takes to be there.
+//! Selects a client's proxy among those of its zone that are considered up.
 
 use std::net::SocketAddr;
 
-/// Where requests can go.
+/// A proxy or server to which requests can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Its address.
     pub addr: SocketAddr,
-    /// Its zone; none: it is there for all.
+    /// Its zone, or `None` if it serves all zones.
     pub zone: Option<usize>,
 }
 
-/// What is known of the targets. Times are in nanoseconds since the begin.
-pub struct Front {
+/// The targets and their health as seen by clients. Times are in nanoseconds since the begin of the load.
+pub struct TargetSelector {
     targets: Vec<Target>,
-    /// By target: since when it has not been found to be there.
-    missing: Vec<Option<u64>>,
-    /// It notices after this that a target is not there.
-    notices: u64,
+    /// By target: since when its checks fail.
+    failing_since: Vec<Option<u64>>,
+    /// A target is removed after its checks have failed for this long.
+    detection_time: u64,
 }
 
-impl Front {
-    /// All are there.
-    pub fn new(targets: Vec<Target>, notices: u64) -> Front {
-        Front { missing: vec![None; targets.len()], targets, notices }
+impl TargetSelector {
+    /// Creates a selector that considers all targets up.
+    pub fn new(targets: Vec<Target>, detection_time: u64) -> TargetSelector {
+        TargetSelector { failing_since: vec![None; targets.len()], targets, detection_time }
     }
 
-    /// A target was looked at.
-    pub fn looked(&mut self, target: usize, there: bool, now: u64) {
-        let missing = &mut self.missing[target];
-        *missing = if there { None } else { Some(missing.unwrap_or(now)) };
+    /// Records the result of a check of a target.
+    pub fn record_check(&mut self, target: usize, up: bool, now: u64) {
+        let failing_since = &mut self.failing_since[target];
+        *failing_since = if up { None } else { Some(failing_since.unwrap_or(now)) };
     }
 
-    /// Whether a target gets requests.
-    pub fn uses(&self, target: usize, now: u64) -> bool {
-        self.missing[target].is_none_or(|since| now < since + self.notices)
+    /// Returns whether a target gets requests.
+    pub fn is_up(&self, target: usize, now: u64) -> bool {
+        self.failing_since[target].is_none_or(|since| now < since + self.detection_time)
     }
 
-    /// The target for a client in a zone; others' where its zone has none left, and none where nobody has.
-    /// `lot` lies between 0 and 1.
+    /// Picks a target for a client in a zone. Uses other zones if its own has no target that is up, and
+    /// returns
+    /// `None` if no zone has one. `lot` is a random number in [0, 1).
     pub fn pick(&self, zone: usize, lot: f64, now: u64) -> Option<usize> {
-        let used: Vec<usize> = (0..self.targets.len()).filter(|t| self.uses(*t, now)).collect();
+        let up_targets: Vec<usize> = (0..self.targets.len()).filter(|t| self.is_up(*t, now)).collect();
         let is_near = |t: &usize| self.targets[*t].zone.is_none_or(|z| z == zone);
-        let near: Vec<usize> = used.iter().copied().filter(is_near).collect();
-        let from = if near.is_empty() { used } else { near };
+        let near: Vec<usize> = up_targets.iter().copied().filter(is_near).collect();
+        let from = if near.is_empty() { up_targets } else { near };
         from.get((lot * from.len() as f64) as usize).copied()
     }
 }
@@ -53,22 +54,22 @@
     use super::*;
 
     #[test]
-    fn clients_use_their_zone_and_others_when_all_of_it_is_known_to_be_gone() {
+    fn clients_use_other_zones_when_all_targets_of_their_zone_are_down() {
         let target = |zone| Target { addr: SocketAddr::from(([127, 0, 0, 1], 1)), zone: Some(zone) };
-        let mut front = Front::new(vec![target(0), target(0), target(1)], 100);
+        let mut selector = TargetSelector::new(vec![target(0), target(0), target(1)], 100);
         assert_eq!(
-            [0.0, 0.49, 0.5, 0.99].map(|lot| front.pick(0, lot, 0)),
+            [0.0, 0.49, 0.5, 0.99].map(|lot| selector.pick(0, lot, 0)),
             [Some(0), Some(0), Some(1), Some(1)]
         );
-        front.looked(0, false, 50);
-        front.looked(0, false, 120);
-        assert_eq!(front.pick(0, 0.0, 149), Some(0)); // not noticed yet
-        assert_eq!(front.pick(0, 0.0, 150), Some(1));
-        front.looked(1, false, 0);
-        assert_eq!(front.pick(0, 0.0, 150), Some(2));
-        front.looked(2, false, 0);
-        assert_eq!(front.pick(0, 0.0, 150), None);
-        front.looked(0, true, 160);
-        assert_eq!(front.pick(1, 0.0, 160), Some(0));
+        selector.record_check(0, false, 50);
+        selector.record_check(0, false, 120);
+        assert_eq!(selector.pick(0, 0.0, 149), Some(0)); // the failure is not noticed yet
+        assert_eq!(selector.pick(0, 0.0, 150), Some(1));
+        selector.record_check(1, false, 0);
+        assert_eq!(selector.pick(0, 0.0, 150), Some(2));
+        selector.record_check(2, false, 0);
+        assert_eq!(selector.pick(0, 0.0, 150), None);
+        selector.record_check(0, true, 160);
+        assert_eq!(selector.pick(1, 0.0, 160), Some(0));
     }
 }
--- a/crates/lab/src/sockets/load/mod.rs
+++ b/crates/lab/src/sockets/load/mod.rs
@@ -1,7 +1,7 @@
-//! An open-loop load: requests go out when their schedule says, however long others take.
+//! An open-loop load generator: each request is sent when its schedule says, no matter how long others take.
 //!
-//! Latency counts from when a request was due, not from when it could be sent. Danger: a tool that waits for
-//! answers before it sends more leaves out just the requests that a stalled server would have kept waiting
+//! Latency is measured from when a request was due, not from when it was sent. A generator that waits for
+//! responses before it sends more omits just the requests that a stalled server would have kept waiting
 //! (coordinated omission; Gil Tene, "How NOT to Measure Latency", 2013).
 
 mod front;
@@ -9,15 +9,15 @@
 mod schedule;
 
 pub use front::Target;
-pub use schedule::{MOST, Planned, Schedule, TooMany};
+pub use schedule::{MAX_SCHEDULED_REQUESTS, Planned, Schedule, ScheduleTooLong};
 
 use super::client::Pool;
-use super::held;
+use super::lock;
 use crate::model::{Counters, Topology};
 use crate::run::{out_of_bounds, peak_mib, revision};
 use crate::run_result::{Breach, Cost, Latency, RunResult, SCHEMA};
 use crate::scenario::Checked;
-use front::Front;
+use front::TargetSelector;
 use hdrhistogram::Histogram;
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -26,14 +26,14 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// How the tool may go about it.
+/// Limits of the load generator.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Requests open at a time, at most; further ones are not sent, and the result is unsound.
+    /// The largest number of open requests. Further requests are not sent, and the result is marked unsound.
     pub most_open: u64,
-    /// Connections to each target, at most.
+    /// The largest number of connections to each target.
     pub most_connections: usize,
-    /// The tool has fallen behind when a hundredth of its requests begin later than this after they were due.
+    /// The result is marked unsound if the 99th percentile of the delay between due and sent exceeds this.
     pub lag: Duration,
 }
 
@@ -43,54 +43,54 @@
     }
 }
 
-/// Why there is no load.
+/// Why a load cannot be generated.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// There is nowhere to send it.
-    #[error("no address to send to")]
+    /// There is no target.
+    #[error("no target address to send requests to")]
     NoTarget,
     /// The schedule is too long.
     #[error(transparent)]
-    Schedule(#[from] TooMany),
-    /// The thread that keeps the schedule cannot be started.
-    #[error("the thread that keeps the schedule: {0}")]
+    Schedule(#[from] ScheduleTooLong),
+    /// The schedule thread cannot be started.
+    #[error("cannot start the schedule thread: {0}")]
     Thread(#[from] io::Error),
 }
 
-/// What a load came to.
+/// The report of a completed load.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Its result; what only servers know is not in it.
+    /// The result, without the figures that only servers record.
     pub result: RunResult,
-    /// By how much requests began later than they were due.
+    /// The delay between when requests were due and when they were sent.
     pub lag: Latency,
     /// Connections opened.
     pub connections: u64,
-    /// Requests that had to wait for one of the connections that it may have; that time counts as theirs.
+    /// Requests that had to wait for a free connection. The wait counts towards their latency.
     pub waited: u64,
-    /// Answers that were made for other requests.
+    /// Responses that belonged to another request.
     pub foreign: u64,
 }
 
-/// What has happened lately, for a live line.
+/// Counts since the previous progress line.
 #[derive(Clone, Debug, Default)]
-pub struct Lately {
-    /// First tries that were due.
+pub struct LiveCounts {
+    /// Requests that became due.
     pub offered: u64,
-    /// Served within the aim.
+    /// Requests served within the latency objective.
     pub in_time: u64,
-    /// Served after it.
+    /// Requests served after the latency objective.
     pub late: u64,
-    /// Refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Latencies of those served, in microseconds, in no order.
+    /// Latencies of the served requests, in microseconds, unsorted.
     pub latencies: Vec<u64>,
 }
 
-impl Lately {
-    /// A percentile of the latencies, in milliseconds; 0 where nothing was served.
+impl LiveCounts {
+    /// Returns a percentile of the latencies in milliseconds, or 0 if nothing was served.
     pub fn percentile_ms(&mut self, percentile: f64) -> f64 {
         self.latencies.sort_unstable();
         let rank = (percentile / 100.0 * self.latencies.len() as f64).ceil() as usize;
@@ -98,7 +98,7 @@
     }
 }
 
-/// A load that is ready to begin.
+/// A load that has not begun.
 pub struct Load {
     shared: Arc<Shared>,
 }
@@ -108,12 +108,12 @@
     schedule: Schedule,
     options: Options,
     pools: Vec<Pool>,
-    front: Mutex<Front>,
+    targets: Mutex<TargetSelector>,
     begin: Mutex<Instant>,
     counters: Mutex<Counters>,
-    /// Where somebody looks.
-    lately: Mutex<Option<Lately>>,
-    /// In microseconds.
+    /// `Some` if progress is observed through [`Live`].
+    live_counts: Mutex<Option<LiveCounts>>,
+    /// The delay between due and sent, in microseconds.
     lag: Mutex<Histogram<u64>>,
     open: AtomicU64,
     dropped: AtomicU64,
@@ -122,7 +122,7 @@
 }
 
 impl Load {
-    /// Draws the schedule of a scenario. Its clients send to these targets.
+    /// Creates a load on these targets with a schedule drawn from the scenario.
     ///
     /// # Errors
     /// There is no target, or the schedule would be too long.
@@ -131,15 +131,15 @@
             return Err(LoadError::NoTarget);
         }
         let schedule = Schedule::draw(&topology)?;
-        let notices = topology.scenario.clients.notices_dead_proxy.nanos();
+        let detection_time = topology.scenario.clients.notices_dead_proxy.nanos();
         let shared = Shared {
             schedule,
             pools: to.iter().map(|t| Pool::new(t.addr, options.most_connections)).collect(),
-            front: Mutex::new(Front::new(to, notices)),
+            targets: Mutex::new(TargetSelector::new(to, detection_time)),
             options,
             begin: Mutex::new(Instant::now()),
             counters: Mutex::new(Counters::new(&topology)),
-            lately: Mutex::default(),
+            live_counts: Mutex::default(),
             lag: Mutex::new(Histogram::new(3).unwrap_or_else(|_| unreachable!("3 digits are allowed"))),
             open: AtomicU64::new(0),
             dropped: AtomicU64::new(0),
@@ -150,40 +150,40 @@
         Ok(Load { shared: Arc::new(shared) })
     }
 
-    /// The schedule.
+    /// Returns the schedule.
     pub fn schedule(&self) -> &Schedule {
         &self.shared.schedule
     }
 
-    /// Something to look at it with while it runs.
+    /// Returns a handle that observes and stops the load while it runs.
     pub fn live(&self) -> Live {
-        held(&self.shared.lately).get_or_insert_default();
+        lock(&self.shared.live_counts).get_or_insert_default();
         Live(self.shared.clone())
     }
 
-    /// Sends all of it, beginning at a time, and waits for the last answer: no longer than the longest
-    /// deadline after the last request was due. Dropped before that, it ends at once.
+    /// Sends the whole schedule, beginning at a time, and waits for the last response, at most for the
+    /// longest deadline after the last request was due. Dropping the future ends the load at once.
     ///
     /// # Errors
-    /// The thread that keeps the schedule cannot be started.
+    /// The schedule thread cannot be started.
     pub async fn run(self, begin: Instant) -> Result<Report, LoadError> {
         let shared = self.shared;
-        *held(&shared.begin) = begin;
-        let _stops = Stops(shared.clone());
+        *lock(&shared.begin) = begin;
+        let _stop_on_drop = StopOnDrop(shared.clone());
         let (sender, mut due) = mpsc::unbounded_channel();
-        let its = shared.clone();
+        let thread_shared = shared.clone();
         let pace = std::thread::Builder::new().name("schedule".into());
-        pace.spawn(move || keep_schedule(&its, begin, &sender))?;
-        let mut looks = JoinSet::new();
+        pace.spawn(move || run_schedule(&thread_shared, begin, &sender))?;
+        let mut checks = JoinSet::new();
         for target in 0..shared.pools.len() {
-            looks.spawn(request::look_after(shared.clone(), target));
+            checks.spawn(request::check_target(shared.clone(), target));
         }
         let mut requests = JoinSet::new();
         loop {
             tokio::select! {
                 biased;
                 next = due.recv() => match next {
-                    Some(number) => _ = requests.spawn(request::play(shared.clone(), number)),
+                    Some(number) => _ = requests.spawn(request::run_request(shared.clone(), number)),
                     None => break,
                 },
                 Some(_) = requests.join_next() => {}
@@ -194,18 +194,18 @@
     }
 }
 
-/// Ends the thread that keeps the schedule.
-struct Stops(Arc<Shared>);
+/// Stops the schedule thread when it is dropped.
+struct StopOnDrop(Arc<Shared>);
 
-impl Drop for Stops {
+impl Drop for StopOnDrop {
     fn drop(&mut self) {
         self.0.stop.store(true, Ordering::SeqCst);
     }
 }
 
-/// Says which request is due, when it is. A thread of its own sleeps to within some ten microseconds; the
-/// runtime's timers go by the millisecond.
-fn keep_schedule(shared: &Shared, begin: Instant, due: &mpsc::UnboundedSender<usize>) {
+/// Sends the number of each request when it is due. This runs in a separate thread, whose sleeps are accurate
+/// to some ten microseconds; the runtime's timers have a resolution of one millisecond.
+fn run_schedule(shared: &Shared, begin: Instant, due: &mpsc::UnboundedSender<usize>) {
     const STEP: Duration = Duration::from_millis(50);
     for (number, request) in shared.schedule.requests.iter().enumerate() {
         let at = begin + Duration::from_nanos(request.due);
@@ -226,15 +226,15 @@
 }
 
 impl Shared {
-    /// Nanoseconds since the begin.
+    /// Returns the nanoseconds since the begin of the load.
     fn now(&self) -> u64 {
-        held(&self.begin).elapsed().as_nanos() as u64
+        lock(&self.begin).elapsed().as_nanos() as u64
     }
 
     fn report(&self, took: Duration) -> Report {
-        let counters = held(&self.counters);
+        let counters = lock(&self.counters);
         let scenario = &self.topology.scenario;
-        let (lag, foreign) = (latency(&held(&self.lag)), self.foreign.load(Ordering::SeqCst));
+        let (lag, foreign) = (latency(&lock(&self.lag)), self.foreign.load(Ordering::SeqCst));
         let mut result = RunResult {
             schema: SCHEMA,
             scenario: scenario.name.clone(),
@@ -260,7 +260,7 @@
         Report { result, lag, connections, waited, foreign }
     }
 
-    /// Why the figures are not to be trusted.
+    /// Returns the reasons why the result is unsound.
     fn unsound(&self, lag: &Latency) -> Vec<String> {
         let mut reasons = Vec::new();
         let bound = self.options.lag.as_secs_f64() * 1e3;
@@ -281,12 +281,12 @@
 }
 
 fn foreign_answers(count: u64) -> Option<Breach> {
-    let what = "a client got the answer to another request".to_owned();
+    let what = "a client received the response to another request".to_owned();
     let breach = || Breach { rule: "answer".into(), count, what, ..Breach::default() };
     (count > 0).then(breach)
 }
 
-/// Percentiles of a histogram of microseconds.
+/// Summarizes a histogram of microseconds.
 fn latency(of: &Histogram<u64>) -> Latency {
     let at = |percentile| of.value_at_percentile(percentile) as f64 / 1e3;
     Latency {
@@ -300,16 +300,16 @@
     }
 }
 
-/// Looks at a load while it runs.
+/// Observes and stops a running load.
 pub struct Live(Arc<Shared>);
 
 impl Live {
-    /// What has happened since the last time that this was asked.
-    pub fn lately(&self) -> Lately {
-        held(&self.0.lately).replace(Lately::default()).unwrap_or_default()
+    /// Returns and resets the counts since the previous call.
+    pub fn live_counts(&self) -> LiveCounts {
+        lock(&self.0.live_counts).replace(LiveCounts::default()).unwrap_or_default()
     }
 
-    /// The load ends early: nothing more is sent, and what is open is played to its end.
+    /// Ends the load early: no further request is sent, and open requests are completed.
     pub fn stop(&self) {
         self.0.stop.store(true, Ordering::SeqCst);
     }
--- a/crates/lab/src/sockets/load/schedule.rs
+++ b/crates/lab/src/sockets/load/schedule.rs
@@ -1,44 +1,44 @@
-//! Who asks for what when: drawn from the seed before the first request is sent.
+//! The schedule of a load's requests, drawn from the seed before the first one is sent.
 
 use crate::model::{RequestOutcome, Topology};
 use crate::scenario::{Effect, Group, Shape};
-use crate::sockets::chance::{Chance, exponential, stream, weighted};
+use crate::sockets::random::{RandomStream, exponential, stream, weighted};
 use rand::Rng;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Requests that a schedule may have.
-pub const MOST: f64 = 5e6;
+/// The largest number of requests in a schedule. Schedules are kept in memory.
+pub const MAX_SCHEDULED_REQUESTS: f64 = 5e6;
 
-/// A schedule would be longer than a tool that keeps it in memory should have it.
+/// A schedule would exceed the limit on its number of requests.
 #[derive(Debug, thiserror::Error)]
-#[error("some {0:.0} requests are too many for one run: {MOST:.0} at most")]
-pub struct TooMany(f64);
+#[error("the schedule would have about {0:.0} requests; the limit is {MAX_SCHEDULED_REQUESTS:.0}")]
+pub struct ScheduleTooLong(f64);
 
-/// One request, over all its tries. Times are in nanoseconds since the begin.
+/// A scheduled request. Times are in nanoseconds since the begin of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// When its first try is due.
+    /// When the first attempt is due.
     pub due: u64,
-    /// Its class, as an index into the scenario's.
+    /// The index of its class in the scenario.
     pub class: usize,
-    /// Its tenant, likewise.
+    /// The index of its tenant in the scenario.
     pub tenant: Option<usize>,
-    /// It is beyond its tenant's share.
+    /// Whether the request exceeds its tenant's share.
     pub over_share: bool,
     /// Its work over all tiers, as time on a core of speed 1.
     pub work: u64,
     /// The zone of its client.
     pub zone: usize,
-    /// Its client stays away for as long as a refusal says.
+    /// Whether its client honours `Retry-After`.
     pub honours: bool,
 }
 
-/// A schedule.
+/// The requests of a load.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// In the order in which they are due.
+    /// The requests by due time.
     pub requests: Vec<Planned>,
-    /// Hash of it.
+    /// The hash of the requests.
     pub digest: u64,
 }
 
@@ -47,26 +47,26 @@
     /// and Shedler 1979).
     ///
     /// # Errors
-    /// It would be too long.
-    pub fn draw(topology: &Topology) -> Result<Schedule, TooMany> {
-        let drawer = Drawer::new(topology);
-        let (peak, length) = (drawer.peak(), &topology.scenario.length);
+    /// The schedule would exceed [`MAX_SCHEDULED_REQUESTS`].
+    pub fn draw(topology: &Topology) -> Result<Schedule, ScheduleTooLong> {
+        let generator = RequestGenerator::new(topology);
+        let (peak, length) = (generator.peak(), &topology.scenario.length);
         let expected = topology.rate * peak * length.seconds();
-        if expected > MOST {
-            return Err(TooMany(expected));
+        if expected > MAX_SCHEDULED_REQUESTS {
+            return Err(ScheduleTooLong(expected));
         }
-        let (mut times, mut marks) =
+        let (mut arrival_rng, mut request_rng) =
             (stream(topology.seed, "arrivals", 0), stream(topology.seed, "requests", 0));
         let (mut at, mut requests, mut hash) = (0.0, Vec::new(), Xxh3::new());
         let mut shares = Shares::new(topology);
         loop {
-            at += exponential(1e9 / (topology.rate * peak), &mut times) as f64;
+            at += exponential(1e9 / (topology.rate * peak), &mut arrival_rng) as f64;
             let now = at as u64;
             if now >= length.nanos() {
                 return Ok(Schedule { requests, digest: hash.digest() });
             }
-            if times.random::<f64>() * peak < drawer.rate_at(now) {
-                let request = drawer.request(now, &mut marks, &mut shares);
+            if arrival_rng.random::<f64>() * peak < generator.rate_at(now) {
+                let request = generator.request(now, &mut request_rng, &mut shares);
                 hash.update(format!("{request:?}").as_bytes());
                 requests.push(request);
             }
@@ -74,24 +74,24 @@
     }
 }
 
-struct Drawer<'a> {
+struct RequestGenerator<'a> {
     topology: &'a Topology,
     classes: Vec<f64>,
-    /// Usual traffic.
+    /// The tenants' traffic without floods.
     tenants: Vec<f64>,
 }
 
-impl<'a> Drawer<'a> {
-    fn new(topology: &'a Topology) -> Drawer<'a> {
+impl<'a> RequestGenerator<'a> {
+    fn new(topology: &'a Topology) -> RequestGenerator<'a> {
         let scenario = &topology.scenario;
-        Drawer {
+        RequestGenerator {
             topology,
             classes: scenario.class.iter().map(|c| c.share).collect(),
             tenants: scenario.tenant.iter().map(|t| t.traffic.unwrap_or(t.share)).collect(),
         }
     }
 
-    /// The rate at a time over its mean.
+    /// Returns the rate at a time relative to the mean rate.
     fn rate_at(&self, at: u64) -> f64 {
         let shape = match &self.topology.scenario.clients.shape {
             Shape::Steady => 1.0,
@@ -101,14 +101,14 @@
             }
             Shape::Bursts { factor, every, length } => {
                 let in_burst = at % every.nanos().max(1) < length.nanos();
-                self.quiet() * if in_burst { *factor } else { 1.0 }
+                self.rate_outside_bursts() * if in_burst { *factor } else { 1.0 }
             }
         };
-        shape * self.flooded(&self.traffic(at))
+        shape * self.relative_traffic(&self.traffic(at))
     }
 
-    /// The rate outside of bursts, so that the mean over both is 1.
-    fn quiet(&self) -> f64 {
+    /// Returns the relative rate outside of bursts that makes the overall mean 1.
+    fn rate_outside_bursts(&self) -> f64 {
         match &self.topology.scenario.clients.shape {
             Shape::Bursts { factor, every, length } => {
                 let share = length.nanos() as f64 / every.nanos().max(1) as f64;
@@ -118,22 +118,23 @@
         }
     }
 
-    /// No less than the rate ever is.
+    /// Returns an upper bound of the relative rate.
     fn peak(&self) -> f64 {
         let shape = match &self.topology.scenario.clients.shape {
             Shape::Steady => 1.0,
             Shape::Wave { swing, .. } => 1.0 + swing,
-            Shape::Bursts { factor, .. } => self.quiet() * factor.max(1.0),
+            Shape::Bursts { factor, .. } => self.rate_outside_bursts() * factor.max(1.0),
         };
         let floods = &self.topology.timeline.floods;
-        let most =
+        let peak_flood =
             |tenant: u16| floods.iter().filter(|f| f.1 == tenant).map(|f| f.2.max(1.0)).product::<f64>();
-        let at_most: Vec<f64> = (0..).zip(&self.tenants).map(|(t, usual)| usual * most(t)).collect();
-        shape * self.flooded(&at_most)
+        let peak_traffic: Vec<f64> =
+            (0..).zip(&self.tenants).map(|(t, usual)| usual * peak_flood(t)).collect();
+        shape * self.relative_traffic(&peak_traffic)
     }
 
-    /// What tenants' traffic with floods comes to, over the usual.
-    fn flooded(&self, traffic: &[f64]) -> f64 {
+    /// Returns the tenants' total traffic relative to their traffic without floods.
+    fn relative_traffic(&self, traffic: &[f64]) -> f64 {
         let usual: f64 = self.tenants.iter().sum();
         if usual > 0.0 { traffic.iter().sum::<f64>() / usual } else { 1.0 }
     }
@@ -143,25 +144,25 @@
         (0..).zip(&self.tenants).map(|(tenant, usual)| usual * flood(tenant)).collect()
     }
 
-    fn request(&self, due: u64, chance: &mut Chance, shares: &mut Shares) -> Planned {
+    fn request(&self, due: u64, rng: &mut RandomStream, shares: &mut Shares) -> Planned {
         let scenario = &self.topology.scenario;
-        let class = weighted(&self.classes, chance).unwrap_or(0);
-        let tenant = weighted(&self.traffic(due), chance);
+        let class = weighted(&self.classes, rng).unwrap_or(0);
+        let tenant = weighted(&self.traffic(due), rng);
         Planned {
             due,
             class,
             tenant,
             over_share: tenant.is_some_and(|tenant| shares.is_over(tenant, due)),
-            work: self.topology.classes[class].work.draw(chance),
-            zone: scenario.proxy_zone(chance.random_range(0..self.topology.clients.max(1)) as usize),
-            honours: chance.random::<f64>() < scenario.clients.honours_retry_after,
+            work: self.topology.classes[class].work.draw(rng),
+            zone: scenario.proxy_zone(rng.random_range(0..self.topology.clients.max(1)) as usize),
+            honours: rng.random::<f64>() < scenario.clients.honours_retry_after,
         }
     }
 }
 
-/// What each tenant may still send within its share of what the fleet can do, with a second's slack.
+/// A token bucket per tenant: its share of the fleet's capacity, with a burst of one second.
 struct Shares {
-    /// A second.
+    /// Requests per second by tenant.
     quotas: Vec<f64>,
     left: Vec<(f64, u64)>,
 }
@@ -183,9 +184,9 @@
     }
 }
 
-/// After how long a client tries again, if it does: the try with this number, from 0, ended at `now`
-/// (nanoseconds since the begin).
-pub fn again_in(
+/// Returns the delay before a client's next attempt, or `None` if it does not retry. The attempt `number`,
+/// counted from 0, ended at `now` (nanoseconds since the begin).
+pub fn retry_delay(
     topology: &Topology,
     of: &Planned,
     number: u32,
@@ -195,7 +196,7 @@
     let (clients, class) = (&topology.scenario.clients, &topology.scenario.class[of.class]);
     let storm = topology.timeline.storm(now);
     let in_window = || now < of.due + class.window.map_or(0, |w| w.nanos());
-    let harmless = match (ended, class.effect, class.group) {
+    let is_safe = match (ended, class.effect, class.group) {
         (RequestOutcome::Served(_), ..) => false,
         (RequestOutcome::Refused(_) | RequestOutcome::Unreachable, ..) | (_, Effect::Repeatable, _) => true,
         (RequestOutcome::Failed, Effect::ByKey, Group::All) => in_window(),
@@ -203,13 +204,13 @@
     };
     let wait = match (storm, ended) {
         (Some(_), _) => 0,
-        (None, RequestOutcome::Refused(come_back)) if of.honours && come_back > 0 => {
-            come_back.min(topology.scenario.limits.max_retry_after.nanos())
+        (None, RequestOutcome::Refused(retry_after)) if of.honours && retry_after > 0 => {
+            retry_after.min(topology.scenario.limits.max_retry_after.nanos())
         }
         _ => clients.backoff.nanos(),
     };
     let in_time = now + wait < of.due + class.deadline.nanos();
-    (harmless && number < storm.unwrap_or(clients.retries) && in_time).then_some(wait)
+    (is_safe && number < storm.unwrap_or(clients.retries) && in_time).then_some(wait)
 }
 
 #[cfg(test)]
@@ -244,7 +245,7 @@
     }
 
     #[test]
-    fn a_schedule_has_the_rate_and_the_mix_of_its_scenario_and_follows_from_the_seed() {
+    fn schedule_has_the_rate_and_mix_of_its_scenario_and_is_determined_by_the_seed() {
         let schedule = Schedule::draw(&topology("", "", 1)).unwrap();
         let all = between(&schedule, 0, 100);
         assert!((9_600.0..10_400.0).contains(&all), "{all}");
@@ -253,7 +254,7 @@
             |pred: fn(&Planned) -> bool| schedule.requests.iter().filter(|r| pred(r)).count() as f64 / all;
         assert!((share(|r| r.class == 0) - 0.5).abs() < 0.03);
         assert!((share(|r| r.tenant == Some(1)) - 0.5).abs() < 0.03);
-        // Half of 100 a second, where a hundredth of 1000 is its share.
+        // The tenant sends 50 requests per second; its share is a hundredth of 1000.
         assert!((share(|r| r.over_share && r.tenant == Some(1)) - 0.4).abs() < 0.03);
         assert_eq!(share(|r| r.over_share && r.tenant == Some(0)), 0.0);
         assert_eq!(Schedule::draw(&topology("", "", 1)).unwrap().digest, schedule.digest);
@@ -261,7 +262,7 @@
     }
 
     #[test]
-    fn waves_bursts_and_floods_vary_it() {
+    fn waves_bursts_and_floods_change_the_rate() {
         let wave = r#"shape = { kind = "wave", swing = 0.8, period = "100s" }"#;
         let wave = Schedule::draw(&topology(wave, "", 1)).unwrap();
         assert!((between(&wave, 0, 50) / between(&wave, 50, 100) - 1.51 / 0.49).abs() < 0.3);
@@ -280,14 +281,14 @@
     }
 
     #[test]
-    fn a_schedule_that_is_too_long_is_an_error() {
+    fn schedule_above_the_limit_is_rejected() {
         let mut long = topology("", "", 1);
         long.rate = 1e6;
         assert!(Schedule::draw(&long).is_err());
     }
 
     #[test]
-    fn clients_try_again_where_that_is_harmless_and_there_is_time() {
+    fn clients_retry_only_if_that_is_safe_and_within_the_deadline() {
         const S: u64 = 1_000_000_000;
         let plain = topology(r#"retries = 2, backoff = "100ms""#, "", 1);
         let storm = r#"fault = [{ kind = "retry_storm", start = "0s", length = "1s", strength = 5.0 }]"#;
@@ -305,21 +306,25 @@
         for (class, honours, number, ended, now, wait) in [
             (0, false, 0, Failed, S, Some(S / 10)),
             (0, false, 1, Failed, S, Some(S / 10)),
-            (0, false, 2, Failed, S, None),              // no more tries
-            (0, false, 0, Failed, 2 * S - S / 10, None), // no more time
+            (0, false, 2, Failed, S, None),              // no retries left
+            (0, false, 0, Failed, 2 * S - S / 10, None), // the deadline leaves no time
             (0, false, 0, Served(0), 0, None),
-            (1, false, 0, Failed, 0, None), // it may have run
+            (1, false, 0, Failed, 0, None), // the request may have been executed
             (1, false, 0, Unreachable, 0, Some(S / 10)),
             (1, false, 0, Refused(S), 0, Some(S / 10)),
             (1, true, 0, Refused(S), 0, Some(S)),
             (1, true, 0, Refused(0), 0, Some(S / 10)),
             (2, false, 0, Failed, S / 2, Some(S / 10)),
-            (2, false, 0, Failed, S + 1, None), // its key may be forgotten
-            (3, false, 0, Failed, 0, None),     // it may go to another cell
+            (2, false, 0, Failed, S + 1, None), // the deduplication window has passed
+            (3, false, 0, Failed, 0, None),     // the retry may reach another cell
         ] {
-            assert_eq!(again_in(&plain, &of(class, honours), number, ended, now), wait, "{class} {ended:?}");
+            assert_eq!(
+                retry_delay(&plain, &of(class, honours), number, ended, now),
+                wait,
+                "{class} {ended:?}"
+            );
         }
-        assert_eq!(again_in(&storm, &of(0, true), 4, Refused(S), 0), Some(0));
-        assert_eq!(again_in(&storm, &of(0, false), 4, Failed, S), None); // it is over
+        assert_eq!(retry_delay(&storm, &of(0, true), 4, Refused(S), 0), Some(0));
+        assert_eq!(retry_delay(&storm, &of(0, false), 4, Failed, S), None); // the retry storm has ended
     }
 }
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -1,11 +1,11 @@
-//! The same scenario on real sockets: a fleet of stand-ins and its discovery, a load with clients that never
-//! wait for each other, proxies as children, and a stage that brings all of it up on loopback.
+//! Runs scenarios on real sockets: stand-in servers and discovery ([`fleet`]), an open-loop load ([`load`]),
+//! real proxies as child processes ([`child`]), and a testbed that starts all of them on loopback
+//! ([`testbed`]).
 //!
-//! Who plays and what goes wrong when is drawn as for the model ([`Topology`](crate::model::Topology)), so that one
-//! seed means the same in both. What decides is plain: a server's queue and cores ([`server`]), the key
-//! tables ([`effects`]), and discovery's list ([`registry`]). The rest moves bytes.
+//! Machines and faults are drawn from the seed as in the model ([`Topology`](crate::model::Topology)), so the
+//! same seed gives the same run in both. The logic is free of I/O: a server's queue and cores ([`server`]),
+//! deduplication tables ([`effects`]), and the list of servers in discovery ([`registry`]).
 
-pub mod chance;
 pub mod child;
 pub mod client;
 pub mod clock;
@@ -16,16 +16,17 @@
 pub mod proc;
 pub mod program;
 pub mod protocol;
+pub mod random;
 pub mod registry;
 pub mod server;
 pub mod settings;
 pub mod show;
-pub mod stage;
 pub mod stream;
+pub mod testbed;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// What a lock guards, also after a panic of somebody who held it: each change here is whole in itself.
-fn held<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
+/// Locks a mutex and ignores poisoning: each change under these locks leaves a consistent state.
+fn lock<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
     lock.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/lab/src/sockets/overhead.rs
+++ b/crates/lab/src/sockets/overhead.rs
@@ -1,9 +1,10 @@
-//! What a proxy costs: the same load through it and straight to the servers behind it, at the same time.
+//! Measures the proxy's overhead: the same load through a proxy and directly to its servers, at the same
+//! time.
 
 use super::load::{Load, LoadError, Options, Report, Target};
 use super::proc::Track;
 use super::settings::Limits;
-use super::stage::{Setting, Stage, StageError};
+use super::testbed::{Testbed, TestbedError, TestbedOptions};
 use crate::model::{PolicyChoice, Topology};
 use crate::policy::UnknownPolicy;
 use crate::scenario::{Problems, Scenario};
@@ -12,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Servers with room for all, a millisecond of work, and hardly any network.
+/// Servers with ample capacity, a millisecond of work per request, and a fast network.
 const SCENARIO: &str = r#"
 version = 1
 name = "overhead"
@@ -29,43 +30,44 @@
 work = { dist = "fixed", mean = "1ms" }
 "#;
 
-/// Why nothing is measured.
+/// Why the overhead cannot be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum OverheadError {
     /// The rate or the length is out of range.
     #[error("{0}")]
     Scenario(Problems),
-    /// The project's own decisions have another name.
+    /// The policy `olivecart` is unknown.
     #[error(transparent)]
     Policy(#[from] UnknownPolicy),
-    /// The proxy or the servers do not come up.
+    /// The proxy or the servers did not start.
     #[error(transparent)]
-    Stage(#[from] StageError),
-    /// There is no load.
+    Testbed(#[from] TestbedError),
+    /// The load cannot be generated.
     #[error(transparent)]
     Load(#[from] LoadError),
 }
 
-/// What one rate came to.
+/// The result for one request rate.
 #[derive(Clone, Debug)]
 pub struct Overhead {
-    /// Requests a second that were asked for, on each way.
+    /// The requested rate of each of the two loads, in requests per second.
     pub rate: f64,
     /// The load through the proxy.
     pub through: Report,
-    /// The load straight to the servers.
+    /// The load directly to the servers.
     pub straight: Report,
-    /// What the proxy used.
+    /// The resource usage of the proxy.
     pub proxy: Track,
 }
 
 impl Overhead {
-    /// Requests that the proxy passed on for each second of its CPU time.
+    /// Returns the number of requests that the proxy forwarded per second of its CPU time.
     pub fn requests_per_cpu_second(&self) -> f64 {
         self.through.result.totals.offered as f64 / self.proxy.cpu_s().max(0.01)
     }
 
-    /// What the proxy adds to the median, the 99th and the 99.9th percentile of the latency, in milliseconds.
+    /// Returns the increase of the median, the 99th and the 99.9th percentile of latency by the proxy, in
+    /// milliseconds.
     pub fn added_ms(&self) -> [f64; 3] {
         let [through, straight] = [&self.through, &self.straight].map(|r| &r.result.classes[0].latency);
         [
@@ -98,18 +100,18 @@
     }
 }
 
-/// Measures at a rate, for some seconds.
+/// Measures the overhead at a rate for a number of seconds.
 ///
 /// # Errors
-/// The proxy or the servers do not come up, or the rate is out of range.
+/// The proxy or the servers did not start, or the rate is out of range.
 pub async fn measure(program: &Path, rate: f64, seconds: u32, seed: u64) -> Result<Overhead, OverheadError> {
     let text = SCENARIO.replace("rate = 1.0", &format!("rate = {rate:?}"));
     let text = text.replace("length = \"10s\"", &format!("length = \"{seconds}s\""));
     let scenario = Scenario::parse("overhead", &text).map_err(OverheadError::Scenario)?.into_inner();
     let policy = PolicyChoice::named("olivecart")?;
     let topology = |seed| Arc::new(Topology::new(scenario.clone(), seed, policy));
-    let setting = Setting { program: program.to_owned(), limits: Limits::default(), fronts: true };
-    let stage = Stage::set(topology(seed), setting).await?;
+    let setting = TestbedOptions { program: program.to_owned(), limits: Limits::default(), fronts: true };
+    let stage = Testbed::start(topology(seed), setting).await?;
     let servers = stage.fleet().servers(0, 0).into_iter();
     let straight = servers.map(|(_, addr)| Target { addr, zone: None }).collect();
     let through = stage.load(Options::default())?;
@@ -119,7 +121,7 @@
     let before = stage.tracks();
     let (through, straight) = tokio::join!(through.run(begin), straight.run(begin));
     let proxy = stage.tracks().into_iter().zip(before).map(|(mut track, before)| {
-        // From the begin on, without what it took to come up.
+        // Keeps the samples from the begin of the load, without the usage of the proxy's start.
         track.samples.drain(..before.samples.len().saturating_sub(1));
         track
     });
@@ -129,6 +131,6 @@
         straight: straight?,
         proxy: proxy.into_iter().next().unwrap_or_default(),
     };
-    stage.end().await;
+    stage.shut_down().await;
     Ok(measured)
 }
--- a/crates/lab/src/sockets/protocol.rs
+++ b/crates/lab/src/sockets/protocol.rs
@@ -1,96 +1,96 @@
-//! This platform's protocol as its peers speak it: names of headers and paths, and discovery's form.
+//! The platform's protocol as its peers use it: header names, paths, and the discovery document.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The request's id, fresh for each try of a client.
+/// The request's id, new for each attempt of a client.
 pub const REQUEST_ID: &str = "x-request-id";
-/// The class, by name.
+/// The name of the class.
 pub const CLASS: &str = "x-class";
-/// The tenant, by name.
+/// The name of the tenant.
 pub const TENANT: &str = "x-tenant";
-/// How long the sender waits, from its sending.
+/// How long the sender waits for the response, counted from sending.
 pub const DEADLINE: &str = "x-deadline";
-/// What tells repeats of a keyed request.
+/// The idempotency key, which identifies repeats of a request.
 pub const KEY: &str = "idempotency-key";
-/// `1` on later tries, where clients mark them.
+/// `1` on retries, if clients mark them.
 pub const RETRY: &str = "x-retry";
-/// Further figures, `name=value` with commas between.
+/// Further figures as `name=value`, separated by commas.
 pub const EXTRAS: &str = "x-extras";
-/// A load report.
+/// The server's load report.
 pub const LOAD: &str = "x-load";
-/// `1` on an answer to what never ran.
+/// `1` on the response to a request that was not executed.
 pub const NOT_RUN: &str = "x-not-run";
 
-/// Where requests go.
+/// The path of requests.
 pub const API: &str = "/api";
-/// Answers while the process does.
+/// The liveness check.
 pub const LIVE: &str = "/health/live";
-/// Whether a proxy can be put to use.
+/// The readiness check of a proxy.
 pub const READY: &str = "/health/ready";
-/// The load report.
+/// The path of the load report.
 pub const STATS: &str = "/stats";
-/// The list of servers.
+/// The path of discovery's list of servers.
 pub const LIST: &str = "/registry/instances";
 
-/// Largest body, either way.
+/// The largest body of a request or response, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// An open watch says something at least this often.
+/// The longest time between two lines of an open watch.
 pub const WATCH_PERIOD: Duration = Duration::from_secs(2);
 
-/// The figure in `X-Extras` that carries a request's whole work, in microseconds.
+/// The name of the figure in `X-Extras` with a request's total work, in microseconds.
 pub const WORK: &str = "work_us";
 
-/// Whether a server takes requests.
+/// The state of a server in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It does.
+    /// The server accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// The server finishes its open requests and accepts no others.
     Draining,
-    /// It is withdrawn; only among changes.
+    /// The server was removed. Appears only in changes.
     Gone,
 }
 
-/// One line of discovery's.
+/// A server in a discovery document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ServerEntry {
     /// The server's name.
     pub id: String,
-    /// Where it is, for whoever asked.
+    /// The server's address for the client that asked.
     pub addr: String,
-    /// Its zone's name.
+    /// The name of its zone.
     pub zone: String,
-    /// Its kind's name.
+    /// The name of its kind.
     pub kind: String,
     /// Its cell.
     pub cell: u64,
-    /// Whether it takes requests.
+    /// The server's state.
     pub state: State,
-    /// Its size; 1 where nothing is told.
+    /// Its weight; 1 if weights are not published.
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0: long ago.
+    /// When it last started, as Unix time in milliseconds; 0 if unknown.
     pub started_ms: u64,
 }
 
-/// One object of discovery's.
+/// A discovery document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The version that the list is at.
+    /// The version of the list.
     pub version: u64,
-    /// The whole list, or what changed.
+    /// Whether the document contains the full list or only changes.
     pub full: bool,
-    /// The lines.
-    pub servers: Vec<Line>,
+    /// The servers.
+    pub servers: Vec<ServerEntry>,
 }
 
-/// A length of time as `X-Deadline` states it.
+/// Formats a duration for `X-Deadline`.
 pub fn deadline_text(left: Duration) -> String {
     format!("{}u", left.as_micros())
 }
 
-/// Reads `X-Deadline`: a number followed by `m` for milliseconds or `u` for microseconds.
+/// Parses `X-Deadline`: a number followed by `m` for milliseconds or `u` for microseconds.
 pub fn deadline(text: &str) -> Option<Duration> {
     let text = text.trim();
     let (number, scale) = match (text.strip_suffix('m'), text.strip_suffix('u')) {
@@ -103,14 +103,14 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// A figure of `X-Extras`.
+/// Returns a figure of `X-Extras`.
 pub fn extra(text: &str, name: &str) -> Option<f64> {
     let (_, value) =
         text.split(',').filter_map(|part| part.split_once('=')).find(|(n, _)| n.trim() == name)?;
     value.trim().parse().ok().filter(|v: &f64| v.is_finite() && *v >= 0.0)
 }
 
-/// Reads `Retry-After` in seconds, whole or decimal. Its other form, a date, is not used here.
+/// Parses `Retry-After` in seconds, whole or decimal. The date form is not supported.
 pub fn retry_after(text: &str) -> Option<Duration> {
     Duration::try_from_secs_f64(text.trim().parse().ok()?).ok()
 }
@@ -120,11 +120,11 @@
     use super::*;
 
     #[test]
-    fn times_are_read_with_their_units_and_rubbish_is_none() {
+    fn durations_are_parsed_with_units_and_invalid_values_are_none() {
         assert_eq!(deadline("480m"), Some(Duration::from_millis(480)));
         assert_eq!(deadline(&deadline_text(Duration::from_micros(1500))), Some(Duration::from_micros(1500)));
-        for bad in ["", "m", "480", "480s", "-1m", "infm", "1e9m", "é"] {
-            assert_eq!(deadline(bad), None, "{bad:?}");
+        for invalid in ["", "m", "480", "480s", "-1m", "infm", "1e9m", "é"] {
+            assert_eq!(deadline(invalid), None, "{invalid:?}");
         }
         assert_eq!(retry_after("0.25"), Some(Duration::from_millis(250)));
         assert_eq!(retry_after("-1"), None);
--- a/crates/lab/src/sockets/registry.rs
+++ b/crates/lab/src/sockets/registry.rs
@@ -1,87 +1,91 @@
-//! What discovery knows: the list of a tier's servers, its versions, and what changed since each.
+//! The state of discovery for one tier: the servers, the list's version, and the recent changes.
 //!
-//! It knows nothing of sockets or clocks; whoever serves it asks and says what time it is.
+//! It does no I/O and reads no clock; the caller passes the time.
 
-use super::protocol::{Document, Line, State};
+use super::protocol::{Document, ServerEntry, State};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Changes that are remembered; who is farther behind gets the whole list.
-const REMEMBERED: usize = 512;
+/// The number of changes kept. Clients that are further behind get the full list.
+const MAX_KEPT_CHANGES: usize = 512;
 
-/// One server as discovery knows it.
+/// A server as known to discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
-    /// Its line. The address in it is not used.
-    pub line: Line,
-    /// Where it is, as seen from each zone.
-    pub doors: Vec<SocketAddr>,
+pub struct RegisteredServer {
+    /// Its entry in the list. The address in it is not used.
+    pub entry: ServerEntry,
+    /// Its address for each zone.
+    pub addresses: Vec<SocketAddr>,
 }
 
-/// The list of one tier.
+/// The list of one tier's servers.
 pub struct Registry {
-    /// It hears of a change this long afterwards, in nanoseconds.
+    /// The delay until a change becomes visible, in nanoseconds.
     lag: u64,
     version: u64,
-    /// Those that are gone included: changes name them.
-    entries: BTreeMap<String, Entry>,
+    /// All servers by name, including those that are gone, because changes refer to them.
+    entries: BTreeMap<String, RegisteredServer>,
     changes: VecDeque<(u64, String)>,
-    waiting: VecDeque<(u64, Entry)>,
-    /// It hears nothing at present.
-    deaf: bool,
+    waiting: VecDeque<(u64, RegisteredServer)>,
+    /// Whether changes are currently not applied.
+    is_stale: bool,
 }
 
 impl Registry {
-    /// A list that all know, at version 1.
-    pub fn new(lag: u64, entries: Vec<Entry>) -> Registry {
-        let entries = entries.into_iter().map(|e| (e.line.id.clone(), e)).collect();
+    /// Creates a list at version 1.
+    pub fn new(lag: u64, entries: Vec<RegisteredServer>) -> Registry {
+        let entries = entries.into_iter().map(|e| (e.entry.id.clone(), e)).collect();
         let (changes, waiting) = (VecDeque::new(), VecDeque::new());
-        Registry { lag, version: 1, entries, changes, waiting, deaf: false }
+        Registry { lag, version: 1, entries, changes, waiting, is_stale: false }
     }
 
-    /// Something changed; it is in the list once the lag has passed.
-    pub fn report(&mut self, now: u64, entry: Entry) {
+    /// Reports a change of a server. It is applied after the lag.
+    pub fn report(&mut self, now: u64, entry: RegisteredServer) {
         self.waiting.push_back((now + self.lag, entry));
     }
 
-    /// It hears nothing from now on, or hears again.
-    pub fn deaf(&mut self, on: bool) {
-        self.deaf = on;
+    /// Stops applying changes while `on` is set, so that the list becomes stale.
+    pub fn set_stale(&mut self, on: bool) {
+        self.is_stale = on;
     }
 
-    /// Takes in what it has heard of by now. True: the list changed.
+    /// Applies the changes that are due. Returns whether the list changed.
     pub fn advance(&mut self, now: u64) -> bool {
         let before = self.version;
-        while !self.deaf && self.waiting.front().is_some_and(|(due, _)| *due <= now) {
+        while !self.is_stale && self.waiting.front().is_some_and(|(due, _)| *due <= now) {
             let Some((_, entry)) = self.waiting.pop_front() else { break };
             self.version += 1;
-            self.changes.push_back((self.version, entry.line.id.clone()));
-            self.entries.insert(entry.line.id.clone(), entry);
-            if self.changes.len() > REMEMBERED {
+            self.changes.push_back((self.version, entry.entry.id.clone()));
+            self.entries.insert(entry.entry.id.clone(), entry);
+            if self.changes.len() > MAX_KEPT_CHANGES {
                 self.changes.pop_front();
             }
         }
         self.version > before
     }
 
-    /// When it next hears of something.
+    /// Returns when the next change is due.
     pub fn due(&self) -> Option<u64> {
-        self.waiting.front().map(|(due, _)| *due).filter(|_| !self.deaf)
+        self.waiting.front().map(|(due, _)| *due).filter(|_| !self.is_stale)
     }
 
-    /// The list's version.
+    /// Returns the version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The whole list, as seen from a zone.
+    /// Returns the full list with the addresses for a zone.
     pub fn full(&self, zone: usize) -> Document {
-        let there = self.entries.values().filter(|e| e.line.state != State::Gone);
-        Document { version: self.version, full: true, servers: there.map(|e| seen(e, zone)).collect() }
+        let there = self.entries.values().filter(|e| e.entry.state != State::Gone);
+        Document {
+            version: self.version,
+            full: true,
+            servers: there.map(|e| entry_for_zone(e, zone)).collect(),
+        }
     }
 
-    /// What changed after a version: the entries, each once; the whole list for who is too far behind, or at
-    /// a version that never was. None: nothing changed.
+    /// Returns the entries that changed after a version, each once, or `None` if nothing changed. Returns the
+    /// full list if the version is too old or was never reached.
     pub fn after(&self, version: u64, zone: usize) -> Option<Document> {
         if version == self.version {
             return None;
@@ -90,40 +94,41 @@
         if version > self.version || version < oldest {
             return Some(self.full(zone));
         }
-        let changed: BTreeMap<&str, &Entry> = self
+        let changed: BTreeMap<&str, &RegisteredServer> = self
             .changes
             .iter()
             .filter(|(v, _)| *v > version)
             .filter_map(|(_, id)| Some((id.as_str(), self.entries.get(id)?)))
             .collect();
-        let servers = changed.values().map(|e| seen(e, zone)).collect();
+        let servers = changed.values().map(|e| entry_for_zone(e, zone)).collect();
         Some(Document { version: self.version, full: false, servers })
     }
 }
 
-fn seen(entry: &Entry, zone: usize) -> Line {
-    let addr = entry.doors.get(zone).or(entry.doors.first()).map(SocketAddr::to_string);
-    Line { addr: addr.unwrap_or_default(), ..entry.line.clone() }
+fn entry_for_zone(entry: &RegisteredServer, zone: usize) -> ServerEntry {
+    let addr = entry.addresses.get(zone).or(entry.addresses.first()).map(SocketAddr::to_string);
+    ServerEntry { addr: addr.unwrap_or_default(), ..entry.entry.clone() }
 }
 
-/// The one who answers discovery's calls, one after another.
-pub struct Desk {
-    each: u64,
-    patience: u64,
-    free: u64,
+/// A queue that answers discovery's calls one after another at a limited rate.
+pub struct CallQueue {
+    time_per_call: u64,
+    max_wait: u64,
+    free_at: u64,
 }
 
-impl Desk {
-    /// `per_s` calls a second; one that would wait for longer than `patience` (nanoseconds) is turned away.
-    pub fn new(per_s: f64, patience: u64) -> Desk {
-        Desk { each: (1e9 / per_s.max(1e-3)) as u64, patience, free: 0 }
+impl CallQueue {
+    /// Creates a queue that answers `per_s` calls per second. A call that would wait for longer than
+    /// `max_wait` nanoseconds is rejected.
+    pub fn new(per_s: f64, max_wait: u64) -> CallQueue {
+        CallQueue { time_per_call: (1e9 / per_s.max(1e-3)) as u64, max_wait, free_at: 0 }
     }
 
-    /// When a call that comes now is answered; none: it is turned away.
+    /// Returns when a call that arrives now is answered, or `None` if it is rejected.
     pub fn call(&mut self, now: u64) -> Option<u64> {
-        let answered = self.free.max(now) + self.each;
-        (answered - now <= self.patience).then(|| {
-            self.free = answered;
+        let answered = self.free_at.max(now) + self.time_per_call;
+        (answered - now <= self.max_wait).then(|| {
+            self.free_at = answered;
             answered
         })
     }
@@ -133,8 +138,8 @@
 mod tests {
     use super::*;
 
-    fn entry(id: &str, state: State) -> Entry {
-        let line = Line {
+    fn entry(id: &str, state: State) -> RegisteredServer {
+        let entry = ServerEntry {
             id: id.into(),
             addr: String::new(),
             zone: "a".into(),
@@ -144,8 +149,8 @@
             weight: 1.0,
             started_ms: 0,
         };
-        let door = |n: u8| SocketAddr::from(([127, 0, 0, n], 80));
-        Entry { line, doors: vec![door(1), door(2)] }
+        let address = |n: u8| SocketAddr::from(([127, 0, 0, n], 80));
+        RegisteredServer { entry, addresses: vec![address(1), address(2)] }
     }
 
     fn brief(document: &Document) -> (u64, bool, Vec<(&str, State)>) {
@@ -154,7 +159,7 @@
     }
 
     #[test]
-    fn changes_are_told_after_the_lag_each_once_and_gone_ones_leave_the_whole_list() {
+    fn changes_appear_after_the_lag_and_gone_servers_leave_the_full_list() {
         use State::*;
         let mut registry = Registry::new(10, vec![entry("a", Ready), entry("b", Ready)]);
         assert_eq!(registry.after(1, 0), None);
@@ -173,36 +178,36 @@
     }
 
     #[test]
-    fn who_is_too_far_behind_or_ahead_gets_the_whole_list() {
+    fn full_list_is_returned_for_a_version_too_old_or_never_reached() {
         let mut registry = Registry::new(0, vec![entry("a", State::Ready)]);
-        for now in 0..=REMEMBERED as u64 {
+        for now in 0..=MAX_KEPT_CHANGES as u64 {
             registry.report(now, entry("a", State::Ready));
             registry.advance(now);
         }
         let newest = registry.version();
         assert!(registry.after(newest + 1, 0).unwrap().full);
         assert!(registry.after(1, 0).unwrap().full);
-        assert!(!registry.after(newest - REMEMBERED as u64, 0).unwrap().full);
-        assert!(registry.after(newest - REMEMBERED as u64 - 1, 0).unwrap().full);
+        assert!(!registry.after(newest - MAX_KEPT_CHANGES as u64, 0).unwrap().full);
+        assert!(registry.after(newest - MAX_KEPT_CHANGES as u64 - 1, 0).unwrap().full);
     }
 
     #[test]
-    fn while_it_is_deaf_the_list_stays_old() {
+    fn stale_list_does_not_change() {
         let mut registry = Registry::new(1, vec![]);
-        registry.deaf(true);
+        registry.set_stale(true);
         registry.report(0, entry("a", State::Ready));
         assert_eq!((registry.advance(100), registry.due()), (false, None));
-        registry.deaf(false);
+        registry.set_stale(false);
         assert_eq!((registry.advance(100), registry.version()), (true, 2));
     }
 
     #[test]
-    fn calls_are_answered_one_after_another_or_turned_away() {
-        let mut desk = Desk::new(100.0, 25_000_000);
-        assert_eq!(desk.call(0), Some(10_000_000));
-        assert_eq!(desk.call(0), Some(20_000_000));
-        assert_eq!(desk.call(0), None);
-        assert_eq!(desk.call(5_000_000), Some(30_000_000));
-        assert_eq!(desk.call(90_000_000), Some(100_000_000));
+    fn calls_are_answered_in_order_or_rejected() {
+        let mut call_queue = CallQueue::new(100.0, 25_000_000);
+        assert_eq!(call_queue.call(0), Some(10_000_000));
+        assert_eq!(call_queue.call(0), Some(20_000_000));
+        assert_eq!(call_queue.call(0), None);
+        assert_eq!(call_queue.call(5_000_000), Some(30_000_000));
+        assert_eq!(call_queue.call(90_000_000), Some(100_000_000));
     }
 }
--- a/crates/lab/src/sockets/server/machine.rs
+++ b/crates/lab/src/sockets/server/machine.rs
@@ -1,99 +1,100 @@
-//! The queue, the slots and the cores of a server.
+//! Simulates a server's queue, slots and cores in virtual time.
 
 use super::pace::Pace;
-use super::reports::{Figures, Now, Reports};
+use super::reports::{Figures, LoadState, Reports};
 use crate::model::MachineChange;
 use crate::scenario::{Cancel, Kind, Rules};
-use crate::sockets::chance::Chance;
+use crate::sockets::random::RandomStream;
 use rand::Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Names a request at its server; never used again.
+/// Identifies a request at its server. Tickets are never reused.
 pub type Ticket = u64;
 
-/// A request as a server sees it. Times are in nanoseconds.
+/// What a server knows of an arriving request. Times are in nanoseconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ask {
-    /// Its work here up to its end or its next call to the tier below, on a core of speed 1.
+pub struct RequestSpec {
+    /// The work of one part, up to the request's end or its next call to the tier below, on a core of speed
+    /// 1.
     pub part: u64,
-    /// Calls that it makes; each is followed by as much work again.
+    /// The number of calls to the tier below. Each call is followed by another part of the same work.
     pub calls: u32,
-    /// When its sender stops waiting.
+    /// When the sender's deadline expires.
     pub until: Option<u64>,
 }
 
-/// What a server says of a request.
+/// What happened to a request at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
-    /// Turned away: it drains.
+pub enum RequestEvent {
+    /// Rejected because the server is draining.
     Draining,
-    /// Turned away: the queue is full.
-    Full,
-    /// Turned away: nobody waited any more when its turn came.
-    Over,
-    /// Failed at once.
+    /// Rejected because the queue is full.
+    QueueFull,
+    /// Rejected because the deadline had expired before work on the request began.
+    Expired,
+    /// Failed on arrival with an injected error.
     Error,
-    /// A part of its work is done. It keeps its slot until it goes [on](Machine::goes_on) or
-    /// [leaves](Machine::leave).
-    Ran,
+    /// One part of the work is done. The request keeps its slot until [`Machine::resume`] and the following
+    /// parts are done, or until [`Machine::finish`].
+    PartDone,
 }
 
-/// What a server is.
+/// The fixed properties of a server.
 #[derive(Clone)]
 pub struct Shape {
-    /// Its kind of machine.
+    /// The kind of machine.
     pub kind: Kind,
-    /// Speed of a core.
+    /// The speed of one core.
     pub speed: f64,
-    /// How a cold one falls over.
+    /// The rules by which a cold server fails under overload.
     pub rules: Rules,
 }
 
-/// Counts over a server's whole life, restarts included. Work is in nanoseconds at speed 1.
+/// Counters over a server's whole lifetime, including restarts. Work is in nanoseconds at speed 1.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Requests that reached it.
+    /// Attempts that reached the server.
     pub attempts: u64,
-    /// Those that it turned away.
+    /// Attempts that the server rejected.
     pub turned_away: u64,
     /// Work done.
     pub work: f64,
-    /// Work done for which nobody got an answer.
+    /// Work done for requests whose sender received no response.
     pub wasted: f64,
-    /// Most requests that were there at a time.
+    /// The largest number of requests present at the same time.
     pub peak_requests: u64,
-    /// Probes.
+    /// Health checks received.
     pub probes: u64,
-    /// Connections made.
+    /// Connections accepted.
     pub handshakes: u64,
-    /// Most connections at a time.
+    /// The largest number of connections open at the same time.
     pub peak_connections: u64,
-    /// Open connections, summed over time: connections times nanoseconds.
+    /// The integral of open connections over time, in connections times nanoseconds.
     pub connection_time: f64,
-    /// Time that it ran, in nanoseconds.
+    /// How long the process ran, in nanoseconds.
     pub uptime: u64,
-    /// Times that it died.
+    /// How often the process died.
     pub deaths: u32,
-    /// It fell over while cold.
+    /// Whether the server failed under overload while cold.
     pub fell_over: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Stage {
-    /// For a slot.
-    Waits,
-    /// In a slot; waits for a core, has one, or has had one.
-    Works,
+enum JobState {
+    /// The request waits in the queue for a slot.
+    Queued,
+    /// The request has a slot. It waits for a core, runs on one, or has finished a part.
+    Admitted,
 }
 
 struct Job {
-    ask: Ask,
-    stage: Stage,
-    /// Work done for it.
+    spec: RequestSpec,
+    state: JobState,
+    /// Work done for the request so far.
     done: f64,
-    /// Its sender is gone.
-    called_off: bool,
+    /// The sender no longer waits for the response.
+    is_canceled: bool,
 }
 
 struct Running {
@@ -102,66 +103,66 @@
     ends: u64,
 }
 
-/// A server.
+/// A server's state.
 pub struct Machine {
     shape: Shape,
     pace: Pace,
     reports: Option<Reports>,
-    chance: Chance,
+    rng: RandomStream,
     alive: bool,
     draining: bool,
-    /// Share of requests that fail at once.
+    /// The share of requests that fail on arrival.
     errors: f64,
-    /// While it hangs nothing begins and nothing ends.
-    hangs: bool,
-    /// Its load reports are this much older.
-    late: u64,
+    /// While the server is_hung, no work begins and no completion is reported.
+    is_hung: bool,
+    /// Additional delay of load reports, in nanoseconds.
+    report_delay: u64,
     jobs: BTreeMap<Ticket, Job>,
-    /// For a slot.
+    /// Requests that wait for a slot.
     queue: VecDeque<Ticket>,
     in_slots: u32,
-    /// For a core: requests, and chores with their work.
-    for_core: VecDeque<(Ticket, f64)>,
+    /// Requests and other tasks that wait for a core, with their work.
+    core_queue: VecDeque<(Ticket, f64)>,
     running: BTreeMap<Ticket, Running>,
     ends: BinaryHeap<Reverse<(u64, Ticket)>>,
-    /// Whose work ended while it hung.
-    held_up: Vec<Ticket>,
+    /// Requests whose work ended while the server hung.
+    deferred_completions: Vec<Ticket>,
     next: Ticket,
-    /// Work that reached it of late while it was cold.
+    /// Recent work that arrived while the server was cold, by arrival time.
     pressure: VecDeque<(u64, f64)>,
     connections: u64,
-    /// All is done and counted up to here.
+    /// All events up to this time are applied and counted.
     counted_until: u64,
     tally: Tally,
-    said: Vec<(Ticket, Said)>,
+    events: Vec<(Ticket, RequestEvent)>,
 }
 
 impl Machine {
-    /// A server that is warm and runs, or is not there yet.
-    pub fn new(shape: Shape, chance: Chance, up: bool) -> Machine {
+    /// Creates a server that is warm and running if `up` is set, and not started otherwise.
+    pub fn new(shape: Shape, rng: RandomStream, up: bool) -> Machine {
         let kind = &shape.kind;
         let mut machine = Machine {
             pace: Pace::new(shape.speed, kind.cores, kind.cold, kind.crowd, kind.pause),
             reports: None,
-            chance,
+            rng,
             alive: false,
             draining: false,
             errors: 0.0,
-            hangs: false,
-            late: 0,
+            is_hung: false,
+            report_delay: 0,
             jobs: BTreeMap::new(),
             queue: VecDeque::new(),
             in_slots: 0,
-            for_core: VecDeque::new(),
+            core_queue: VecDeque::new(),
             running: BTreeMap::new(),
             ends: BinaryHeap::new(),
-            held_up: Vec::new(),
+            deferred_completions: Vec::new(),
             next: 0,
             pressure: VecDeque::new(),
             connections: 0,
             counted_until: 0,
             tally: Tally::default(),
-            said: Vec::new(),
+            events: Vec::new(),
             shape,
         };
         if up {
@@ -170,16 +171,16 @@
         machine
     }
 
-    /// It starts.
+    /// Starts the process, cold or warm.
     pub fn start(&mut self, now: u64, cold: bool) {
         self.count(now);
         (self.alive, self.draining) = (true, false);
-        self.pace.starts(now, cold, &mut self.chance);
+        self.pace.start(now, cold, &mut self.rng);
         self.reports = self.shape.kind.report.map(|spec| Reports::new(spec, now));
         self.pressure.clear();
     }
 
-    /// It dies with all that it has.
+    /// Ends the process. All its requests and connections are lost.
     pub fn stop(&mut self, now: u64) {
         self.advance(now);
         for running in self.running.values() {
@@ -193,92 +194,93 @@
         self.alive = false;
         self.jobs.clear();
         self.queue.clear();
-        self.for_core.clear();
+        self.core_queue.clear();
         self.running.clear();
         self.ends.clear();
-        self.held_up.clear();
-        self.said.clear();
-        (self.in_slots, self.connections, self.hangs) = (0, 0, false);
+        self.deferred_completions.clear();
+        self.events.clear();
+        (self.in_slots, self.connections, self.is_hung) = (0, 0, false);
     }
 
-    /// Something about it changes; for its death and its start there are [`Machine::stop`] and
-    /// [`Machine::start`].
+    /// Applies a change by a fault or a deploy. `Die` and `Start` are ignored here: the caller uses
+    /// [`Machine::stop`] and [`Machine::start`].
     pub fn change(&mut self, now: u64, change: MachineChange) {
         self.advance(now);
         match change {
             MachineChange::Die { .. } | MachineChange::Start => {}
             MachineChange::Drain => self.draining = true,
             MachineChange::Errors(share) => self.errors = share,
-            MachineChange::Slow(factor) => self.pace.slow(factor),
-            MachineChange::Late(late) => self.late = late,
-            MachineChange::Hang(hangs) => self.hangs = hangs && self.alive,
+            MachineChange::Slow(factor) => self.pace.set_slowdown(factor),
+            MachineChange::Late(delay) => self.report_delay = delay,
+            MachineChange::Hang(is_hung) => self.is_hung = is_hung && self.alive,
         }
-        if !self.hangs {
-            let ended = self.held_up.drain(..).filter(|t| self.jobs.contains_key(t));
-            self.said.extend(ended.map(|ticket| (ticket, Said::Ran)));
+        if !self.is_hung {
+            let ended = self.deferred_completions.drain(..).filter(|t| self.jobs.contains_key(t));
+            self.events.extend(ended.map(|ticket| (ticket, RequestEvent::PartDone)));
         }
         self.settle(now);
     }
 
-    /// A request whose last byte has arrived. What is said of it is found in [`Machine::said`].
-    pub fn arrive(&mut self, now: u64, ask: Ask) -> Ticket {
+    /// Accepts a request whose last byte has arrived. Its events are returned by [`Machine::take_events`].
+    pub fn arrive(&mut self, now: u64, spec: RequestSpec) -> Ticket {
         self.advance(now);
         let ticket = self.next;
         self.next += 1;
         self.tally.attempts += 1;
-        self.press(now, ask.part as f64 * f64::from(ask.calls + 1));
+        self.record_pressure(now, spec.part as f64 * f64::from(spec.calls + 1));
         let error_rate = self.errors.max(self.shape.kind.error_rate);
         let free = self.in_slots < self.shape.kind.slots;
-        let job = Job { ask, stage: Stage::Waits, done: 0.0, called_off: false };
+        let job = Job { spec, state: JobState::Queued, done: 0.0, is_canceled: false };
         if self.draining {
-            self.turn_away(ticket, Said::Draining);
-        } else if self.chance.random::<f64>() < error_rate {
-            self.said.push((ticket, Said::Error));
+            self.reject(ticket, RequestEvent::Draining);
+        } else if self.rng.random::<f64>() < error_rate {
+            self.events.push((ticket, RequestEvent::Error));
         } else if free {
             self.jobs.insert(ticket, job);
-            self.takes_slot(ticket);
+            self.assign_slot(ticket);
         } else if self.queue.len() < self.shape.kind.queue as usize {
             self.jobs.insert(ticket, job);
             self.queue.push_back(ticket);
         } else {
-            self.turn_away(ticket, Said::Full);
+            self.reject(ticket, RequestEvent::QueueFull);
         }
         self.settle(now);
         ticket
     }
 
-    /// The call that a request made is answered: the next part of its work waits for a core.
-    pub fn goes_on(&mut self, now: u64, ticket: Ticket) {
+    /// Queues the next part of a request for a core after its call to the tier below was answered.
+    pub fn resume(&mut self, now: u64, ticket: Ticket) {
         self.advance(now);
         if let Some(job) = self.jobs.get(&ticket) {
-            self.for_core.push_back((ticket, job.ask.part as f64));
+            self.core_queue.push_back((ticket, job.spec.part as f64));
             self.settle(now);
         }
     }
 
-    /// A request has left: it is answered, or a call that it made has failed. Says whether anybody waits for
-    /// the answer; none: it is not here any more.
-    pub fn leave(&mut self, now: u64, ticket: Ticket, served: bool) -> Option<bool> {
+    /// Removes a request that was answered or whose call to the tier below failed. Returns whether the sender
+    /// still waits for the response, or `None` if the request was removed before.
+    pub fn finish(&mut self, now: u64, ticket: Ticket, served: bool) -> Option<bool> {
         self.advance(now);
         let job = self.jobs.remove(&ticket)?;
         self.in_slots -= 1;
-        if !served || job.called_off {
+        if !served || job.is_canceled {
             self.tally.wasted += job.done;
         } else if let Some(reports) = &mut self.reports {
             reports.served();
         }
         self.settle(now);
-        Some(!job.called_off)
+        Some(!job.is_canceled)
     }
 
-    /// Whoever sent a request does not wait any more. True: what it has under way elsewhere is to stop too.
-    pub fn call_off(&mut self, now: u64, ticket: Ticket) -> bool {
+    /// Handles a cancellation by the sender. Returns whether the request's calls to other tiers must stop
+    /// too.
+    pub fn cancel_request(&mut self, now: u64, ticket: Ticket) -> bool {
         self.advance(now);
         let Some(job) = self.jobs.get_mut(&ticket) else { return true };
-        job.called_off = true;
-        let stops = match (self.shape.kind.cancel, job.stage) {
-            (Cancel::None, _) | (Cancel::Queued, Stage::Works) => false,
-            (Cancel::Queued, Stage::Waits) | (Cancel::Running, _) => true,
+        job.is_canceled = true;
+        let stops = match (self.shape.kind.cancel, job.state) {
+            (Cancel::None, _) | (Cancel::Queued, JobState::Admitted) => false,
+            (Cancel::Queued, JobState::Queued) | (Cancel::Running, _) => true,
         };
         if stops {
             self.abandon(now, ticket);
@@ -289,11 +291,11 @@
 
     fn abandon(&mut self, now: u64, ticket: Ticket) {
         let Some(job) = self.jobs.remove(&ticket) else { return };
-        match job.stage {
-            Stage::Waits => self.queue.retain(|t| *t != ticket),
-            Stage::Works => self.in_slots -= 1,
+        match job.state {
+            JobState::Queued => self.queue.retain(|t| *t != ticket),
+            JobState::Admitted => self.in_slots -= 1,
         }
-        self.for_core.retain(|(t, _)| *t != ticket);
+        self.core_queue.retain(|(t, _)| *t != ticket);
         if let Some(running) = self.running.remove(&ticket) {
             let whole = ((running.ends - running.began) as f64).max(1.0);
             let done = running.work * (now.saturating_sub(running.began) as f64 / whole).min(1.0);
@@ -303,13 +305,13 @@
         self.tally.wasted += job.done;
     }
 
-    /// A probe, answered beside the queue.
+    /// Counts a health check, which is answered without queueing.
     pub fn probe(&mut self, now: u64) {
         self.tally.probes += 1;
-        self.chore(now, self.shape.kind.probe_work.nanos());
+        self.run_task(now, self.shape.kind.probe_work.nanos());
     }
 
-    /// A new connection. False: there are as many as it holds.
+    /// Accepts a connection. Returns `false` if the server is at its connection limit.
     pub fn connect(&mut self, now: u64) -> bool {
         self.advance(now);
         let spec = self.shape.kind.connections;
@@ -319,83 +321,84 @@
         self.connections += 1;
         self.tally.handshakes += 1;
         self.tally.peak_connections = self.tally.peak_connections.max(self.connections);
-        self.chore(now, spec.handshake_work.nanos());
+        self.run_task(now, spec.handshake_work.nanos());
         true
     }
 
-    /// A connection has ended.
+    /// Counts a connection that has closed.
     pub fn disconnect(&mut self, now: u64) {
         self.advance(now);
         self.connections = self.connections.saturating_sub(1);
     }
 
-    fn chore(&mut self, now: u64, work: u64) {
+    fn run_task(&mut self, now: u64, work: u64) {
         self.advance(now);
         if work > 0 {
-            self.for_core.push_back((self.next, work as f64));
+            self.core_queue.push_back((self.next, work as f64));
             self.next += 1;
             self.settle(now);
         }
     }
 
-    /// The load report that is told now, if it makes any.
+    /// Returns the load report that is visible now, if the server publishes reports.
     pub fn report(&mut self, now: u64) -> Option<Figures> {
         self.advance(now);
-        self.reports.as_ref()?.told(now, self.late, &mut self.chance)
+        self.reports.as_ref()?.published(now, self.report_delay, &mut self.rng)
     }
 
-    /// What was said since the last call, oldest first.
-    pub fn said(&mut self) -> Vec<(Ticket, Said)> {
-        std::mem::take(&mut self.said)
+    /// Returns and clears the events since the last call, oldest first.
+    pub fn take_events(&mut self) -> Vec<(Ticket, RequestEvent)> {
+        std::mem::take(&mut self.events)
     }
 
-    /// Whether it takes part in anything.
+    /// Returns whether the process runs.
     pub fn alive(&self) -> bool {
         self.alive
     }
 
-    /// Whether it fell over. Somebody has to [stop](Machine::stop) it then, for good.
+    /// Returns whether the server failed under overload. The caller must then [stop](Machine::stop) it for
+    /// good.
     pub fn fell_over(&self) -> bool {
         self.tally.fell_over
     }
 
-    /// Counts up to now.
+    /// Returns the counters up to now.
     pub fn tally(&mut self, now: u64) -> Tally {
         self.advance(now);
         self.tally.clone()
     }
 
-    /// Cores times speed, when warm and well.
+    /// Returns cores times speed of the warm server without faults.
     pub fn capacity(&self) -> f64 {
         f64::from(self.shape.kind.cores) * self.shape.speed
     }
 
-    /// When something next happens by itself.
+    /// Returns when the next event is due without external input.
     pub fn due(&self, now: u64) -> Option<u64> {
         let ends = self.ends.peek().map(|Reverse((at, _))| *at);
         [ends, self.pace.due(now)].into_iter().flatten().min().filter(|_| self.alive)
     }
 
-    /// Lets everything happen that is due by now, in its order and each at its own time.
+    /// Applies all events due by now, in order and each at its own time.
     pub fn advance(&mut self, now: u64) {
         let mut at = self.counted_until;
         while let Some(due) = self.due(at).filter(|due| *due <= now) {
             at = due;
-            self.note(due);
-            if let Some(length) = self.pace.pauses(due, &mut self.chance) {
+            self.record_until(due);
+            if let Some(length) = self.pace.begin_pause(due, &mut self.rng) {
                 self.running.values_mut().for_each(|r| r.ends += length);
             }
             while let Some(Reverse((_, ticket))) = self.ends.peek().copied().filter(|r| r.0.0 <= due) {
                 self.ends.pop();
-                self.ended(ticket, due);
+                self.complete_task(ticket, due);
             }
             self.settle(due);
         }
-        self.note(now);
+        self.record_until(now);
     }
 
-    /// A core's work on something ends, unless a pause has put that off.
-    fn ended(&mut self, ticket: Ticket, now: u64) {
+    /// Completes a task on a core, unless a pause has postponed its end.
+    fn complete_task(&mut self, ticket: Ticket, now: u64) {
         let Some(ends) = self.running.get(&ticket).map(|r| r.ends) else { return };
         if ends > now {
             return self.ends.push(Reverse((ends, ticket)));
@@ -404,58 +407,58 @@
         self.tally.work += running.work;
         if let Some(job) = self.jobs.get_mut(&ticket) {
             job.done += running.work;
-            if self.hangs {
-                self.held_up.push(ticket);
+            if self.is_hung {
+                self.deferred_completions.push(ticket);
             } else {
-                self.said.push((ticket, Said::Ran));
+                self.events.push((ticket, RequestEvent::PartDone));
             }
         }
     }
 
-    fn takes_slot(&mut self, ticket: Ticket) {
+    fn assign_slot(&mut self, ticket: Ticket) {
         if let Some(job) = self.jobs.get_mut(&ticket) {
-            job.stage = Stage::Works;
+            job.state = JobState::Admitted;
             self.in_slots += 1;
-            self.for_core.push_back((ticket, job.ask.part as f64));
+            self.core_queue.push_back((ticket, job.spec.part as f64));
         }
     }
 
-    fn turn_away(&mut self, ticket: Ticket, said: Said) {
+    fn reject(&mut self, ticket: Ticket, reason: RequestEvent) {
         self.tally.turned_away += 1;
-        self.said.push((ticket, said));
+        self.events.push((ticket, reason));
     }
 
     /// Gives free slots and cores to who waits for them. What begins says at once that it is over.
     fn settle(&mut self, now: u64) {
-        let stands = self.pace.still(now) || self.hangs;
+        let paused = self.pace.is_paused(now) || self.is_hung;
         loop {
             while self.in_slots < self.shape.kind.slots {
                 let Some(ticket) = self.queue.pop_front() else { break };
-                self.takes_slot(ticket);
+                self.assign_slot(ticket);
             }
-            let has_core = self.running.len() < self.shape.kind.cores as usize && !stands;
-            let Some((ticket, work)) = has_core.then(|| self.for_core.pop_front()).flatten() else { break };
-            self.begins(now, ticket, work);
+            let has_core = self.running.len() < self.shape.kind.cores as usize && !paused;
+            let Some((ticket, work)) = has_core.then(|| self.core_queue.pop_front()).flatten() else { break };
+            self.begin_work(now, ticket, work);
         }
-        self.pace.has(now, self.jobs.len());
+        self.pace.set_requests(now, self.jobs.len());
         self.tally.peak_requests = self.tally.peak_requests.max(self.jobs.len() as u64);
     }
 
-    fn begins(&mut self, now: u64, ticket: Ticket, work: f64) {
-        let over = |job: &Job| job.done == 0.0 && job.ask.until.is_some_and(|until| until <= now);
-        if self.jobs.get(&ticket).is_some_and(over) {
+    fn begin_work(&mut self, now: u64, ticket: Ticket, work: f64) {
+        let has_expired = |job: &Job| job.done == 0.0 && job.spec.until.is_some_and(|until| until <= now);
+        if self.jobs.get(&ticket).is_some_and(has_expired) {
             self.jobs.remove(&ticket);
             self.in_slots -= 1;
-            return self.turn_away(ticket, Said::Over);
+            return self.reject(ticket, RequestEvent::Expired);
         }
         let ends = now + (work / self.pace.speed(now)) as u64;
         self.running.insert(ticket, Running { work, began: now, ends });
         self.ends.push(Reverse((ends, ticket)));
     }
 
-    /// Work has reached it. Danger: what it turns away presses it too; only that makes a flood of a cold
-    /// server as harmful as it is.
-    fn press(&mut self, now: u64, work: f64) {
+    /// Adds arriving work to the overload window of a cold server. Rejected requests count too; without them,
+    /// a flood would harm a cold server too little.
+    fn record_pressure(&mut self, now: u64, work: f64) {
         if !self.pace.is_cold(now) {
             return;
         }
@@ -464,15 +467,15 @@
         while self.pressure.front().is_some_and(|(at, _)| at + window < now) {
             self.pressure.pop_front();
         }
-        let present = self.pace.speed(now) * f64::from(self.shape.kind.cores) * window as f64;
-        let pressed: f64 = self.pressure.iter().map(|(_, work)| work).sum();
-        self.tally.fell_over |= pressed > self.shape.rules.fall_multiple * present;
+        let capacity = self.pace.speed(now) * f64::from(self.shape.kind.cores) * window as f64;
+        let arrived: f64 = self.pressure.iter().map(|(_, work)| work).sum();
+        self.tally.fell_over |= arrived > self.shape.rules.fall_multiple * capacity;
     }
 
-    /// Enters what has held until now into reports and counts.
-    fn note(&mut self, now: u64) {
+    /// Updates reports and counters with the state that lasted until now.
+    fn record_until(&mut self, now: u64) {
         let busy = self.running.len() as f64 / f64::from(self.shape.kind.cores.max(1));
-        let state = Now { active: self.in_slots as usize, waiting: self.queue.len(), busy };
+        let state = LoadState { active: self.in_slots as usize, waiting: self.queue.len(), busy };
         if let Some(reports) = &mut self.reports {
             reports.advance(now, state);
         }
--- a/crates/lab/src/sockets/server/mod.rs
+++ b/crates/lab/src/sockets/server/mod.rs
@@ -1,9 +1,9 @@
-//! A server's own decisions, without sockets or clocks: what it takes in, what runs when and how fast, and
-//! what it reports of itself.
+//! The behaviour of a stand-in server without sockets or clocks: admission, scheduling on its cores, and load
+//! reports.
 //!
-//! Work is time, not computing: a core is busy for the work's time over its speed. All happens at the instant
-//! at which it is due, however late somebody asks, so that a timer that fires late delays one answer and
-//! slows nothing down.
+//! Work is simulated as time: a core is busy for the work divided by its speed. Each event is applied at the
+//! instant at which it is due, no matter when the caller asks, so a timer that fires late delays one response
+//! and does not slow the server down.
 
 mod machine;
 mod pace;
@@ -11,5 +11,5 @@
 #[cfg(test)]
 mod tests;
 
-pub use machine::{Ask, Machine, Said, Shape, Tally, Ticket};
+pub use machine::{Machine, RequestEvent, RequestSpec, Shape, Tally, Ticket};
 pub use reports::{Figures, NAMES as REPORT_NAMES};
