--- a/crates/lab/src/sockets/server/pace.rs
+++ b/crates/lab/src/sockets/server/pace.rs
@@ -1,28 +1,29 @@
-//! How fast a server's cores are at a time: cold, crowded, or slowed by a fault; and whether it stands still.
+//! The speed of a server's cores over time: cold start, crowding, slowdown by a fault, and pauses.
 
 use crate::scenario::{Cold, Crowd, Pause};
-use crate::sockets::chance::{Chance, exponential};
+use crate::sockets::random::{RandomStream, exponential};
 
-/// The pace of one server.
+/// The speed of one server's cores.
 pub struct Pace {
     speed: f64,
     cores: f64,
     cold: Option<Cold>,
-    /// When it started cold; none: long ago.
+    /// When the server started cold, or `None` if it has always been warm.
     started: Option<u64>,
     crowd: Option<Crowd>,
     crowded: bool,
-    /// Since when it has had too many requests, or few enough.
-    over: Option<u64>,
-    rests: Option<u64>,
-    slower: f64,
+    /// Since when the number of requests is above the crowding threshold.
+    over_since: Option<u64>,
+    /// Since when the number of requests is below the number of cores.
+    rest_since: Option<u64>,
+    slowdown: f64,
     pause: Option<Pause>,
     next_pause: u64,
-    still_until: u64,
+    paused_until: u64,
 }
 
 impl Pace {
-    /// A warm server.
+    /// Creates the pace of a warm server.
     pub fn new(
         speed: f64,
         cores: u32,
@@ -37,84 +38,85 @@
             started: None,
             crowd,
             crowded: false,
-            over: None,
-            rests: Some(0),
-            slower: 1.0,
+            over_since: None,
+            rest_since: Some(0),
+            slowdown: 1.0,
             pause,
             next_pause: u64::MAX,
-            still_until: 0,
+            paused_until: 0,
         }
     }
 
-    /// It starts, cold or as if it had run for long.
-    pub fn starts(&mut self, now: u64, cold: bool, chance: &mut Chance) {
+    /// Resets the state at a start of the process, cold or warm.
+    pub fn start(&mut self, now: u64, cold: bool, rng: &mut RandomStream) {
         self.started = cold.then_some(now);
-        (self.crowded, self.over, self.rests, self.still_until) = (false, None, Some(now), 0);
-        self.next_pause = self.pause.map_or(u64::MAX, |p| now + exponential(p.every.nanos() as f64, chance));
+        (self.crowded, self.over_since, self.rest_since, self.paused_until) = (false, None, Some(now), 0);
+        self.next_pause = self.pause.map_or(u64::MAX, |p| now + exponential(p.every.nanos() as f64, rng));
     }
 
-    /// From now on it has this many requests.
-    pub fn has(&mut self, now: u64, requests: usize) {
+    /// Records the number of requests present from now on.
+    pub fn set_requests(&mut self, now: u64, requests: usize) {
         let Some(crowd) = self.crowd else { return };
-        self.turn(now);
+        self.update_crowding(now);
         let requests = requests as f64;
-        let since = |held: Option<u64>, holds: bool| holds.then_some(held.unwrap_or(now));
-        self.over = since(self.over, requests > crowd.per_core * self.cores);
-        self.rests = since(self.rests, requests < self.cores);
+        let since = |previous: Option<u64>, holds: bool| holds.then_some(previous.unwrap_or(now));
+        self.over_since = since(self.over_since, requests > crowd.per_core * self.cores);
+        self.rest_since = since(self.rest_since, requests < self.cores);
     }
 
-    /// Becomes crowded, or is so no longer. Between two changes of the number at most one can happen.
-    fn turn(&mut self, now: u64) {
+    /// Updates whether the server is crowded. This changes at most once between two changes of the number of
+    /// requests.
+    fn update_crowding(&mut self, now: u64) {
         let Some(crowd) = self.crowd else { return };
         let lasted = |since: Option<u64>, time: u64| since.is_some_and(|s| now.saturating_sub(s) >= time);
         if self.crowded {
-            self.crowded = !lasted(self.rests, crowd.rest.nanos());
+            self.crowded = !lasted(self.rest_since, crowd.rest.nanos());
         } else {
-            self.crowded = lasted(self.over, crowd.after.nanos());
+            self.crowded = lasted(self.over_since, crowd.after.nanos());
         }
     }
 
-    /// A fault makes it slower by a factor; 1: no more.
-    pub fn slow(&mut self, factor: f64) {
-        self.slower = factor.max(1.0);
+    /// Sets the factor by which a fault slows the server down; 1 ends the fault.
+    pub fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor.max(1.0);
     }
 
-    /// Speed of a core.
+    /// Returns the current speed of one core.
     pub fn speed(&mut self, now: u64) -> f64 {
-        self.turn(now);
+        self.update_crowding(now);
         let crowding = self.crowd.filter(|_| self.crowded).map_or(1.0, |c| c.slower);
-        self.speed * self.warmth(now) / crowding / self.slower
+        self.speed * self.cold_start_share(now) / crowding / self.slowdown
     }
 
-    /// Share of its speed that a cold start leaves it.
-    fn warmth(&self, now: u64) -> f64 {
+    /// Returns the share of the full speed that is available during a cold start.
+    fn cold_start_share(&self, now: u64) -> f64 {
         let (Some(cold), Some(started)) = (self.cold, self.started) else { return 1.0 };
         let age = now.saturating_sub(started) as f64 / (cold.warm_in.nanos() as f64).max(1.0);
         cold.from + (1.0 - cold.from) * age.min(1.0)
     }
 
-    /// Whether it is warming up.
+    /// Returns whether the server is still warming up.
     pub fn is_cold(&self, now: u64) -> bool {
-        self.warmth(now) < 1.0
+        self.cold_start_share(now) < 1.0
     }
 
-    /// Whether it stands still.
-    pub fn still(&self, now: u64) -> bool {
-        now < self.still_until
+    /// Returns whether the server is paused.
+    pub fn is_paused(&self, now: u64) -> bool {
+        now < self.paused_until
     }
 
-    /// When it next stands still, or goes on.
+    /// Returns when the next pause begins, or when the current pause ends.
     pub fn due(&self, now: u64) -> Option<u64> {
-        let due = if self.still(now) { self.still_until } else { self.next_pause };
+        let due = if self.is_paused(now) { self.paused_until } else { self.next_pause };
         (due < u64::MAX).then_some(due)
     }
 
-    /// Stands still if that is due; for how long.
-    pub fn pauses(&mut self, now: u64, chance: &mut Chance) -> Option<u64> {
+    /// Begins a pause if one is due, and returns its length in nanoseconds.
+    pub fn begin_pause(&mut self, now: u64, rng: &mut RandomStream) -> Option<u64> {
         let pause = self.pause.filter(|_| self.next_pause <= now)?;
         let length = pause.length.nanos();
-        self.still_until = now + length;
-        self.next_pause = self.still_until + exponential(pause.every.nanos() as f64, chance);
+        self.paused_until = now + length;
+        self.next_pause = self.paused_until + exponential(pause.every.nanos() as f64, rng);
         Some(length)
     }
 }
@@ -123,55 +125,55 @@
 mod tests {
     use super::*;
     use crate::scenario::Span;
-    use crate::sockets::chance::stream;
+    use crate::sockets::random::stream;
 
     fn span(ns: u64) -> Span {
         Span::from_nanos(ns)
     }
 
     #[test]
-    fn a_cold_server_speeds_up_evenly() {
+    fn cold_server_speeds_up_linearly() {
         let cold = Cold { from: 0.2, warm_in: span(100) };
         let mut pace = Pace::new(2.0, 1, Some(cold), None, None);
         assert_eq!((pace.speed(0), pace.is_cold(0)), (2.0, false));
-        pace.starts(50, true, &mut stream(1, "t", 0));
+        pace.start(50, true, &mut stream(1, "t", 0));
         for (now, speed) in [(50, 0.4), (100, 1.2), (150, 2.0), (900, 2.0)] {
             assert!((pace.speed(now) - speed).abs() < 1e-9, "at {now}: {}", pace.speed(now));
         }
-        pace.slow(4.0);
+        pace.set_slowdown(4.0);
         assert!((pace.speed(900) - 0.5).abs() < 1e-9);
-        pace.slow(1.0);
+        pace.set_slowdown(1.0);
         assert!((pace.speed(900) - 2.0).abs() < 1e-9);
     }
 
     #[test]
-    fn crowding_sets_in_after_a_while_and_goes_only_after_rest() {
+    fn crowding_begins_after_a_delay_and_ends_only_after_a_rest() {
         let crowd = Crowd { per_core: 2.0, after: span(10), slower: 4.0, rest: span(100) };
         let mut pace = Pace::new(1.0, 2, None, Some(crowd), None);
-        pace.has(0, 5);
+        pace.set_requests(0, 5);
         assert_eq!((pace.speed(9), pace.speed(10)), (1.0, 0.25));
-        pace.has(20, 3); // neither crowded nor at rest
+        pace.set_requests(20, 3); // below the crowding threshold, but above the rest threshold
         assert_eq!(pace.speed(500), 0.25);
-        pace.has(500, 1);
+        pace.set_requests(500, 1);
         assert_eq!(pace.speed(599), 0.25);
-        pace.has(599, 2);
-        pace.has(600, 1);
+        pace.set_requests(599, 2);
+        pace.set_requests(600, 1);
         assert_eq!((pace.speed(699), pace.speed(700)), (0.25, 1.0));
-        pace.has(700, 5);
-        pace.has(709, 4);
+        pace.set_requests(700, 5);
+        pace.set_requests(709, 4);
         assert_eq!(pace.speed(800), 1.0);
     }
 
     #[test]
-    fn pauses_come_and_end() {
+    fn pauses_begin_and_end_when_due() {
         let pause = Pause { every: span(1000), length: span(50) };
-        let chance = &mut stream(1, "t", 0);
+        let rng = &mut stream(1, "t", 0);
         let mut pace = Pace::new(1.0, 1, None, None, Some(pause));
-        pace.starts(0, false, chance);
+        pace.start(0, false, rng);
         let due = pace.due(0).unwrap();
-        assert_eq!(pace.pauses(due - 1, chance), None);
-        assert_eq!(pace.pauses(due, chance), Some(50));
-        assert_eq!((pace.still(due + 49), pace.due(due + 1)), (true, Some(due + 50)));
-        assert!(!pace.still(due + 50) && pace.due(due + 50).unwrap() >= due + 50);
+        assert_eq!(pace.begin_pause(due - 1, rng), None);
+        assert_eq!(pace.begin_pause(due, rng), Some(50));
+        assert_eq!((pace.is_paused(due + 49), pace.due(due + 1)), (true, Some(due + 50)));
+        assert!(!pace.is_paused(due + 50) && pace.due(due + 50).unwrap() >= due + 50);
     }
 }
--- a/crates/lab/src/sockets/server/reports.rs
+++ b/crates/lab/src/sockets/server/reports.rs
@@ -1,25 +1,25 @@
-//! Load reports: made every period from what was true then, and told late and with noise.
+//! Load reports: generated every period from the load in that period, published with a delay and noise.
 
 use crate::scenario::Report;
-use crate::sockets::chance::Chance;
+use crate::sockets::random::RandomStream;
 use rand::Rng;
 use rand_distr::StandardNormal;
 use std::collections::VecDeque;
 use std::fmt;
 
-/// Reports kept for telling them late.
-const KEPT: usize = 4096;
+/// The largest number of reports kept for delayed publication.
+const MAX_KEPT_REPORTS: usize = 4096;
 
-/// What a report says.
+/// The content of a load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// Requests in work.
+    /// Requests that have a slot.
     pub inflight: f64,
     /// Requests that wait for a slot.
     pub queue: f64,
-    /// Share of the cores in use over the last period.
+    /// The mean share of busy cores in the last period.
     pub util: f64,
-    /// Requests served a second over the last period.
+    /// Requests served per second in the last period.
     pub qps: f64,
 }
 
@@ -30,24 +30,24 @@
     }
 }
 
-/// The names in the settings for the figures, in their order.
+/// The names of the figures in the settings, in the order of [`Figures`].
 pub const NAMES: [&str; 4] = ["active", "waiting", "cpu", "rps"];
 
-/// What holds until the next change.
+/// The load until the next change.
 #[derive(Clone, Copy, Default)]
-pub struct Now {
-    /// Requests in work.
+pub struct LoadState {
+    /// Requests that have a slot.
     pub active: usize,
-    /// Requests that wait.
+    /// Requests that wait for a slot.
     pub waiting: usize,
-    /// Cores in use, as a share of all.
+    /// The share of cores that are busy.
     pub busy: f64,
 }
 
 /// The reports of one server.
 pub struct Reports {
     spec: Report,
-    made: VecDeque<(u64, Figures)>,
+    generated: VecDeque<(u64, Figures)>,
     next: u64,
     last: u64,
     busy: f64,
@@ -55,22 +55,23 @@
 }
 
 impl Reports {
-    /// Reports from this time on.
+    /// Creates a generator whose first period begins at `now`.
     pub fn new(spec: Report, now: u64) -> Reports {
         let next = now + spec.period.nanos().max(1);
-        Reports { spec, made: VecDeque::new(), next, last: now, busy: 0.0, served: 0 }
+        Reports { spec, generated: VecDeque::new(), next, last: now, busy: 0.0, served: 0 }
     }
 
-    /// A request was served.
+    /// Counts a served request.
     pub fn served(&mut self) {
         self.served += 1;
     }
 
-    /// Makes the reports that are due by now, from what has held since the last call.
-    pub fn advance(&mut self, now: u64, state: Now) {
+    /// Generates the reports that are due by now. `state` is the load since the last call.
+    pub fn advance(&mut self, now: u64, state: LoadState) {
         let period = self.spec.period.nanos().max(1);
-        // Those that nobody will be told any more are not made. Danger: a short period and a long rest.
-        let skipped = (now.saturating_sub(self.next) / period).saturating_sub(KEPT as u64);
+        // Reports that would be discarded unpublished are skipped. Otherwise, a short period after a long
+        // idle time would generate an unbounded number of them.
+        let skipped = (now.saturating_sub(self.next) / period).saturating_sub(MAX_KEPT_REPORTS as u64);
         if skipped > 0 {
             self.next += skipped * period;
             (self.last, self.busy, self.served) = (self.next - period, 0.0, 0);
@@ -84,9 +85,9 @@
                 util: self.busy / period as f64,
                 qps: f64::from(self.served) / seconds,
             };
-            self.made.push_back((self.next, figures));
-            if self.made.len() > KEPT {
-                self.made.pop_front();
+            self.generated.push_back((self.next, figures));
+            if self.generated.len() > MAX_KEPT_REPORTS {
+                self.generated.pop_front();
             }
             (self.last, self.busy, self.served) = (self.next, 0.0, 0);
             self.next += period;
@@ -95,13 +96,14 @@
         self.last = self.last.max(now);
     }
 
-    /// The newest that can be told by now, with noise.
-    pub fn told(&self, now: u64, later: u64, chance: &mut Chance) -> Option<Figures> {
-        let until = now.checked_sub(self.spec.delay.nanos() + later)?;
-        let known = self.made.partition_point(|(made, _)| *made <= until);
-        let (_, figures) = self.made.get(known.checked_sub(1)?)?;
+    /// Returns the newest report published by now, with noise. `extra_delay` is added to the configured
+    /// delay.
+    pub fn published(&self, now: u64, extra_delay: u64, rng: &mut RandomStream) -> Option<Figures> {
+        let until = now.checked_sub(self.spec.delay.nanos() + extra_delay)?;
+        let published = self.generated.partition_point(|(generated, _)| *generated <= until);
+        let (_, figures) = self.generated.get(published.checked_sub(1)?)?;
         let mut noisy =
-            |v: f64| (v * (1.0 + self.spec.noise * chance.sample::<f64, _>(StandardNormal))).max(0.0);
+            |v: f64| (v * (1.0 + self.spec.noise * rng.sample::<f64, _>(StandardNormal))).max(0.0);
         Some(Figures {
             inflight: noisy(figures.inflight),
             queue: noisy(figures.queue),
@@ -115,31 +117,31 @@
 mod tests {
     use super::*;
     use crate::scenario::Span;
-    use crate::sockets::chance::stream;
+    use crate::sockets::random::stream;
 
     #[test]
-    fn a_report_says_what_held_in_its_period_and_is_told_late() {
+    fn report_covers_its_period_and_is_published_with_delay() {
         let ms = |n: u64| Span::from_nanos(n * 1_000_000);
         let spec = Report { period: ms(100), delay: ms(50), noise: 0.0 };
         let mut reports = Reports::new(spec, 0);
-        let chance = &mut stream(1, "t", 0);
-        reports.advance(25_000_000, Now::default());
+        let rng = &mut stream(1, "t", 0);
+        reports.advance(25_000_000, LoadState::default());
         reports.served();
-        reports.advance(200_000_000, Now { active: 3, waiting: 1, busy: 0.5 });
-        assert_eq!(reports.told(149_999_999, 0, chance), None);
-        let first = reports.told(150_000_000, 0, chance).unwrap();
+        reports.advance(200_000_000, LoadState { active: 3, waiting: 1, busy: 0.5 });
+        assert_eq!(reports.published(149_999_999, 0, rng), None);
+        let first = reports.published(150_000_000, 0, rng).unwrap();
         assert_eq!(first, Figures { inflight: 3.0, queue: 1.0, util: 0.375, qps: 10.0 });
         assert_eq!(first.to_string(), "inflight=3.0,queue=1.0,util=0.375,qps=10.0");
-        assert_eq!(reports.told(250_000_000, 0, chance).unwrap().util, 0.5);
-        assert_eq!(reports.told(250_000_000, 100_000_000, chance), Some(first));
+        assert_eq!(reports.published(250_000_000, 0, rng).unwrap().util, 0.5);
+        assert_eq!(reports.published(250_000_000, 100_000_000, rng), Some(first));
     }
 
     #[test]
-    fn a_long_rest_makes_no_more_reports_than_are_kept() {
+    fn long_idle_time_generates_at_most_the_kept_number_of_reports() {
         let spec = Report { period: Span::from_nanos(1000), delay: Span::default(), noise: 0.0 };
         let mut reports = Reports::new(spec, 0);
-        reports.advance(3_600_000_000_000, Now { active: 0, waiting: 0, busy: 1.0 });
-        assert_eq!(reports.made.len(), KEPT);
-        assert!(reports.made.iter().all(|(_, f)| (f.util - 1.0).abs() < 1e-9));
+        reports.advance(3_600_000_000_000, LoadState { active: 0, waiting: 0, busy: 1.0 });
+        assert_eq!(reports.generated.len(), MAX_KEPT_REPORTS);
+        assert!(reports.generated.iter().all(|(_, f)| (f.util - 1.0).abs() < 1e-9));
     }
 }
--- a/crates/lab/src/sockets/settings.rs
+++ b/crates/lab/src/sockets/settings.rs
@@ -1,4 +1,4 @@
-//! What a real proxy is told: the configuration file for its place in a scenario.
+//! The configuration file of a real proxy, derived from its position in a scenario.
 
 use super::protocol::Document;
 use super::server::REPORT_NAMES;
@@ -7,12 +7,12 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// What a proxy's process may use.
+/// The resource limits in a proxy's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Memory, in MB. Told, not enforced.
+    /// Memory, in MB. The lab does not enforce it.
     pub memory_mb: u32,
-    /// Descriptors. Told, not enforced.
+    /// File descriptors. The lab does not enforce it.
     pub sockets: u32,
 }
 
@@ -22,22 +22,22 @@
     }
 }
 
-/// The settings object of the proxy of a machine; none if it has no proxy.
+/// Returns the settings object of a machine's proxy, or `None` if the machine has no proxy.
 pub fn settings(topology: &Topology, machine: u32) -> Option<Value> {
     let spec = topology.machines.get(machine as usize)?;
     let (tier, number) = spec.proxy?;
-    let told = topology.settings(tier, number, spec.zone);
+    let decision_settings = topology.settings(tier, number, spec.zone);
     let scenario = &topology.scenario;
-    let to = &scenario.tier[tier as usize];
-    let accounts = scenario.tenant.iter().zip(&told.tenants);
-    let idle = to.kind.iter().map(|k| k.connections.idle.nanos()).min();
-    let reports = to.kind.iter().any(|k| k.report.is_some());
-    let (limits, rules) = (&told.limits, &told.rules);
+    let target_tier = &scenario.tier[tier as usize];
+    let accounts = scenario.tenant.iter().zip(&decision_settings.tenants);
+    let idle = target_tier.kind.iter().map(|k| k.connections.idle.nanos()).min();
+    let reports = target_tier.kind.iter().any(|k| k.report.is_some());
+    let (limits, rules) = (&decision_settings.limits, &decision_settings.rules);
     Some(json!({
-        "accounts": accounts.map(|(named, told)| json!({
+        "accounts": accounts.map(|(named, decision_settings)| json!({
             "name": named.name,
-            "share": told.share,
-            "quota-per-s": told.quota_per_s,
+            "share": decision_settings.share,
+            "quota-per-s": decision_settings.quota_per_s,
         })).collect::<Vec<_>>(),
         "allowed": {
             "connect-timeout-ns": limits.connect_timeout,
@@ -53,12 +53,12 @@
         },
         "callers": { "marks-retry": scenario.clients.marks_retry },
         "dcs": scenario.zones,
-        "extra": { "passes-deadline": told.propagates_deadline },
+        "extra": { "passes-deadline": decision_settings.propagates_deadline },
         "grades": scenario.class.iter().map(grade).collect::<Vec<_>>(),
-        "granularity-ns": told.clock_granularity,
-        "group-size": told.replica_count,
-        "me": told.replica_index,
-        "over-share-worth": told.over_quota_weight_ratio,
+        "granularity-ns": decision_settings.clock_granularity,
+        "group-size": decision_settings.replica_count,
+        "me": decision_settings.replica_index,
+        "over-share-worth": decision_settings.over_quota_weight_ratio,
         "registry-mode": match scenario.discovery.mode {
             DiscoveryMode::Push => "automatic",
             DiscoveryMode::Watch => "subscribe",
@@ -76,15 +76,15 @@
             "grace-to-answer-ns": scenario.rules.answer_grace.nanos(),
             "must-ask-in-ns": rules.poll_interval,
         },
-        "shapes": to.kind.iter().map(|k| &k.name).collect::<Vec<_>>(),
+        "shapes": target_tier.kind.iter().map(|k| &k.name).collect::<Vec<_>>(),
         "stages": scenario.tier.iter().map(|t| &t.name).collect::<Vec<_>>(),
-        "tier": told.tier,
-        "weights": match to.weights {
+        "tier": decision_settings.tier,
+        "weights": match target_tier.weights {
             Weights::None => "none",
             Weights::Nominal => "nominal",
             Weights::True => "rough",
         },
-        "worth-by": if told.weight_by_work { "work" } else { "request" },
+        "worth-by": if decision_settings.weight_by_work { "work" } else { "request" },
         "zone": scenario.zones[spec.zone as usize],
     }))
 }
@@ -115,23 +115,23 @@
     grade
 }
 
-/// Where a proxy is, and what it starts with.
+/// The parts of a proxy's configuration that do not come from the scenario.
 pub struct Start<'a> {
-    /// Its name.
+    /// The proxy's name.
     pub name: &'a str,
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub listen: SocketAddr,
-    /// Where it finds discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Feeds its chance.
+    /// The seed of the proxy's random numbers.
     pub seed: u64,
-    /// The list as it last had it.
+    /// The list of servers known at the start.
     pub known: &'a Document,
-    /// What it may use.
+    /// The resource limits.
     pub limits: Limits,
 }
 
-/// The configuration file of the proxy of a machine; none if it has no proxy.
+/// Returns the configuration of a machine's proxy, or `None` if the machine has no proxy.
 pub fn config(topology: &Topology, machine: u32, start: &Start) -> Option<Value> {
     Some(json!({
         "name": start.name,
@@ -152,7 +152,7 @@
     use olivecart_settings::Site;
 
     #[test]
-    fn a_proxy_reads_what_the_model_tells_its_decisions() {
+    fn proxy_parses_the_same_settings_as_the_model_uses() {
         let text = r#"version = 1
             name = "test"
             length = "1s"
@@ -224,8 +224,8 @@
             };
             proxies += 1;
             let site = Site::read(&settings(&topology, machine).unwrap().to_string()).unwrap();
-            let told = topology.settings(tier, number, spec.zone);
-            assert_eq!(format!("{:#?}", site.settings), format!("{told:#?}"));
+            let decision_settings = topology.settings(tier, number, spec.zone);
+            assert_eq!(format!("{:#?}", site.settings), format!("{decision_settings:#?}"));
             assert_eq!((site.max_open_requests, site.response_grace.as_millis()), (99, 15));
             assert_eq!(site.idle_close.as_secs(), if tier == 1 { 8 } else { 30 });
             let reported = site.load_report_from_row(vec![Some(1.0); 4]);
--- a/crates/lab/src/sockets/show.rs
+++ b/crates/lab/src/sockets/show.rs
@@ -1,6 +1,6 @@
-//! How a run on sockets is told while it goes on, and at its end; and what ends it early.
+//! Prints the progress and the report of a run on sockets, and waits for signals that end it early.
 
-use super::load::{Lately, Load, LoadError, Report};
+use super::load::{LiveCounts, Load, LoadError, Report};
 use super::proc::Track;
 use crate::run_result::Group;
 use std::io::{self, Write};
@@ -8,10 +8,10 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::interval_at;
 
-/// Resolves at an interrupt, a SIGTERM or a SIGHUP.
+/// Resolves on SIGINT, SIGTERM or SIGHUP.
 ///
 /// # Errors
-/// They cannot be caught.
+/// The signal handlers cannot be installed.
 pub async fn interrupted() -> io::Result<()> {
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
@@ -24,21 +24,22 @@
     Ok(())
 }
 
-/// Why a load that was watched came to nothing.
+/// Why an observed load failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// The load's own reason.
+    /// The load failed.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// Nobody reads what is said.
-    #[error("what is said cannot be written: {0}")]
-    Out(#[from] io::Error),
+    /// The progress output failed.
+    #[error("cannot write progress output: {0}")]
+    Output(#[from] io::Error),
 }
 
-/// Plays a load to its end, and says a line a second on `out`; `down` tells who does not run at present.
+/// Runs a load to its end and writes a progress line per second to `out`; `down` returns the names of servers
+/// and proxies that do not run.
 ///
 /// # Errors
-/// As [`Load::run`], and where `out` fails.
+/// As [`Load::run`], or `out` cannot be written.
 pub async fn watch(
     load: Load,
     begin: Instant,
@@ -48,22 +49,22 @@
     let (live, second) = (load.live(), Duration::from_secs(1));
     let run = load.run(begin);
     tokio::pin!(run);
-    let mut every = interval_at((begin + second).into(), second);
+    let mut ticks = interval_at((begin + second).into(), second);
     loop {
         tokio::select! {
             report = &mut run => return Ok(report?),
-            now = every.tick() => {
+            now = ticks.tick() => {
                 let at = now.into_std().saturating_duration_since(begin).as_secs();
-                writeln!(out, "{}", line(at, &mut live.lately(), &down()))?;
+                writeln!(out, "{}", line(at, &mut live.live_counts(), &down()))?;
             }
         }
     }
 }
 
-/// What happened in a second. Requests count when they end, so that a line need not add up.
-fn line(at: u64, lately: &mut Lately, down: &[String]) -> String {
-    let (p50, p99) = (lately.percentile_ms(50.0), lately.percentile_ms(99.0));
-    let Lately { offered, in_time, late, refused, failed, .. } = lately;
+/// Formats the counts of one second. Requests count when they end, so the numbers of a line need not add up.
+fn line(at: u64, live_counts: &mut LiveCounts, down: &[String]) -> String {
+    let (p50, p99) = (live_counts.percentile_ms(50.0), live_counts.percentile_ms(99.0));
+    let LiveCounts { offered, in_time, late, refused, failed, .. } = live_counts;
     let down = if down.is_empty() { String::new() } else { format!("  down: {}", down.join(", ")) };
     format!(
         "{at:3} s  offered {offered:5}  in time {in_time:5}  late {late:4}  refused {refused:4}  \
@@ -71,10 +72,10 @@
     )
 }
 
-/// A load's report as a table.
+/// Writes a load's report as a table.
 ///
 /// # Errors
-/// `out` fails.
+/// `out` cannot be written.
 pub fn table(report: &Report, out: &mut dyn Write) -> io::Result<()> {
     let (result, totals) = (&report.result, &report.result.totals);
     writeln!(out, "{:<14} offered  goodput  refused   failed        p50        p99      p99.9", "class")?;
@@ -87,11 +88,11 @@
     }
     writeln!(
         out,
-        "goodput {:.4}, worst ten seconds {:.4}; {} tries of clients after their first; {} connections",
+        "goodput {:.4}, worst ten seconds {:.4}; {} client retries; {} connections",
         totals.goodput, result.worst_window, totals.client_retries, report.connections
     )?;
     if report.waited > 0 {
-        writeln!(out, "{} requests waited for one of the connections that they may have", report.waited)?;
+        writeln!(out, "{} requests waited for a free connection", report.waited)?;
     }
     let breaches = result.breaches.iter().map(|b| format!("rule broken {} times: {}", b.count, b.what));
     let unsound = result.unsound.iter().map(|why| format!("not to be trusted: {why}"));
@@ -99,10 +100,10 @@
     breaches.chain(unsound).chain(bounds).try_for_each(|line| writeln!(out, "{line}"))
 }
 
-/// What proxies used, as a table.
+/// Writes the resource usage of proxies as a table.
 ///
 /// # Errors
-/// `out` fails.
+/// `out` cannot be written.
 pub fn proxies(tracks: &[Track], out: &mut dyn Write) -> io::Result<()> {
     writeln!(out, "{:<14}     CPU  most memory  descriptors", "proxy")?;
     for track in tracks.iter().filter(|track| track.samples.len() > 1) {
--- a/crates/lab/src/sockets/stream.rs
+++ b/crates/lab/src/sockets/stream.rs
@@ -1,7 +1,7 @@
-//! Sockets as the stand-ins use them: addresses of a run's own on loopback, listeners that can fall silent,
-//! and streams that end like those of a process that died.
+//! Sockets of the stand-ins: loopback addresses that are unique to a run, listeners that can become
+//! unreachable, and streams that are reset like those of a process that died.
 
-use super::held;
+use super::lock;
 use socket2::SockRef;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io;
@@ -16,15 +16,15 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Connections that wait to be accepted.
+/// The length of the accept queue.
 const BACKLOG: u32 = 1024;
-/// The first port that is tried.
+/// The first port to try.
 const FIRST_PORT: u16 = 10_000;
-/// A connection on loopback that has not come up by now will not.
-const NEVER: Duration = Duration::from_millis(50);
+/// A loopback connection that is not established within this time will not be.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// An address of a run's own in 127.0.0.0/8, on which it deals out ports one after another. Danger: a port
-/// that was free a moment ago on 127.0.0.1 may be some connection's by the time that a child listens on it.
+/// An address in 127.0.0.0/8 that is unique to a run, with ports assigned in sequence. A port probed as free
+/// on 127.0.0.1 may be used by another connection before a child process listens on it.
 #[derive(Debug)]
 pub struct Loopback {
     ip: IpAddr,
@@ -32,17 +32,17 @@
 }
 
 impl Loopback {
-    /// An address that no other run is likely to have.
+    /// Picks a random address, which no other run is likely to use.
     pub fn new() -> Loopback {
         let [a, b, c, ..] = RandomState::new().build_hasher().finish().to_le_bytes();
         let ip = Ipv4Addr::new(127, 16 + a % 224, b, 1 + c % 254);
         Loopback { ip: IpAddr::V4(ip), next: AtomicU16::new(FIRST_PORT) }
     }
 
-    /// A listener on a new port.
+    /// Listens on a new port.
     ///
     /// # Errors
-    /// No port is left, or none can be listened on.
+    /// No port is left, or the address cannot be used.
     pub fn listen(&self) -> io::Result<TcpListener> {
         loop {
             let port = self.next.fetch_add(1, Ordering::Relaxed);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// An address for somebody else to listen on, with a new port that is free.
+    /// Returns an address with a new free port, for a child process to listen on.
     ///
     /// # Errors
     /// As [`Loopback::listen`].
@@ -68,41 +68,41 @@
     }
 }
 
-/// Listens on an address, also where connections of an earlier listener linger.
+/// Listens on an address, even if connections of an earlier listener are still closing.
 ///
 /// # Errors
-/// It is in use, or not an address of this machine.
-pub fn listen(on: SocketAddr) -> io::Result<TcpListener> {
+/// The address is in use, or is not an address of this machine.
+pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
-    socket.bind(on)?;
+    socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// Whether a machine, as seen from somewhere, says nothing.
+/// Whether a machine is unreachable from a zone: it neither accepts connections nor sends anything.
 #[derive(Default)]
-pub struct Silence {
+pub struct Blackhole {
     on: AtomicBool,
     waiting: Mutex<Vec<Waker>>,
     changed: Notify,
 }
 
-impl Silence {
-    /// It falls silent, or speaks again.
+impl Blackhole {
+    /// Makes the machine unreachable or reachable again.
     pub fn set(&self, on: bool) {
         if self.on.swap(on, Ordering::SeqCst) != on {
-            held(&self.waiting).drain(..).for_each(Waker::wake);
+            lock(&self.waiting).drain(..).for_each(Waker::wake);
             self.changed.notify_waiters();
         }
     }
 
-    /// Whether it is silent.
+    /// Returns whether the machine is unreachable.
     pub fn is_on(&self) -> bool {
         self.on.load(Ordering::SeqCst)
     }
 
-    /// Resolves when it is so, or is not.
-    pub async fn becomes(&self, on: bool) {
+    /// Resolves when the machine is unreachable (`true`) or reachable (`false`).
+    pub async fn wait_until(&self, on: bool) {
         loop {
             let changed = self.changed.notified();
             if self.is_on() == on {
@@ -114,7 +114,7 @@
 
     fn poll(&self, cx: &mut Context<'_>) -> Poll<()> {
         if self.is_on() {
-            held(&self.waiting).push(cx.waker().clone());
+            lock(&self.waiting).push(cx.waker().clone());
             if self.is_on() {
                 return Poll::Pending;
             }
@@ -123,40 +123,40 @@
     }
 }
 
-/// A listener of a machine that may fall silent.
-pub struct Door {
+/// A listener of a machine that may become unreachable.
+pub struct BlackholeListener {
     listener: TcpListener,
-    silence: Arc<Silence>,
-    /// Connections of our own that wait in its queue.
-    own: Vec<SocketAddr>,
+    blackhole: Arc<Blackhole>,
+    /// The local addresses of connections made by [`BlackholeListener::fill`] that wait in the accept queue.
+    filler_addrs: Vec<SocketAddr>,
 }
 
-impl Door {
-    /// A listener, and whether its machine is silent.
-    pub fn new(listener: TcpListener, silence: Arc<Silence>) -> Door {
-        Door { listener, silence, own: Vec::new() }
+impl BlackholeListener {
+    /// Creates a listener that follows the state of its machine.
+    pub fn new(listener: TcpListener, blackhole: Arc<Blackhole>) -> BlackholeListener {
+        BlackholeListener { listener, blackhole, filler_addrs: Vec::new() }
     }
 
-    /// The next connection. While it is silent none comes up: the listener's queue is full, and what comes
-    /// then is not even acknowledged.
+    /// Accepts the next connection. While the machine is unreachable, no connection is established: the
+    /// accept queue is kept full, so the kernel does not even acknowledge a SYN.
     ///
     /// # Errors
-    /// As the listener's, and when no connections can be made to it.
+    /// `accept` failed, or the accept queue could not be filled.
     pub async fn accept(&mut self) -> io::Result<TcpStream> {
         loop {
-            if self.silence.is_on() {
+            if self.blackhole.is_on() {
                 let filled = self.fill().await?;
-                self.silence.becomes(false).await;
+                self.blackhole.wait_until(false).await;
                 drop(filled);
-                self.backlog(BACKLOG)?;
+                self.set_backlog(BACKLOG)?;
             }
             tokio::select! {
                 biased;
-                () = self.silence.becomes(true) => {}
+                () = self.blackhole.wait_until(true) => {}
                 accepted = self.listener.accept() => {
                     let (stream, peer) = accepted?;
-                    match self.own.iter().position(|own| *own == peer) {
-                        Some(own) => _ = self.own.swap_remove(own),
+                    match self.filler_addrs.iter().position(|addr| *addr == peer) {
+                        Some(index) => _ = self.filler_addrs.swap_remove(index),
                         None => return Ok(stream),
                     }
                 }
@@ -164,71 +164,75 @@
         }
     }
 
-    /// Fills the queue; connections of others that were in it stay there.
+    /// Fills the accept queue. Connections of clients that were already in it stay there.
     async fn fill(&mut self) -> io::Result<Vec<TcpStream>> {
-        self.backlog(0)?;
+        self.set_backlog(0)?;
         let (to, mut filled) = (self.listener.local_addr()?, Vec::new());
-        while let Ok(stream) = timeout(NEVER, TcpStream::connect(to)).await {
+        while let Ok(stream) = timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await {
             let stream = stream?;
-            self.own.push(stream.local_addr()?);
+            self.filler_addrs.push(stream.local_addr()?);
             filled.push(stream);
         }
         Ok(filled)
     }
 
-    /// To listen again sets the length of the queue.
-    fn backlog(&self, length: u32) -> io::Result<()> {
+    /// Sets the length of the accept queue by calling `listen` again.
+    fn set_backlog(&self, length: u32) -> io::Result<()> {
         SockRef::from(&self.listener).listen(length as i32)
     }
 }
 
-/// A server's end of a connection. Dropped while it is abrupt, it resets the connection.
-pub struct Line {
+/// A server's end of a connection. Dropping it resets the connection if `reset_on_close` is set.
+pub struct ServerStream {
     stream: TcpStream,
-    silence: Arc<Silence>,
-    abrupt: Arc<AtomicBool>,
+    blackhole: Arc<Blackhole>,
+    reset_on_close: Arc<AtomicBool>,
 }
 
-impl Line {
-    /// A connection to a machine that may fall silent, and whose process may die.
-    pub fn new(stream: TcpStream, silence: Arc<Silence>, abrupt: Arc<AtomicBool>) -> Line {
+impl ServerStream {
+    /// Wraps an accepted connection of a machine that may become unreachable and whose process may die.
+    pub fn new(
+        stream: TcpStream,
+        blackhole: Arc<Blackhole>,
+        reset_on_close: Arc<AtomicBool>,
+    ) -> ServerStream {
         let _ = stream.set_nodelay(true); // a hint; without it small answers wait for acknowledgements
-        Line { stream, silence, abrupt }
+        ServerStream { stream, blackhole, reset_on_close }
     }
 }
 
-impl Drop for Line {
+impl Drop for ServerStream {
     fn drop(&mut self) {
-        if self.abrupt.load(Ordering::SeqCst) {
-            let _ = self.stream.set_zero_linger(); // the peer has gone already
+        if self.reset_on_close.load(Ordering::SeqCst) {
+            let _ = self.stream.set_zero_linger(); // an error means that the peer has closed the connection
         }
     }
 }
 
-impl AsyncRead for Line {
+impl AsyncRead for ServerStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        ready!(self.silence.poll(cx));
+        ready!(self.blackhole.poll(cx));
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for ServerStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        ready!(self.silence.poll(cx));
+        ready!(self.blackhole.poll(cx));
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(self.silence.poll(cx));
+        ready!(self.blackhole.poll(cx));
         Pin::new(&mut self.stream).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(self.silence.poll(cx));
+        ready!(self.blackhole.poll(cx));
         Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
@@ -239,20 +243,20 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
     #[tokio::test]
-    async fn a_silent_machine_takes_no_connection_and_answers_nothing_until_it_is_back() {
-        let (net, silence) = (Loopback::new(), Arc::<Silence>::default());
+    async fn unreachable_machine_accepts_and_sends_nothing_until_it_is_reachable() {
+        let (net, blackhole) = (Loopback::new(), Arc::<Blackhole>::default());
         let listener = net.listen().unwrap();
         let to = listener.local_addr().unwrap();
-        let its = silence.clone();
-        let mut door = Door::new(listener, silence.clone());
+        let task_blackhole = blackhole.clone();
+        let mut listener = BlackholeListener::new(listener, blackhole.clone());
         tokio::spawn(async move {
             loop {
-                let stream = door.accept().await.unwrap();
-                let mut line = Line::new(stream, its.clone(), Arc::default());
+                let stream = listener.accept().await.unwrap();
+                let mut stream = ServerStream::new(stream, task_blackhole.clone(), Arc::default());
                 tokio::spawn(async move {
                     let mut byte = [0];
-                    while line.read_exact(&mut byte).await.is_ok() {
-                        line.write_all(&byte).await.unwrap();
+                    while stream.read_exact(&mut byte).await.is_ok() {
+                        stream.write_all(&byte).await.unwrap();
                     }
                 });
             }
@@ -260,16 +264,16 @@
         let mut before = TcpStream::connect(to).await.unwrap();
         before.write_all(b"a").await.unwrap();
         assert_eq!(before.read_u8().await.unwrap(), b'a');
-        silence.set(true);
+        blackhole.set(true);
         before.write_all(b"b").await.unwrap();
-        assert!(timeout(NEVER, before.read_u8()).await.is_err());
-        // One may still slip in before the queue is filled.
-        let mut came_up = Vec::new();
-        while let Ok(stream) = timeout(NEVER * 4, TcpStream::connect(to)).await {
-            came_up.push(stream.unwrap());
-            assert!(came_up.len() < 5, "connections go on to come up");
+        assert!(timeout(CONNECT_TIMEOUT, before.read_u8()).await.is_err());
+        // Connections may still be established before the accept queue is full.
+        let mut connected = Vec::new();
+        while let Ok(stream) = timeout(CONNECT_TIMEOUT * 4, TcpStream::connect(to)).await {
+            connected.push(stream.unwrap());
+            assert!(connected.len() < 5, "connections are still established");
         }
-        silence.set(false);
+        blackhole.set(false);
         assert_eq!(before.read_u8().await.unwrap(), b'b');
         let mut after = TcpStream::connect(to).await.unwrap();
         after.write_all(b"c").await.unwrap();
@@ -277,11 +281,11 @@
     }
 
     #[tokio::test]
-    async fn a_stream_of_a_process_that_died_is_reset() {
+    async fn stream_of_a_dead_process_is_reset() {
         let listener = Loopback::new().listen().unwrap();
         let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        let abrupt = Arc::new(AtomicBool::new(true));
-        drop(Line::new(listener.accept().await.unwrap().0, Arc::default(), abrupt));
+        let reset_on_close = Arc::new(AtomicBool::new(true));
+        drop(ServerStream::new(listener.accept().await.unwrap().0, Arc::default(), reset_on_close));
         let error = client.read_u8().await.unwrap_err();
         assert_eq!(error.kind(), io::ErrorKind::ConnectionReset);
     }
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/testbed.rs
@@ -1,10 +1,10 @@
-//! A whole scenario on loopback: servers and discovery, the proxy beside each server that calls another tier,
-//! and the first tier's proxies. Real proxies, as children.
+//! Starts a whole scenario on loopback: stand-in servers and discovery, the sidecar of each server that calls
+//! another tier, and the first tier's proxies. The proxies are real and run as child processes.
 
 use super::child::{Child, ChildError, becomes_ready};
 use super::fleet::{Fleet, FleetError, Proxies, Record};
-use super::held;
 use super::load::{Load, LoadError, Options, Report, Target};
+use super::lock;
 use super::proc::{Track, Tracks};
 use super::protocol::Document;
 use super::settings::{Limits, Start, config};
@@ -21,27 +21,27 @@
 use tempfile::TempDir;
 use tokio::task::JoinHandle;
 
-/// A proxy that was asked to leave has left after this, or is killed.
-const LEAVES: Duration = Duration::from_secs(5);
+/// How long proxies may take to shut down before they are killed.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a stage is not set.
+/// Why a testbed did not start.
 #[derive(Debug, thiserror::Error)]
-pub enum StageError {
-    /// No socket, or no folder for the children's files.
-    #[error("the stage cannot be set: {0}")]
+pub enum TestbedError {
+    /// A socket or the directory of the children's files could not be created.
+    #[error("cannot create the testbed's sockets or temporary directory: {0}")]
     Io(#[from] io::Error),
-    /// The servers do not start.
+    /// The servers did not start.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// A first-tier proxy did not come up.
+    /// A first-tier proxy did not start.
     #[error("{0}")]
     Front(String),
-    /// There is no load.
+    /// The load cannot be generated.
     #[error(transparent)]
     Load(#[from] LoadError),
 }
 
-/// The real proxies of a stage.
+/// The proxies of a testbed.
 #[derive(Clone)]
 struct Children(Arc<Inner>);
 
@@ -49,13 +49,13 @@
     topology: Arc<Topology>,
     program: PathBuf,
     limits: Limits,
-    /// For the children's files; none once it is all over.
+    /// The directory of the children's files, or `None` after the testbed was dropped.
     folder: Mutex<Option<TempDir>>,
-    /// By machine: where its proxy listens.
+    /// The listening address of the proxy by machine.
     addresses: Vec<Option<SocketAddr>>,
-    /// Where discovery is, and the first list, by tier and zone.
+    /// The address of discovery and the initial list by tier and zone.
     discovery: Vec<Vec<(SocketAddr, Document)>>,
-    /// By machine.
+    /// The running children by machine.
     running: Mutex<BTreeMap<u32, Child>>,
     tracks: Mutex<Tracks>,
     started: AtomicU64,
@@ -74,28 +74,28 @@
             mix(inner.topology.seed, inner.started.fetch_add(1, Ordering::SeqCst) << 32 | u64::from(machine));
         let start = Start { name: &name, listen, discovery: *discovery, seed, known, limits: inner.limits };
         let config = config(&inner.topology, machine, &start).ok_or_else(no_proxy)?;
-        let folder = held(&inner.folder);
+        let folder = lock(&inner.folder);
         let folder = folder.as_ref().ok_or_else(no_proxy)?;
-        let mut running = held(&inner.running);
-        // Danger: one that only vanished still has the address.
+        let mut running = lock(&inner.running);
+        // A child that was only frozen still occupies the address.
         running.remove(&machine);
         running.insert(machine, Child::start(&inner.program, folder.path(), &name, listen, &config)?);
         Ok(listen)
     }
 
-    /// Whether a child is there and runs.
+    /// Checks that a machine's child, if it has one, still runs.
     fn check(&self, machine: u32) -> Result<(), ChildError> {
-        match held(&self.0.running).get_mut(&machine) {
+        match lock(&self.0.running).get_mut(&machine) {
             Some(child) => child.check(),
-            None => Ok(()), // it died as the scenario says
+            None => Ok(()), // killed by a fault of the scenario
         }
     }
 
     fn sample(&self) {
-        let running = held(&self.0.running);
+        let running = lock(&self.0.running);
         let pids: Vec<_> = running.values().map(|child| (child.name().to_owned(), child.pid())).collect();
         drop(running);
-        held(&self.0.tracks).take(pids);
+        lock(&self.0.tracks).sample_all(pids);
     }
 }
 
@@ -107,16 +107,16 @@
             match becomes_ready(listen, || children.check(machine)).await {
                 Ok(true) => Ok(listen),
                 Ok(false) => {
-                    let late = held(&children.0.running).get(&machine).map(Child::not_ready);
-                    late.map_or(Ok(listen), |e| Err(e.to_string()))
+                    let error = lock(&children.0.running).get(&machine).map(Child::not_ready);
+                    error.map_or(Ok(listen), |e| Err(e.to_string()))
                 }
                 Err(e) => Err(e.to_string()),
             }
         })
     }
 
-    fn dies(&self, machine: u32, silently: bool) {
-        let mut running = held(&self.0.running);
+    fn kill(&self, machine: u32, silently: bool) {
+        let mut running = lock(&self.0.running);
         if silently {
             running.get(&machine).into_iter().for_each(Child::freeze);
         } else {
@@ -125,19 +125,19 @@
     }
 }
 
-/// How a stage is set.
+/// Options of a testbed.
 #[derive(Clone, Debug)]
-pub struct Setting {
+pub struct TestbedOptions {
     /// The program `olivecart`.
     pub program: PathBuf,
-    /// What its processes are told that they may use.
+    /// The resource limits in the proxies' configuration.
     pub limits: Limits,
-    /// With the first tier's proxies.
+    /// Whether to start the first tier's proxies.
     pub fronts: bool,
 }
 
-/// A scenario that is up. Dropped, it is gone, children included.
-pub struct Stage {
+/// A running scenario. Dropping it stops everything, including the child processes.
+pub struct Testbed {
     topology: Arc<Topology>,
     fleet: Fleet,
     children: Children,
@@ -145,18 +145,18 @@
     sampler: JoinHandle<()>,
 }
 
-impl Stage {
-    /// Brings all of a scenario up. All is well until [`Stage::begin`].
+impl Testbed {
+    /// Starts a scenario. No fault is applied before [`Testbed::begin`].
     ///
     /// # Errors
-    /// Something does not come up.
-    pub async fn set(topology: Arc<Topology>, setting: Setting) -> Result<Stage, StageError> {
+    /// A server, discovery or a proxy did not start.
+    pub async fn start(topology: Arc<Topology>, setting: TestbedOptions) -> Result<Testbed, TestbedError> {
         let net = Loopback::new();
         let mut fleet = Fleet::start(topology.clone(), &net)?;
         let zones = topology.scenario.zones.len();
-        let of_tier =
+        let lists_of_tier =
             |tier| (0..zones).map(|zone| (fleet.discovery(tier, zone), fleet.list(tier, zone))).collect();
-        let discovery = (0..topology.tiers.len()).map(of_tier).collect();
+        let discovery = (0..topology.tiers.len()).map(lists_of_tier).collect();
         let address = |spec: &crate::model::MachineSpec| spec.proxy.map(|_| net.address()).transpose();
         let children = Children(Arc::new(Inner {
             program: setting.program,
@@ -173,26 +173,27 @@
         let fronts = if setting.fronts { start_fronts(&topology, &children).await? } else { Vec::new() };
         let sampled = children.clone();
         let sampler = tokio::spawn(async move {
-            let mut every = tokio::time::interval(Tracks::PERIOD);
+            let mut ticks = tokio::time::interval(Tracks::PERIOD);
             loop {
-                every.tick().await;
+                ticks.tick().await;
                 sampled.sample();
             }
         });
-        Ok(Stage { topology, fleet, children, fronts, sampler })
+        Ok(Testbed { topology, fleet, children, fronts, sampler })
     }
 
-    /// The first tier's proxies.
+    /// Returns the first tier's proxies.
     pub fn fronts(&self) -> &[Target] {
         &self.fronts
     }
 
-    /// Servers and discovery.
+    /// Returns the servers and discovery.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The configuration file of a first-tier proxy that somebody else starts, to listen at an address.
+    /// Returns the configuration of a first-tier proxy that is started outside of the testbed and listens on
+    /// `listen`.
     pub fn config_of_front(&self, machine: u32, listen: SocketAddr) -> Option<serde_json::Value> {
         let zone = self.topology.machines.get(machine as usize)?.zone as usize;
         let (discovery, known) = &self.children.0.discovery[0][zone];
@@ -202,12 +203,12 @@
         config(&self.topology, machine, &start)
     }
 
-    /// The run begins at this time; see [`Fleet::begin`].
+    /// Begins the run at a time; see [`Fleet::begin`].
     pub fn begin(&self, at: Instant) {
         self.fleet.begin(at);
     }
 
-    /// A load of the scenario's clients on the first tier's proxies.
+    /// Creates the load of the scenario's clients on the first tier's proxies.
     ///
     /// # Errors
     /// As [`Load::new`].
@@ -215,70 +216,70 @@
         Load::new(self.topology.clone(), self.fronts.clone(), options)
     }
 
-    /// What servers saw so far.
+    /// Returns what the servers have recorded so far.
     pub fn record(&self) -> Record {
         self.fleet.record()
     }
 
-    /// Who does not run at present: servers and first-tier proxies.
+    /// Returns the names of the servers and first-tier proxies that do not run.
     pub fn down(&self) -> Vec<String> {
         let mut down = self.fleet.down();
-        let running = held(&self.children.0.running);
-        let gone = (0..self.fronts.len() as u32).filter(|machine| !running.contains_key(machine));
-        down.extend(gone.map(|machine| self.topology.proxy_name(machine)));
+        let running = lock(&self.children.0.running);
+        let stopped = (0..self.fronts.len() as u32).filter(|machine| !running.contains_key(machine));
+        down.extend(stopped.map(|machine| self.topology.proxy_name(machine)));
         down
     }
 
-    /// What each proxy has used so far.
+    /// Returns the resource usage of each proxy so far.
     pub fn tracks(&self) -> Vec<Track> {
         self.children.sample();
-        held(&self.children.0.tracks).all().to_vec()
+        lock(&self.children.0.tracks).all().to_vec()
     }
 
-    /// What went wrong that the scenario did not mean to: proxies that ended by themselves, or did not come
-    /// up.
-    pub fn troubles(&self) -> Vec<String> {
-        let mut troubles = self.fleet.troubles();
-        let machines: Vec<u32> = held(&self.children.0.running).keys().copied().collect();
-        troubles.extend(machines.iter().filter_map(|m| self.children.check(*m).err()).map(|e| e.to_string()));
-        troubles
+    /// Returns the failures that no fault of the scenario caused: proxies that ended or did not start.
+    pub fn unexpected_failures(&self) -> Vec<String> {
+        let mut unexpected_failures = self.fleet.unexpected_failures();
+        let machines: Vec<u32> = lock(&self.children.0.running).keys().copied().collect();
+        unexpected_failures
+            .extend(machines.iter().filter_map(|m| self.children.check(*m).err()).map(|e| e.to_string()));
+        unexpected_failures
     }
 
-    /// Enters what servers saw, and what went wrong that should not have, into a load's report.
+    /// Adds what the servers recorded, and the unexpected failures, to a load's report.
     pub fn complete(&self, report: &mut Report) {
         self.record().enter(&mut report.result, &self.topology.scenario);
-        report.result.unsound.extend(self.troubles());
+        report.result.unsound.extend(self.unexpected_failures());
     }
 
-    /// Ends it: proxies are asked to leave, and killed if they have not after a while.
-    pub async fn end(self) {
-        let mut running = std::mem::take(&mut *held(&self.children.0.running));
+    /// Shuts the proxies down, and kills those that do not exit in time.
+    pub async fn shut_down(self) {
+        let mut running = std::mem::take(&mut *lock(&self.children.0.running));
         running.values().for_each(Child::terminate);
-        let end = Instant::now() + LEAVES;
+        let end = Instant::now() + SHUTDOWN_TIMEOUT;
         for child in running.values_mut() {
-            child.ends_within(end.saturating_duration_since(Instant::now())).await;
+            child.wait_for_exit(end.saturating_duration_since(Instant::now())).await;
         }
     }
 }
 
-impl Drop for Stage {
+impl Drop for Testbed {
     fn drop(&mut self) {
         self.sampler.abort();
-        // Tasks that have not noticed their end yet may still hold the children.
-        let folder = held(&self.children.0.folder).take();
-        held(&self.children.0.running).clear();
+        // Aborted tasks that have not ended yet may still keep a reference to the children.
+        let folder = lock(&self.children.0.folder).take();
+        lock(&self.children.0.running).clear();
         drop(folder);
     }
 }
 
-async fn start_fronts(topology: &Topology, children: &Children) -> Result<Vec<Target>, StageError> {
+async fn start_fronts(topology: &Topology, children: &Children) -> Result<Vec<Target>, TestbedError> {
     let fronts = topology.fronts.iter().flatten().copied();
     let start = |machine: u32| {
         let zone = topology.machines[machine as usize].zone as usize;
         let started = children.start(machine);
         async move { started.await.map(|addr| (machine, Target { addr, zone: Some(zone) })) }
     };
-    let mut started = try_join_all(fronts.map(start)).await.map_err(StageError::Front)?;
+    let mut started = try_join_all(fronts.map(start)).await.map_err(TestbedError::Front)?;
     started.sort_by_key(|(machine, _)| *machine);
     Ok(started.into_iter().map(|(_, target)| target).collect())
 }
--- a/crates/lab/tests/sockets/fleet.rs
+++ b/crates/lab/tests/sockets/fleet.rs
@@ -142,7 +142,7 @@
     let mut watch = Watch::begin(discovery, 1).await;
     fleet.begin(Instant::now());
     let answer = call(to, request("read", &[("x-extras", "work_us=60000000")])).await;
-    assert!(matches!(answer, Err(CallError::Broken(_))), "{answer:?}");
+    assert!(matches!(answer, Err(CallError::ConnectionFailed(_))), "{answer:?}");
     assert_eq!(fleet.down().len(), 2);
     assert!(matches!(call(to, request("read", &[])).await, Err(CallError::Connect(_))));
     let mut back = None;
@@ -185,7 +185,7 @@
     on(&pool, get("/health/live")).await.unwrap(); // so that the player of faults has had its turn
     fleet.begin(Instant::now());
     on(&pool, get("/health/live")).await.unwrap();
-    assert!(matches!(on(&pool, request("read", &[])).await, Err(CallError::Broken(_))));
+    assert!(matches!(on(&pool, request("read", &[])).await, Err(CallError::ConnectionFailed(_))));
     // It was written, so it ran.
     assert_eq!(fleet.record().servers[0].attempts, 1);
 }
@@ -212,7 +212,7 @@
         Box::pin(async move { Ok(to) })
     }
 
-    fn dies(&self, _: u32, _: bool) {}
+    fn kill(&self, _: u32, _: bool) {}
 }
 
 const TWO_TIERS: &str = r#"
--- a/crates/lab/tests/sockets/stage.rs
+++ b/crates/lab/tests/sockets/stage.rs
@@ -10,15 +10,15 @@
 use olivecart_lab::sockets::proc::sample;
 use olivecart_lab::sockets::program::{Build, find};
 use olivecart_lab::sockets::settings::Limits;
-use olivecart_lab::sockets::stage::{Setting, Stage};
 use olivecart_lab::sockets::stream::Loopback;
+use olivecart_lab::sockets::testbed::{Testbed, TestbedOptions};
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-fn setting() -> Setting {
-    Setting { program: find(None, Build::IfMissing).unwrap(), limits: Limits::default(), fronts: true }
+fn setting() -> TestbedOptions {
+    TestbedOptions { program: find(None, Build::IfMissing).unwrap(), limits: Limits::default(), fronts: true }
 }
 
 /// Two tiers with a proxy beside each server of the first, two in front, and a little load.
@@ -38,7 +38,7 @@
     topology(&scenario)
 }
 
-fn pids(stage: &Stage) -> Vec<u32> {
+fn pids(stage: &Testbed) -> Vec<u32> {
     stage.tracks().iter().map(|track| track.pid).collect()
 }
 
@@ -48,7 +48,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_day_without_faults_loses_nothing_through_real_proxies() {
-    let stage = Stage::set(small("3s", ""), setting()).await.unwrap();
+    let stage = Testbed::start(small("3s", ""), setting()).await.unwrap();
     let load = stage.load(Options { lag: Duration::from_secs(1), ..Options::default() }).unwrap();
     let begin = Instant::now();
     stage.begin(begin);
@@ -70,7 +70,7 @@
     assert_eq!(tracks.len(), 2 + 3);
     assert!(tracks.iter().all(|t| t.peak_descriptors() > 5 && t.peak_mib() > 1.0), "{tracks:?}");
     let pids = pids(&stage);
-    stage.end().await;
+    stage.shut_down().await;
     assert!(!pids.iter().any(runs));
 }
 
@@ -79,7 +79,7 @@
     let fault = r#"rules = { cold_share = 1.0, cold_time = "1ms" }
                    fault = [{ kind = "crash", start = "500ms", length = "1s" },
                             { kind = "proxy_restart", start = "500ms", length = "1s", part = 0.5 }]"#;
-    let stage = Stage::set(small("3s", fault), setting()).await.unwrap();
+    let stage = Testbed::start(small("3s", fault), setting()).await.unwrap();
     let before = pids(&stage);
     let load = stage.load(Options { lag: Duration::from_secs(1), ..Options::default() }).unwrap();
     let begin = Instant::now();
