--- a/crates/membership/benches/xds.rs
+++ b/crates/membership/benches/xds.rs
@@ -1,6 +1,6 @@
-//! What a push costs at 10,000 endpoints, from the bytes of a response through the conversation and the
-//! catalog: the first one, one in which nothing has changed, one with one changed endpoint. The last shows
-//! how the time is spent: decoding, conversion, and the catalog's comparison.
+//! Benchmarks of an xDS response with 10,000 endpoints, from its bytes through the session and the catalog:
+//! the first response, an unchanged one, and one with one changed endpoint. Decoding and conversion are also
+//! measured on their own; the rest of the time is spent in the session and the catalog.
 
 use criterion::{BatchSize, Criterion};
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -30,8 +30,8 @@
         let session = Session::new(Config::new("xds".into(), Node::default()));
         let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("the default policy");
         let mut bench = Bench { session, catalog, now: 0, out: Vec::new() };
-        bench.tell(Input::Tick);
-        bench.tell(Input::Connected);
+        bench.handle_input(Input::Tick);
+        bench.handle_input(Input::Connected);
         let cluster = vec![resource(pack_any(eds_cluster("cart")))];
         bench.receive(&response(Kind::Cluster, cluster));
         bench
@@ -43,7 +43,7 @@
         bench
     }
 
-    fn tell(&mut self, input: Input) -> usize {
+    fn handle_input(&mut self, input: Input) -> usize {
         self.now += 100_000_000;
         self.session.handle(self.now, input, &mut self.out);
         let mut changes = Vec::new();
@@ -57,7 +57,7 @@
 
     fn receive(&mut self, bytes: &[u8]) -> usize {
         let response = DeltaDiscoveryResponse::decode(bytes).expect("a response");
-        self.tell(Input::Response(Response::Delta(response)))
+        self.handle_input(Input::Response(Response::Delta(response)))
     }
 }
 
@@ -71,7 +71,7 @@
 }
 
 fn list() -> ClusterLoadAssignment {
-    // Names as registries make them: their order is not that of the list.
+    // Names in random order, as registries generate them.
     let name = |i: usize| format!("s-{:08x}", (i as u32).wrapping_mul(0x9e37_79b1));
     let names: Vec<(String, SocketAddr)> =
         (0..COUNT).map(|i| (name(i), ([10, 0, (i >> 8) as u8, i as u8], 8080).into())).collect();
@@ -79,7 +79,7 @@
     endpoints("cart", &list)
 }
 
-fn push(list: &ClusterLoadAssignment) -> Vec<u8> {
+fn assignment_response(list: &ClusterLoadAssignment) -> Vec<u8> {
     response(Kind::Assignment, vec![resource(pack_any(list.clone()))])
 }
 
@@ -87,8 +87,8 @@
     let first = list();
     let mut changed = first.clone();
     changed.endpoints[0].lb_endpoints[4711].load_balancing_weight = Some(UInt32Value { value: 2 });
-    let (all, one) = (push(&first), push(&changed));
-    println!("a push of {COUNT} endpoints is {} bytes", all.len());
+    let (all, one) = (assignment_response(&first), assignment_response(&changed));
+    println!("a response with {COUNT} endpoints has {} bytes", all.len());
     let mut criterion = Criterion::default().configure_from_args();
     let mut group = criterion.benchmark_group("xds, 10,000 endpoints");
     group.sample_size(20).warm_up_time(Duration::from_millis(500)).measurement_time(Duration::from_secs(3));
@@ -100,10 +100,10 @@
         b.iter(|| black_box(bench.receive(&all)));
     });
     group.bench_function("one endpoint changed", |b| {
-        let (mut bench, mut turn) = (Bench::with(&all), false);
+        let (mut bench, mut is_changed) = (Bench::with(&all), false);
         b.iter(|| {
-            turn = !turn;
-            black_box(bench.receive(if turn { &one } else { &all }))
+            is_changed = !is_changed;
+            black_box(bench.receive(if is_changed { &one } else { &all }))
         });
     });
     let bytes = first.encode_to_vec();
--- a/crates/membership/src/anomaly.rs
+++ b/crates/membership/src/anomaly.rs
@@ -1,71 +1,73 @@
-//! What is suspicious about a change, in words that a person can act on. Whether it is, the catalog decides.
+//! The kinds of suspicious changes and their messages for operators. The catalog decides which changes are
+//! suspicious.
 
 use crate::names::EndpointName;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What may be true and looks like a mistake.
+/// A property of a change that is valid input but is likely a mistake of its source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Anomaly {
-    /// No endpoint is listed, and the source does not say that this is meant.
+    /// The list has no endpoints, and the source does not mark the cluster as intentionally empty.
     NoEndpoints,
-    /// No ready endpoint has a weight over 0.
+    /// No ready endpoint has a weight greater than 0.
     AllWeightsZero,
-    /// Endpoints leave, and none that takes requests is left.
-    NothingLeft {
-        /// The first that leaves.
+    /// Endpoints are removed, and no endpoint that accepts requests remains.
+    NoServingEndpointsLeft {
+        /// The first endpoint removed.
         first: EndpointName,
     },
-    /// All ready endpoints leave at once, and others come.
-    AllGone {
-        /// How many.
+    /// All ready endpoints are removed in one update, and others are added.
+    AllEndpointsRemoved {
+        /// The number of endpoints removed.
         count: usize,
-        /// The first of them.
+        /// The first endpoint removed.
         first: EndpointName,
     },
-    /// A large share of the ready endpoints leaves at once.
-    ManyGone {
-        /// How many leave.
+    /// A large share of the ready endpoints is removed in one update.
+    ManyEndpointsRemoved {
+        /// The number of ready endpoints removed.
         count: usize,
-        /// How many there are.
-        of: usize,
-        /// The first that leaves.
+        /// The number of ready endpoints before the update.
+        total: usize,
+        /// The first endpoint removed.
         first: EndpointName,
     },
-    /// A ready endpoint is at another address though it has not restarted.
+    /// A ready endpoint has a new address although it has not restarted.
     Moved {
         /// The first such endpoint.
         endpoint: EndpointName,
-        /// Where it is.
+        /// Its current address.
         from: SocketAddr,
-        /// Where it is said to be.
+        /// The address that the source reports.
         to: SocketAddr,
-        /// How many more have moved.
+        /// The number of further endpoints that have moved.
         others: usize,
     },
-    /// Two ready endpoints are at one address.
-    AddressTwice {
-        /// The first endpoint that comes to an address that is taken.
+    /// Two ready endpoints have the same address.
+    DuplicateAddress {
+        /// The first endpoint whose new address is already in use.
         endpoint: EndpointName,
-        /// Who else is there.
+        /// The other endpoint at the address.
         other: EndpointName,
         /// The address.
         address: SocketAddr,
-        /// How many more come to an address that is taken.
+        /// The number of further endpoints whose new address is already in use.
         others: usize,
     },
-    /// A list of all clusters lacks this one, which has endpoints.
+    /// A full snapshot does not contain this cluster, which has endpoints.
     ClusterMissing,
-    /// A list of all clusters names none at all.
+    /// A full snapshot contains no clusters.
     NoClusters,
 }
 
 impl Anomaly {
-    /// Whether repetition is no confirmation, but only the explicit word of the source: whatever leaves a
-    /// cluster without an endpoint that takes requests. A source that is broken repeats itself too.
+    /// Returns whether only an explicit statement of the source or an operator confirms the change. This
+    /// applies to each change that leaves a cluster without an endpoint that accepts requests: repetition
+    /// doesn't confirm it, since a broken source repeats its mistake.
     pub fn needs_explicit_confirmation(&self) -> bool {
-        use Anomaly::{AllWeightsZero, NoClusters, NoEndpoints, NothingLeft};
-        matches!(self, NoEndpoints | AllWeightsZero | NothingLeft { .. } | NoClusters)
+        use Anomaly::{AllWeightsZero, NoClusters, NoEndpoints, NoServingEndpointsLeft};
+        matches!(self, NoEndpoints | AllWeightsZero | NoServingEndpointsLeft { .. } | NoClusters)
     }
 }
 
@@ -74,27 +76,29 @@
         let more =
             |f: &mut fmt::Formatter, n: &usize| if *n > 0 { write!(f, " (and {n} more)") } else { Ok(()) };
         match self {
-            Anomaly::NoEndpoints => f.write_str("no endpoint is listed, and nothing says that this is meant"),
-            Anomaly::AllWeightsZero => f.write_str("all weights are zero, so that nothing would be served"),
-            Anomaly::NothingLeft { first } => {
-                write!(f, "without {first} no endpoint that takes requests would be left")
+            Anomaly::NoEndpoints => f.write_str("the endpoint list is empty and not marked as intentional"),
+            Anomaly::AllWeightsZero => {
+                f.write_str("all weights are zero, so no endpoint would receive requests")
             }
-            Anomaly::AllGone { count, first } => {
-                write!(f, "all {count} ready endpoints gone at once, {first} first")
+            Anomaly::NoServingEndpointsLeft { first } => {
+                write!(f, "removing {first} would leave no endpoint that accepts requests")
             }
-            Anomaly::ManyGone { count, of, first } => {
-                write!(f, "{count} of {of} ready endpoints gone at once, {first} first")
+            Anomaly::AllEndpointsRemoved { count, first } => {
+                write!(f, "all {count} ready endpoints removed at once, starting with {first}")
+            }
+            Anomaly::ManyEndpointsRemoved { count, total, first } => {
+                write!(f, "{count} of {total} ready endpoints removed at once, starting with {first}")
             }
             Anomaly::Moved { endpoint, from, to, others } => {
                 write!(f, "endpoint {endpoint} moved from {from} to {to} without a restart")?;
                 more(f, others)
             }
-            Anomaly::AddressTwice { endpoint, other, address, others } => {
-                write!(f, "endpoints {endpoint} and {other} are both at {address}")?;
+            Anomaly::DuplicateAddress { endpoint, other, address, others } => {
+                write!(f, "endpoints {endpoint} and {other} have the same address {address}")?;
                 more(f, others)
             }
-            Anomaly::ClusterMissing => f.write_str("missing from the list of all clusters"),
-            Anomaly::NoClusters => f.write_str("the list of all clusters names none at all"),
+            Anomaly::ClusterMissing => f.write_str("missing from the full list of clusters"),
+            Anomaly::NoClusters => f.write_str("the full list of clusters is empty"),
         }
     }
 }
--- a/crates/membership/src/catalog/change_set.rs
+++ b/crates/membership/src/catalog/change_set.rs
@@ -1,4 +1,4 @@
-//! A change, endpoint by endpoint.
+//! The changes of an update, one for each endpoint.
 
 use crate::endpoint::Endpoint;
 use crate::names::EndpointName;
@@ -6,31 +6,31 @@
 use std::ops::Index;
 use std::sync::Arc;
 
-/// One endpoint's part of a change.
+/// The change of one endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct EndpointChange {
     pub name: EndpointName,
-    /// What it changes: the endpoint as its source last listed it or, in the first list of a source, as the
-    /// source that gives the cluster does.
+    /// The endpoint as its source last listed it. In the first list of a source: the endpoint as the current
+    /// owner of the cluster lists it.
     pub old: Option<Arc<Endpoint>>,
-    /// The endpoint as it shall be; none if it leaves.
+    /// The new endpoint; `None` if it is removed.
     pub new: Option<Arc<Endpoint>>,
-    /// Since when its source has said so.
+    /// When its source first reported the change.
     pub since: Nanos,
-    /// It was held as one of many that leave or lose their weight, and waits for a confirmation.
+    /// The change was quarantined as one of many removals or weights set to 0, and waits for a confirmation.
     ///
-    /// Danger: without this mark one endpoint that comes later would make the loss of all others harmless.
+    /// Without this mark, a single endpoint that is added later would release the loss of all others.
     pub awaits_confirmation: bool,
-    /// It says that the endpoint is not ready, which counts while it is held.
+    /// The change reports the endpoint as not ready, which takes effect even while it is quarantined.
     pub is_not_ready: bool,
 }
 
-/// The parts of a change, by id. Memory and copying cost as much as the change is large.
+/// A set of changes, sorted by id. Its memory is proportional to the number of changes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ChangeSet(Vec<EndpointChange>);
 
 impl ChangeSet {
-    /// Of items that are sorted by id, each id once.
+    /// Creates a set from changes that are sorted by id, without duplicates.
     pub fn from_sorted(changes: Vec<EndpointChange>) -> ChangeSet {
         debug_assert!(changes.is_sorted_by(|a, b| a.name < b.name));
         ChangeSet(changes)
@@ -48,7 +48,7 @@
         self.0.iter_mut()
     }
 
-    /// Those that are said not to be ready.
+    /// Iterates over the names of endpoints that are reported as not ready.
     pub fn not_ready_names(&self) -> impl Iterator<Item = &EndpointName> {
         self.0.iter().filter(|change| change.is_not_ready).map(|change| &change.name)
     }
@@ -65,7 +65,7 @@
         self.0.binary_search_by(|change| change.name.cmp(name))
     }
 
-    /// Takes out those of the given ids. A few of them cost no more than moving the rest together.
+    /// Removes the changes of the given endpoints in one pass over the set.
     pub fn remove_all<'a>(&mut self, names: impl IntoIterator<Item = &'a EndpointName>) {
         let mut found: Vec<usize> = names.into_iter().filter_map(|name| self.position(name).ok()).collect();
         if found.is_empty() {
@@ -79,14 +79,14 @@
         });
     }
 
-    /// Puts in others, in the place of what is there of the same id.
+    /// Adds changes, which replace those of the same ids.
     pub fn merge(&mut self, others: ChangeSet) {
         self.remove_all(others.iter().map(|change| &change.name));
         self.0.extend(others.0);
         self.0.sort_by(|a, b| a.name.cmp(&b.name));
     }
 
-    /// Those that are marked, and those that are not. `marks` are in the order of the items.
+    /// Splits the set into the marked and the unmarked changes. `marks` is in the order of the changes.
     pub fn split(self, marks: &[bool]) -> (ChangeSet, ChangeSet) {
         if !marks.contains(&true) {
             return (ChangeSet::default(), self);
--- a/crates/membership/src/catalog/cluster.rs
+++ b/crates/membership/src/catalog/cluster.rs
@@ -1,7 +1,7 @@
-//! One cluster: what each source says of it, and which of them gives it.
+//! The state of one cluster: each source's reports of it, and the source that owns it.
 //!
-//! The catalog calls it with each update. Each method puts into [`UpdateEffects`] what it touched;
-//! `complete_update` (`reconcile`) then rechecks what is quarantined, and puts out the difference.
+//! The catalog calls it with each update. Each method records what it touched in [`UpdateEffects`];
+//! `complete_update` (`reconcile`) then rechecks the quarantined changes and publishes the difference.
 
 use super::change_set::ChangeSet;
 use super::input_validation::{InvalidInput, ValidDelta, validate_delta, validate_list};
@@ -23,29 +23,29 @@
 use olivecart_decisions::Nanos;
 use std::collections::BTreeMap;
 
-/// A cluster whole, as a source lists it.
+/// The complete state of a cluster, as a source lists it.
 pub(super) struct ClusterSnapshot {
     pub endpoints: Endpoints,
     pub settings: ClusterSettings,
 }
 
-/// A whole list of endpoints that may become a source's accepted content.
+/// A whole list of endpoints that is to be validated as a source's new content.
 struct CandidateList<'a> {
-    /// Valid each, and sorted by id.
+    /// Each endpoint is valid; sorted by id.
     endpoints: Vec<Endpoint>,
     settings: ClusterSettings,
     version: &'a Version,
     occasion: Occasion,
 }
 
-/// One cluster.
+/// The state of one cluster.
 #[derive(Debug)]
 pub(super) struct ClusterState {
     pub name: ClusterName,
-    /// In the order of precedence.
+    /// By the rank of the source, in order of precedence.
     pub subscriptions: BTreeMap<Rank, Subscription>,
     pub service: Option<Service>,
-    /// When it is to be woken to forget what was removed.
+    /// When the timer is due that forgets removed endpoints, if it is set.
     pub forget_at: Option<Nanos>,
 }
 
@@ -54,16 +54,16 @@
         ClusterState { name, subscriptions: BTreeMap::new(), service: None, forget_at: None }
     }
 
-    /// No source says anything of it, and nothing serves.
+    /// Returns whether no source has reported the cluster and nothing is published.
     pub fn is_vacant(&self) -> bool {
         self.subscriptions.is_empty() && self.service.is_none()
     }
 
-    /// Who gives the cluster: the first in precedence with good content, and it alone.
+    /// Returns the source that provides the cluster: the first in precedence with accepted content.
     ///
-    /// Weighed against a union by id: in a union an endpoint stays until the last source has dropped it, so
-    /// that the slowest one decides about removals, and nobody can pin a cluster. The price is that the
-    /// endpoints of one cluster cannot be spread over sources.
+    /// With a union of the sources' lists by id, an endpoint would stay until the last source has removed it:
+    /// the slowest source would determine removals, and a source could not override a cluster. The drawback
+    /// of a single owner is that the endpoints of one cluster cannot be spread over several sources.
     pub fn owner(&self) -> Option<Rank> {
         self.subscriptions
             .iter()
@@ -71,15 +71,16 @@
             .map(|(rank, _)| *rank)
     }
 
-    /// A subscription, and the listing that gives the cluster where the subscription would take its place.
+    /// Returns a subscription, and the owner's listing if the subscription would displace it.
     pub fn subscription(&self, rank: Rank) -> Option<(&Subscription, Option<&Listing>)> {
         let owner = self.owner().filter(|owner| rank < *owner);
-        let before =
+        let displaced =
             owner.and_then(|owner| self.subscriptions.get(&owner)).and_then(Subscription::accepted_listing);
-        Some((self.subscriptions.get(&rank)?, before))
+        Some((self.subscriptions.get(&rank)?, displaced))
     }
 
-    /// Validates a change of a source's listing; of a first list, against the listing that it would displace.
+    /// Validates changes to a source's listing. A first list is compared with the listing that it would
+    /// displace.
     pub fn validate(
         &self,
         context: &UpdateContext,
@@ -100,18 +101,18 @@
         candidate.validate()
     }
 
-    /// The source speaks of the cluster.
-    fn note_update(&mut self, now: Nanos, rank: Rank) {
+    /// Records that the source sent an update of the cluster.
+    fn record_update(&mut self, now: Nanos, rank: Rank) {
         let subscription = self.subscriptions.entry(rank).or_default();
         subscription.last_update_at = now;
         subscription.missing = None;
     }
 
-    /// Applies a whole list: all of it or, if it is quarantined, nothing but what it says of endpoints that are
-    /// not ready. One that is rejected says nothing: what its author meant is a guess.
+    /// Applies a whole list. Of a quarantined list, only the reports of endpoints that are not ready take
+    /// effect. A rejected list has no effect, since its intended content is unknown.
     ///
-    /// Weighed against validating endpoint by endpoint as in a delta: a list that lacks half the endpoints is
-    /// torn or of another cluster, and its other half is then no better.
+    /// Endpoints are not validated one by one as in a delta: a list that lacks half of the endpoints is
+    /// truncated or belongs to another cluster, so its other half cannot be trusted either.
     pub fn apply_snapshot(
         &mut self,
         context: &mut UpdateContext,
@@ -120,9 +121,9 @@
         ClusterSnapshot { endpoints, settings }: ClusterSnapshot,
     ) -> UpdateEffects {
         let mut effects = UpdateEffects::default();
-        self.note_update(context.now, rank);
+        self.record_update(context.now, rank);
         let endpoints = match endpoints {
-            Endpoints::NoneOnPurpose => {
+            Endpoints::IntentionallyEmpty => {
                 match settings.check() {
                     Ok(()) => self.apply_empty(rank, version, settings, &mut effects),
                     Err(reason) => self.reject(context, rank, vec![InvalidInput::of_cluster(reason)]),
@@ -141,7 +142,7 @@
         effects
     }
 
-    /// The source says in so many words that there are no endpoints.
+    /// Applies an explicit report that the cluster has no endpoints.
     fn apply_empty(
         &mut self,
         rank: Rank,
@@ -170,7 +171,7 @@
         let CandidateList { endpoints, settings, version, occasion } = list;
         let Some((subscription, displaced)) = self.subscription(rank) else { return };
         let changes = subscription.difference(endpoints, displaced, context.now);
-        // What was quarantined is no longer said, whatever is said now.
+        // The new list replaces the quarantined one in any case.
         let previous =
             self.subscriptions.get_mut(&rank).and_then(|subscription| subscription.quarantine.take());
         previous.iter().for_each(|previous| effects.touch_not_ready(&previous.changes));
@@ -187,7 +188,7 @@
         subscription.apply(changes, Some(settings), version, effects);
     }
 
-    /// Applies a delta: its harmless changes at once, while the suspicious ones are quarantined.
+    /// Applies a delta. Its suspicious changes are quarantined, the others are applied at once.
     pub fn apply_delta(
         &mut self,
         context: &mut UpdateContext,
@@ -196,7 +197,7 @@
         delta: ClusterDelta,
     ) -> UpdateEffects {
         let mut effects = UpdateEffects::default();
-        self.note_update(context.now, rank);
+        self.record_update(context.now, rank);
         let delta = validate_delta(delta);
         let is_first =
             self.subscriptions.get(&rank).is_some_and(|subscription| subscription.accepted.is_none());
@@ -209,7 +210,7 @@
         effects
     }
 
-    /// Applies a delta of a source of which nothing has been accepted, as its first list. Gives what is invalid.
+    /// Applies a delta of a source without accepted content as its first list. Returns the invalid inputs.
     fn apply_first_delta(
         &mut self,
         context: &mut UpdateContext,
@@ -220,12 +221,14 @@
     ) -> Vec<InvalidInput> {
         let ValidDelta { endpoints, settings, mut invalid_inputs } = delta;
         let Some(subscription) = self.subscriptions.get(&rank) else { return invalid_inputs };
-        // Only a first delta is reported whole; what it adds to was reported before.
+        // Only the first delta contains the whole list; a later one adds to endpoints that were reported
+        // before.
         let occasion = match subscription.quarantine {
             None => Occasion::Reported,
             Some(_) => Occasion::Rechecked,
         };
-        let quarantined_settings = subscription.quarantine.as_ref().and_then(|quarantine| quarantine.whole);
+        let quarantined_settings =
+            subscription.quarantine.as_ref().and_then(|quarantine| quarantine.list_settings);
         let settings = settings.or(quarantined_settings).unwrap_or_default();
         let endpoints = subscription.first_list(endpoints);
         let most = context.policy.max_endpoints;
@@ -238,7 +241,7 @@
         invalid_inputs
     }
 
-    /// Applies a delta to what was accepted of a source. Gives what is invalid.
+    /// Applies a delta to a source's accepted content. Returns the invalid inputs.
     fn apply_further_delta(
         &mut self,
         context: &mut UpdateContext,
@@ -265,11 +268,11 @@
         invalid_inputs
     }
 
-    /// The source says in so many words that the cluster is no more, or that was confirmed.
+    /// Applies an explicit or confirmed removal of the cluster by the source.
     pub fn remove(&mut self, rank: Rank) -> UpdateEffects {
         let mut effects = UpdateEffects::default();
         let Some(subscription) = self.subscriptions.get_mut(&rank) else { return effects };
-        // What was reported and scheduled for it stays, so that `complete_update` takes it back.
+        // The reported anomalies and the timer are kept, so that `complete_update` can withdraw them.
         let remaining = Subscription {
             last_reported: std::mem::take(&mut subscription.last_reported),
             timer: subscription.timer,
@@ -285,12 +288,12 @@
         effects
     }
 
-    /// Notes and puts out what is rejected; at most [`Policy::MOST_REFUSALS`] by name.
+    /// Records and emits rejections, at most [`Policy::MAX_NAMED_REJECTIONS`] of them one by one.
     fn reject(&mut self, context: &mut UpdateContext, rank: Rank, mut invalid_inputs: Vec<InvalidInput>) {
-        if invalid_inputs.len() > Policy::MOST_REFUSALS {
-            let count = invalid_inputs.len() - Policy::MOST_REFUSALS;
-            invalid_inputs.truncate(Policy::MOST_REFUSALS);
-            invalid_inputs.push(InvalidInput::of_cluster(Invalid::More { count }));
+        if invalid_inputs.len() > Policy::MAX_NAMED_REJECTIONS {
+            let count = invalid_inputs.len() - Policy::MAX_NAMED_REJECTIONS;
+            invalid_inputs.truncate(Policy::MAX_NAMED_REJECTIONS);
+            invalid_inputs.push(InvalidInput::of_cluster(Invalid::MoreRejections { count }));
         }
         let Some(subscription) = self.subscriptions.get_mut(&rank) else { return };
         for (at, InvalidInput { endpoint, reason }) in invalid_inputs.into_iter().enumerate() {
--- a/crates/membership/src/catalog/input_validation.rs
+++ b/crates/membership/src/catalog/input_validation.rs
@@ -1,5 +1,5 @@
-//! Validates each endpoint and limit on its own, without regard to what was there before. What is invalid is
-//! rejected by name.
+//! Validates each endpoint and limit on its own, regardless of the previous state. Invalid inputs are
+//! returned with their ids, so that they can be rejected by name.
 
 use crate::endpoint::{ClusterSettings, Endpoint};
 use crate::event::ClusterDelta;
@@ -9,9 +9,10 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is wrong, and with which endpoint if with one.
+/// An invalid value of an update.
 #[derive(Debug)]
 pub(super) struct InvalidInput {
+    /// The endpoint that it belongs to; `None` if it concerns the cluster as a whole.
     pub endpoint: Option<EndpointName>,
     pub reason: Invalid,
 }
@@ -26,17 +27,17 @@
     }
 }
 
-/// The part of a delta that can be used, and what is wrong with the rest.
+/// The valid part of a delta, and its invalid inputs.
 #[derive(Debug)]
 pub(super) struct ValidDelta {
-    /// The endpoints by id; none for one that is removed.
+    /// The endpoints by id; `None` for a removal.
     pub endpoints: BTreeMap<EndpointName, Option<Endpoint>>,
     pub settings: Option<ClusterSettings>,
     pub invalid_inputs: Vec<InvalidInput>,
 }
 
-/// Checks a whole list, and sorts it by id. One fault makes it unusable: what it would be without it is a
-/// guess.
+/// Validates a whole list and sorts it by id. A single invalid value rejects the list, since its intended
+/// content is unknown.
 pub(super) fn validate_list(
     mut list: Vec<Endpoint>,
     settings: &ClusterSettings,
@@ -55,24 +56,24 @@
         }
     }
     for same_id in list.chunk_by(|a, b| a.name == b.name).filter(|same_id| same_id.len() > 1) {
-        invalid_inputs.push(InvalidInput::of_endpoint(same_id[0].name.clone(), Invalid::IdTwice));
+        invalid_inputs.push(InvalidInput::of_endpoint(same_id[0].name.clone(), Invalid::DuplicateEndpoint));
     }
     if invalid_inputs.is_empty() { Ok(list) } else { Err(invalid_inputs) }
 }
 
-/// Sorts a list by id; one that is sorted costs one pass.
+/// Sorts a list by id; a sorted list takes one pass.
 ///
-/// Ids lie scattered in memory, and a look at one costs more than comparing it. The eight bytes behind what
-/// all ids share tell nearly all of them apart, so that little is left to the second sort: a third of the
-/// time of that alone.
+/// Ids are scattered in memory, and loading an id takes longer than comparing it. The eight bytes after the
+/// common prefix of all ids distinguish nearly all of them, so the second sort has little left to do. This
+/// takes a third of the time of the second sort alone.
 fn sort(list: &mut [Endpoint]) {
     let by_id = |a: &Endpoint, b: &Endpoint| a.name.cmp(&b.name);
     if list.is_sorted_by(|a, b| by_id(a, b).is_le()) {
         return;
     }
     let Some(first) = list.first().map(|e| e.name.clone()) else { return };
-    let shared = |a: &str, b: &str| a.bytes().zip(b.bytes()).take_while(|(a, b)| a == b).count();
-    let common = list.iter().map(|e| shared(first.as_str(), e.name.as_str())).min().unwrap_or(0);
+    let shared_prefix = |a: &str, b: &str| a.bytes().zip(b.bytes()).take_while(|(a, b)| a == b).count();
+    let common = list.iter().map(|e| shared_prefix(first.as_str(), e.name.as_str())).min().unwrap_or(0);
     let key = |e: &Endpoint| {
         let mut key = [0; 8];
         let rest = &e.name.as_str().as_bytes()[common..];
@@ -84,7 +85,7 @@
     list.sort_by(by_id);
 }
 
-/// Splits a delta into what can be used and what is wrong.
+/// Splits a delta into its valid part and its invalid inputs.
 pub(super) fn validate_delta(delta: ClusterDelta) -> ValidDelta {
     let ClusterDelta { settings, upserts, removals, .. } = delta;
     let mut valid = ValidDelta { endpoints: BTreeMap::new(), settings: None, invalid_inputs: Vec::new() };
@@ -104,7 +105,7 @@
     }
     for name in duplicates {
         valid.endpoints.remove(&name);
-        valid.invalid_inputs.push(InvalidInput::of_endpoint(name, Invalid::IdTwice));
+        valid.invalid_inputs.push(InvalidInput::of_endpoint(name, Invalid::DuplicateEndpoint));
     }
     let invalid_inputs = &mut valid.invalid_inputs;
     valid.endpoints.retain(|name, change| {
--- a/crates/membership/src/catalog/mod.rs
+++ b/crates/membership/src/catalog/mod.rs
@@ -1,8 +1,9 @@
-//! The catalog: all clusters, and what its sources say of them. A state machine without I/O and without a clock.
+//! The catalog of all clusters and their sources: a state machine without I/O and without a clock.
 //!
-//! Owns the clusters, the sources' state and the timers. Whoever runs the sources calls [`Catalog::handle`] with each
-//! event. An update of a cluster is validated (`input_validation`, `validator`), applied or quarantined
-//! (`subscription`, `quarantine`), and completed: the smallest change to what serves is put out (`reconcile`).
+//! It owns the clusters, the state of the sources and the timers. The task that runs the sources calls
+//! [`Catalog::handle`] with each event. An update of a cluster is validated (`input_validation`,
+//! `validator`), applied or quarantined (`subscription`, `quarantine`), and reconciled: `reconcile` emits the
+//! smallest change that brings the cluster up to date.
 
 mod change_set;
 mod cluster;
@@ -38,11 +39,11 @@
 use update::{UpdateContext, UpdateEffects};
 pub use view::{ClusterView, QuarantineView, RejectionView, SourceView, SubscriptionView};
 
-/// All clusters, and what its sources say of them.
+/// All clusters as their sources report them.
 ///
-/// Memory: some 430 bytes for an endpoint of one source (`benches/catalog.rs` prints it), of which 300 are
-/// the endpoint and its names; a second source that lists the same adds as much once more; what is held costs
-/// the difference only.
+/// An endpoint of one source takes some 430 bytes (`benches/catalog.rs` prints the figure), of which 300 are
+/// the endpoint and its names. A second source that lists the same endpoint takes as much again. A
+/// quarantined change only takes memory for the difference.
 #[derive(Debug)]
 pub struct Catalog {
     policy: Policy,
@@ -53,11 +54,12 @@
 }
 
 impl Catalog {
-    /// A catalog without clusters. Of the sources, an earlier one takes precedence: where it has a cluster,
-    /// it alone gives it, and later ones can only add caution, confirm what is held, and stand by.
+    /// Creates a catalog without clusters. The sources are in order of precedence: the first source that
+    /// provides a cluster is its only owner. Later sources can only report its endpoints as not ready,
+    /// confirm quarantined changes, and take over if earlier sources remove the cluster.
     ///
     /// # Errors
-    /// The first figure of the policy that is out of its range.
+    /// Returns the first value of the policy that is out of range.
     pub fn new(policy: Policy, sources: impl IntoIterator<Item = SourceId>) -> Result<Catalog, BadPolicy> {
         policy.check()?;
         let source = |id| Source { id, silent: None, timer: None, last_rejection: None };
@@ -65,16 +67,16 @@
         Ok(Catalog { policy, sources, clusters: BTreeMap::new(), timers: Timers::default(), now: 0 })
     }
 
-    /// Takes in an event and puts out what follows. `now` is in nanoseconds of a monotonic clock of any
-    /// origin; a time before the last one counts as the last one.
+    /// Handles an event and appends the resulting outputs to `out`. `now` is in nanoseconds of a monotonic
+    /// clock with any origin. A time before that of the previous call is replaced by the previous one.
     ///
-    /// One endpoint's change costs O(log n) of the cluster's size, a whole list a comparison with the last
-    /// one.
+    /// A change of one endpoint takes O(log n) of the cluster's size. A whole list is compared with the
+    /// previous one.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         self.run_due_timers(out);
         self.on_event(event, out);
-        // What the event asked for may be due at once.
+        // Timers set by the event may be due at once.
         self.run_due_timers(out);
     }
 
@@ -103,27 +105,27 @@
         }
     }
 
-    /// When [`Event::Tick`] is wanted next. Ask again after each event.
+    /// Returns when [`Event::Tick`] is due next. Each event may change it.
     pub fn deadline(&self) -> Option<Nanos> {
-        self.timers.first()
+        self.timers.next_deadline()
     }
 
-    /// The clusters that serve, by name.
+    /// Iterates over the clusters in service, ordered by name.
     pub fn clusters(&self) -> impl Iterator<Item = Served<'_>> {
         self.clusters.values().filter_map(|state| self.served(state))
     }
 
-    /// A cluster that serves.
+    /// Returns a cluster that is in service.
     pub fn cluster(&self, name: &ClusterName) -> Option<Served<'_>> {
         self.served(self.clusters.get(name)?)
     }
 
-    /// All that operators want to see of each cluster that any source has named, by name.
+    /// Returns the operators' view of each cluster that any source has named, ordered by name.
     pub fn view(&self) -> Vec<ClusterView> {
         self.clusters.values().map(|state| ClusterView::of(state, &self.sources, self.now)).collect()
     }
 
-    /// All that operators want to see of each source, in the order of precedence.
+    /// Returns the operators' view of each source, in order of precedence.
     pub fn sources(&self) -> Vec<SourceView> {
         self.sources.iter().map(|source| SourceView::of(source, self.now)).collect()
     }
@@ -141,18 +143,18 @@
         })
     }
 
-    /// Applies an update to a cluster and completes it. A cluster that no source lists any more is dropped.
+    /// Applies an update to a cluster and completes it. A cluster that no source lists any longer is dropped.
     fn update_cluster(
         &mut self,
         name: &ClusterName,
         by: Rank,
         out: &mut Vec<Output>,
-        act: impl FnOnce(&mut ClusterState, &mut UpdateContext) -> UpdateEffects,
+        update: impl FnOnce(&mut ClusterState, &mut UpdateContext) -> UpdateEffects,
     ) {
         let Catalog { policy, sources, clusters, timers, now } = self;
         let Some(state) = clusters.get_mut(name) else { return };
         let mut context = UpdateContext { now: *now, policy, sources, timers, out };
-        let effects = act(state, &mut context);
+        let effects = update(state, &mut context);
         state.complete_update(&mut context, by, effects);
         if state.is_vacant() {
             clusters.remove(name);
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Takes in whole clusters, each on its own, and tells which were named.
+    /// Applies complete clusters one by one. Returns the names of all clusters in the update, valid or not.
     fn apply_lists(
         &mut self,
         rank: Rank,
@@ -204,27 +206,27 @@
         clusters: Vec<Cluster>,
         out: &mut Vec<Output>,
     ) -> BTreeSet<ClusterName> {
-        let (mut named, mut twice) = (BTreeSet::new(), BTreeSet::new());
+        let (mut named, mut duplicates) = (BTreeSet::new(), BTreeSet::new());
         for cluster in &clusters {
             if !named.insert(cluster.name.clone()) {
-                twice.insert(cluster.name.clone());
+                duplicates.insert(cluster.name.clone());
             }
         }
         for Cluster { name, endpoints, settings } in clusters {
-            if !twice.contains(&name) && self.ensure_cluster(&name, rank, out) {
+            if !duplicates.contains(&name) && self.ensure_cluster(&name, rank, out) {
                 let snapshot = ClusterSnapshot { endpoints, settings };
                 self.update_cluster(&name, rank, out, |state, context| {
                     state.apply_snapshot(context, rank, version, snapshot)
                 });
             }
         }
-        for name in twice {
-            self.reject(rank, name, Invalid::ClusterTwice, out);
+        for name in duplicates {
+            self.reject(rank, name, Invalid::DuplicateCluster, out);
         }
         named
     }
 
-    /// Makes room for a cluster. False if it cannot be had.
+    /// Adds a cluster if it is unknown. Returns `false` if it is rejected.
     fn ensure_cluster(&mut self, name: &ClusterName, rank: Rank, out: &mut Vec<Output>) -> bool {
         if self.clusters.contains_key(name) {
             return true;
@@ -242,27 +244,27 @@
         false
     }
 
-    /// Rejects something about a cluster as a whole.
+    /// Rejects an input that concerns a cluster as a whole.
     fn reject(&mut self, rank: Rank, cluster: ClusterName, reason: Invalid, out: &mut Vec<Output>) {
         let source = &mut self.sources[rank];
         let (id, now) = (source.id.clone(), self.now);
         let rejection = Rejection { source: id, cluster: Some(cluster.clone()), endpoint: None, reason };
         let subscription =
             self.clusters.get_mut(&cluster).and_then(|state| state.subscriptions.get_mut(&rank));
-        let place =
+        let last_rejection =
             subscription.map_or(&mut source.last_rejection, |subscription| &mut subscription.last_rejection);
-        *place = Some((now, rejection.clone()));
+        *last_rejection = Some((now, rejection.clone()));
         out.push(Output::Rejected(rejection));
     }
 
     fn confirm(&mut self, rank: Rank, cluster: ClusterName, out: &mut Vec<Output>) {
-        let mut is_held = false;
+        let mut is_confirmed = false;
         self.update_cluster(&cluster, rank, out, |state, _| {
             let mut effects = UpdateEffects::default();
-            is_held = state.confirm(rank, &mut effects);
+            is_confirmed = state.confirm(rank, &mut effects);
             effects
         });
-        if !is_held {
+        if !is_confirmed {
             self.reject(rank, cluster, Invalid::NothingQuarantined, out);
         }
     }
@@ -273,13 +275,13 @@
         silent.silence = silence;
         if !silent.is_stale {
             let at = silent.since.saturating_add(self.policy.aged_after.as_nanos() as Nanos);
-            self.timers.set(&mut source.timer, Some(at), || Timer::Age(rank));
+            self.timers.set(&mut source.timer, Some(at), || Timer::MarkStale(rank));
         }
     }
 
     fn mark_reconnected(&mut self, rank: Rank, out: &mut Vec<Output>) {
         let source = &mut self.sources[rank];
-        self.timers.set(&mut source.timer, None, || Timer::Age(rank));
+        self.timers.set(&mut source.timer, None, || Timer::MarkStale(rank));
         if source.silent.take().is_some_and(|silent| silent.is_stale) {
             self.report_staleness(out);
         }
@@ -291,11 +293,11 @@
         clusters.values_mut().for_each(|state| state.report_staleness(&mut context));
     }
 
-    /// Does what is due.
+    /// Handles all timers that are due.
     fn run_due_timers(&mut self, out: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop(self.now) {
             match timer {
-                Timer::Age(rank) => {
+                Timer::MarkStale(rank) => {
                     let source = &mut self.sources[rank];
                     source.timer = None;
                     source.silent.iter_mut().for_each(|silent| silent.is_stale = true);
@@ -325,7 +327,7 @@
         let Catalog { policy, sources, clusters, timers, now } = self;
         let Some(state) = clusters.get_mut(cluster) else { return };
         state.forget_at = None;
-        state.service.iter_mut().for_each(|service| service.forget(*now, policy));
+        state.service.iter_mut().for_each(|service| service.expire_removed(*now, policy));
         state.schedule_timers(&mut UpdateContext {
             now: *now,
             policy,
@@ -336,16 +338,16 @@
     }
 }
 
-/// One update for each cluster.
+/// Merges the updates into one update for each cluster.
 ///
-/// Danger: many updates of one endpoint each, judged one by one, would be many single endpoints that leave.
+/// Validated one by one, many updates that each remove a single endpoint would not be suspicious.
 fn merge_by_cluster(updates: Vec<ClusterDelta>) -> Vec<ClusterDelta> {
     let mut merged: BTreeMap<ClusterName, ClusterDelta> = BTreeMap::new();
     for update in updates {
         match merged.entry(update.cluster.clone()) {
-            Entry::Vacant(place) => _ = place.insert(update),
-            Entry::Occupied(mut place) => {
-                let all = place.get_mut();
+            Entry::Vacant(entry) => _ = entry.insert(update),
+            Entry::Occupied(mut entry) => {
+                let all = entry.get_mut();
                 all.settings = update.settings.or(all.settings);
                 all.upserts.extend(update.upserts);
                 all.removals.extend(update.removals);
@@ -355,29 +357,29 @@
     merged.into_values().collect()
 }
 
-/// A cluster as it serves.
+/// A cluster that is in service.
 #[derive(Clone, Copy, Debug)]
 pub struct Served<'a> {
     /// Its name.
     pub name: &'a ClusterName,
-    /// Which source gives it.
+    /// The source that provides it.
     pub source: &'a SourceId,
-    /// The version of that source.
+    /// The version of the source's last accepted update.
     pub version: &'a Version,
-    /// Limits that come with it.
+    /// The limits that the source sets for it.
     pub settings: &'a ClusterSettings,
-    /// Its source has been silent for too long.
+    /// Whether its source has been silent for longer than the policy allows.
     pub is_stale: bool,
     endpoints: &'a BTreeMap<EndpointName, Arc<Endpoint>>,
 }
 
 impl<'a> Served<'a> {
-    /// Its endpoints, by id.
+    /// Iterates over its endpoints, ordered by id.
     pub fn endpoints(&self) -> impl ExactSizeIterator<Item = &'a Arc<Endpoint>> + use<'a> {
         self.endpoints.values()
     }
 
-    /// One of its endpoints.
+    /// Returns one of its endpoints.
     pub fn endpoint(&self, name: &EndpointName) -> Option<&'a Arc<Endpoint>> {
         self.endpoints.get(name)
     }
--- a/crates/membership/src/catalog/quarantine.rs
+++ b/crates/membership/src/catalog/quarantine.rs
@@ -1,7 +1,7 @@
-//! The quarantine of suspicious changes: how a change comes into it, and the ways in which it is released.
+//! The quarantine of suspicious changes: how changes enter it and how they are released.
 //!
-//! Extends [`Subscription`] and [`ClusterState`]; the catalog and `reconcile` call it. What is suspicious, the
-//! validator decides.
+//! Extends [`Subscription`] and [`ClusterState`]; the catalog and `reconcile` call it. The validator decides
+//! which changes are suspicious.
 
 use super::change_set::ChangeSet;
 use super::cluster::ClusterState;
@@ -18,7 +18,7 @@
 use std::mem::discriminant;
 
 impl Subscription {
-    /// Quarantines a whole list in the place of what was quarantined before.
+    /// Quarantines a whole list, which replaces the previous quarantine.
     pub(super) fn quarantine_list(
         &mut self,
         list: SuspiciousList,
@@ -30,15 +30,15 @@
         report.mark(&mut changes);
         self.quarantine = Some(Quarantine {
             changes,
-            whole: Some(settings),
+            list_settings: Some(settings),
             anomalies: report.anomalies,
-            against: owner.filter(|_| self.accepted.is_none()),
+            displaced_owner: owner.filter(|_| self.accepted.is_none()),
             is_new: true,
-            ..Quarantine::begin(previous, version, context)
+            ..Quarantine::start(previous, version, context)
         });
     }
 
-    /// Quarantines changes of a delta beside what is quarantined already.
+    /// Adds changes of a delta to the quarantine.
     pub(super) fn quarantine_changes(
         &mut self,
         suspicious: ChangeSet,
@@ -48,14 +48,14 @@
         effects: &mut UpdateEffects,
     ) {
         effects.touch_not_ready(&suspicious);
-        let quarantine = self.quarantine.get_or_insert_with(|| Quarantine::begin(None, version, context));
+        let quarantine = self.quarantine.get_or_insert_with(|| Quarantine::start(None, version, context));
         quarantine.changes.merge(suspicious);
         let is_other = |old: &Anomaly| !anomalies.iter().any(|new| discriminant(old) == discriminant(new));
         quarantine.anomalies.retain(is_other);
         quarantine.anomalies.extend(anomalies);
     }
 
-    /// What is said now of endpoints takes the place of what was quarantined of them.
+    /// Drops the quarantined changes of the named endpoints, since newer reports replace them.
     pub(super) fn supersede(
         &mut self,
         named: Vec<EndpointName>,
@@ -65,7 +65,7 @@
     ) {
         if let Some(quarantine) = &mut self.quarantine {
             quarantine.version = version.clone();
-            quarantine.whole = quarantine.whole.map(|old| settings.unwrap_or(old));
+            quarantine.list_settings = quarantine.list_settings.map(|old| settings.unwrap_or(old));
             quarantine.changes.remove_all(&named);
             effects.touched.extend(named);
         }
@@ -73,30 +73,31 @@
 }
 
 impl Quarantine {
-    /// The time of a quarantine runs from when its source first said something suspicious, whatever it has said
-    /// since. Danger: if each other version began it anew, a cluster that changes all the time would never
-    /// get out.
-    fn begin(previous: Option<Quarantine>, version: &Version, context: &UpdateContext) -> Quarantine {
-        let next_refetch_at = context.now.saturating_add(context.policy.asking().as_nanos() as Nanos);
+    /// Creates a quarantine. Its period starts with the first suspicious update of the source, regardless of
+    /// later updates: if each new version restarted the period, a cluster that changes constantly would never
+    /// be released.
+    fn start(previous: Option<Quarantine>, version: &Version, context: &UpdateContext) -> Quarantine {
+        let next_refetch_at =
+            context.now.saturating_add(context.policy.refetch_interval().as_nanos() as Nanos);
         let (since, refetch_at) = match previous {
             Some(previous) => (previous.since, previous.refetch_at),
             None => (context.now, next_refetch_at),
         };
         Quarantine {
             changes: ChangeSet::default(),
-            whole: None,
+            list_settings: None,
             version: version.clone(),
             anomalies: Vec::new(),
             since,
             refetch_at,
-            against: None,
+            displaced_owner: None,
             is_new: false,
         }
     }
 }
 
 impl ClusterState {
-    /// The explicit confirmation of what is quarantined of a source. False if nothing is.
+    /// Applies an explicit confirmation of a source's quarantined changes. Returns `false` if there are none.
     pub fn confirm(&mut self, rank: Rank, effects: &mut UpdateEffects) -> bool {
         let Some(subscription) = self.subscriptions.get_mut(&rank) else { return false };
         if subscription.missing.is_some() {
@@ -107,14 +108,14 @@
         self.release(rank, Cause::Confirmed(ConfirmationSource::ExplicitCommand), effects)
     }
 
-    /// A list of all clusters lacks this one. `anomaly` is what that is.
+    /// Handles a full snapshot that does not contain this cluster, and quarantines the removal as `anomaly`.
     pub fn mark_missing(&mut self, context: &UpdateContext, rank: Rank, anomaly: Anomaly) -> UpdateEffects {
         let Some(subscription) = self.subscriptions.get_mut(&rank) else { return UpdateEffects::default() };
-        let refetch_at = context.now.saturating_add(context.policy.asking().as_nanos() as Nanos);
+        let refetch_at = context.now.saturating_add(context.policy.refetch_interval().as_nanos() as Nanos);
         let (since, refetch_at) =
             subscription.missing.as_ref().map_or((context.now, refetch_at), |m| (m.since, m.refetch_at));
-        let is_over = context.now.saturating_sub(since) >= context.policy.hold.as_nanos() as Nanos;
-        if subscription.accepted.is_some() && (anomaly.needs_explicit_confirmation() || !is_over) {
+        let is_period_over = context.now.saturating_sub(since) >= context.policy.hold.as_nanos() as Nanos;
+        if subscription.accepted.is_some() && (anomaly.needs_explicit_confirmation() || !is_period_over) {
             subscription.missing = Some(MissingCluster { anomaly, since, refetch_at });
             return UpdateEffects::default();
         }
@@ -126,26 +127,28 @@
         effects
     }
 
-    /// Releases what is quarantined and no longer suspicious: for an address is free again, another endpoint has
-    /// come, the source that it stood against is gone, or another source lists the same.
+    /// Releases quarantined changes that are no longer suspicious because an address is free again, another
+    /// endpoint was added, the owner that a first list would displace has changed, or another source lists
+    /// the same endpoints.
     pub(super) fn release_resolved(&mut self, context: &UpdateContext, effects: &mut UpdateEffects) {
         loop {
-            let held =
+            let quarantined =
                 self.subscriptions.iter().filter(|(_, subscription)| subscription.quarantine.is_some());
-            let ranks: Vec<Rank> = held.map(|(rank, _)| *rank).collect();
+            let ranks: Vec<Rank> = quarantined.map(|(rank, _)| *rank).collect();
             let mut is_any_released = false;
             for rank in ranks {
                 is_any_released |=
                     self.release_agreed(context, rank, effects) || self.recheck(context, rank, effects);
             }
-            // What is released may be what another quarantine waited for. Each round ends one or shrinks it.
+            // A release may resolve another quarantine. The loop ends, since each round ends or shrinks a
+            // quarantine.
             if !is_any_released {
                 return;
             }
         }
     }
 
-    /// Releases what another source lists too. Whether something was released.
+    /// Releases a quarantined list that another source lists too. Returns whether it was released.
     fn release_agreed(&mut self, context: &UpdateContext, rank: Rank, effects: &mut UpdateEffects) -> bool {
         let Some(subscription) = self.subscriptions.get(&rank) else { return false };
         if subscription.quarantine.as_ref().is_none_or(Quarantine::needs_explicit_confirmation) {
@@ -160,27 +163,29 @@
         self.release(rank, Cause::Confirmed(ConfirmationSource::SecondSource(other)), effects)
     }
 
-    /// Validates what is quarantined once more, and releases what is no longer suspicious. Whether something was.
+    /// Validates the quarantined changes again. Returns whether any were released.
     fn recheck(&mut self, context: &UpdateContext, rank: Rank, effects: &mut UpdateEffects) -> bool {
         let owner = self.owner();
-        let Some((subscription, other)) = self.subscription(rank) else { return false };
+        let Some((subscription, displaced)) = self.subscription(rank) else { return false };
         let Some(quarantine) = subscription.quarantine.as_ref().filter(|quarantine| !quarantine.is_new)
         else {
             return false;
         };
         if subscription.accepted.is_none() {
-            // A first list stands against the listing that it would displace, and waits as long as that is
-            // there.
-            if quarantine.against.is_none() || quarantine.against == owner {
+            // A first list was compared with the listing that it would displace, and waits until that
+            // changes.
+            if quarantine.displaced_owner.is_none() || quarantine.displaced_owner == owner {
                 return false;
             }
             let list =
                 quarantine.changes.iter().filter_map(|change| change.new.as_deref().cloned()).collect();
-            let changes = subscription.difference(list, other, context.now);
+            let changes = subscription.difference(list, displaced, context.now);
             let report = self.validate(context, rank, &changes, Occasion::Rechecked);
             return self.release_cleared(rank, changes, report, effects);
         }
-        if quarantine.whole.is_some() && quarantine.changes.iter().any(|change| change.awaits_confirmation) {
+        if quarantine.list_settings.is_some()
+            && quarantine.changes.iter().any(|change| change.awaits_confirmation)
+        {
             return false;
         }
         let report = self.validate(context, rank, &quarantine.changes, Occasion::Rechecked);
@@ -193,7 +198,7 @@
         self.release_cleared(rank, changes, report, effects)
     }
 
-    /// Applies what is clear now of quarantined changes; the rest is_staying.
+    /// Applies the quarantined changes that are no longer suspicious. Returns whether there were any.
     fn release_cleared(
         &mut self,
         rank: Rank,
@@ -204,8 +209,8 @@
         let owner = self.owner();
         let Some(subscription) = self.subscriptions.get_mut(&rank) else { return false };
         let Some(quarantine) = &mut subscription.quarantine else { return false };
-        quarantine.against = owner.filter(|_| subscription.accepted.is_none());
-        let is_staying: Vec<bool> = match quarantine.whole {
+        quarantine.displaced_owner = owner.filter(|_| subscription.accepted.is_none());
+        let stays_quarantined: Vec<bool> = match quarantine.list_settings {
             Some(_) => vec![!report.is_clear(); changes.len()],
             None => changes
                 .iter()
@@ -214,35 +219,35 @@
                 .collect(),
         };
         report.mark(&mut changes);
-        let is_resolved = !is_staying.contains(&true) && report.is_clear();
-        let (staying, passing) = changes.split(&is_staying);
+        let is_resolved = !stays_quarantined.contains(&true) && report.is_clear();
+        let (staying, cleared) = changes.split(&stays_quarantined);
         if is_resolved {
-            quarantine.changes = passing;
+            quarantine.changes = cleared;
             return self.release(rank, Cause::Resolved, effects);
         }
         if !report.is_clear() {
             quarantine.anomalies = report.anomalies;
         }
         quarantine.changes = staying;
-        if passing.is_empty() {
+        if cleared.is_empty() {
             return false;
         }
-        effects.touch_not_ready(&passing);
+        effects.touch_not_ready(&cleared);
         effects.released.entry(rank).or_insert(Cause::Resolved);
         let version = quarantine.version.clone();
-        subscription.apply(passing, None, &version, effects);
+        subscription.apply(cleared, None, &version, effects);
         true
     }
 
-    /// Applies all that is quarantined of a source. False if nothing is.
+    /// Applies all quarantined changes of a source. Returns `false` if there are none.
     fn release(&mut self, rank: Rank, cause: Cause, effects: &mut UpdateEffects) -> bool {
         let Some(subscription) = self.subscriptions.get_mut(&rank) else { return false };
         let Some(quarantine) = subscription.quarantine.take() else { return false };
         effects.touch_not_ready(&quarantine.changes);
-        if !quarantine.changes.is_empty() || quarantine.whole.is_some() {
+        if !quarantine.changes.is_empty() || quarantine.list_settings.is_some() {
             effects.released.entry(rank).or_insert(cause);
         }
-        subscription.apply(quarantine.changes, quarantine.whole, &quarantine.version, effects);
+        subscription.apply(quarantine.changes, quarantine.list_settings, &quarantine.version, effects);
         true
     }
 }
--- a/crates/membership/src/catalog/reconcile.rs
+++ b/crates/membership/src/catalog/reconcile.rs
@@ -1,4 +1,5 @@
-//! Completes an update: from what the sources say to what serves, and what is put out about it.
+//! Completes an update: brings the published state of a cluster in line with the sources' reports, and emits
+//! outputs.
 
 use super::cluster::ClusterState;
 use super::listing::Listing;
@@ -15,7 +16,7 @@
 use std::sync::Arc;
 
 impl ClusterState {
-    /// Completes an update that the source `by` began.
+    /// Completes an update by the source `by`.
     pub fn complete_update(&mut self, context: &mut UpdateContext, by: Rank, mut effects: UpdateEffects) {
         self.release_resolved(context, &mut effects);
         self.publish(context, by, &mut effects);
@@ -25,7 +26,7 @@
         self.subscriptions.retain(|_, subscription| !subscription.is_vacant());
     }
 
-    /// Brings what serves to what the sources say, by the smallest change.
+    /// Brings the published state up to date by the smallest change.
     fn publish(&mut self, context: &mut UpdateContext, by: Rank, effects: &mut UpdateEffects) {
         let cause = effects.released.values().next().cloned();
         let cause = cause.unwrap_or_else(|| Cause::Update { by: context.sources[by].id.clone() });
@@ -54,31 +55,32 @@
         service.settings = accepted.settings;
         let ServedDifference { removed, upserted } = difference;
         if is_taken_over || settings.is_some() || !removed.is_empty() || !upserted.is_empty() {
-            service.changed = context.now;
+            service.changed_at = context.now;
             let (cluster, version) = (self.name.clone(), accepted.version.clone());
             let change = Change { cluster, source, version, cause, settings, removed, upserted };
             context.out.push(Output::Changed(change));
         }
     }
 
-    /// No source gives the cluster any more.
+    /// Publishes that no source provides the cluster any longer.
     fn publish_removal(&mut self, context: &mut UpdateContext, cause: Cause) {
-        // What left is forgotten too: the same name later is another cluster.
+        // This also drops the recently removed endpoints: a later cluster of the same name is a different
+        // one.
         let Some(removed) = self.service.take() else { return };
         let source = context.sources[removed.owner].id.clone();
         context.out.push(Output::Removed(Removed { cluster: self.name.clone(), source, cause }));
     }
 
-    /// Puts out what is quarantined, where that has become something else.
+    /// Emits an output for each quarantine whose kinds of anomalies have changed.
     fn report_quarantines(&mut self, context: &mut UpdateContext, effects: &UpdateEffects) {
         let kinds = |s: &[Anomaly]| s.iter().map(discriminant).collect::<Vec<Discriminant<Anomaly>>>();
         for (rank, subscription) in &mut self.subscriptions {
-            let held = subscription.quarantine.iter_mut().flat_map(|quarantine| {
+            let quarantined = subscription.quarantine.iter_mut().flat_map(|quarantine| {
                 quarantine.is_new = false;
                 quarantine.anomalies.iter().cloned()
             });
             let missing = subscription.missing.iter().map(|missing| missing.anomaly.clone());
-            let anomalies: Vec<Anomaly> = held.chain(missing).collect();
+            let anomalies: Vec<Anomaly> = quarantined.chain(missing).collect();
             let is_new = kinds(&anomalies) != kinds(&subscription.last_reported);
             subscription.last_reported = anomalies.clone();
             if !is_new {
@@ -93,17 +95,17 @@
         }
     }
 
-    /// Puts out whether the cluster is stale, where that has changed.
+    /// Emits an output if the cluster has become stale, or is no longer stale.
     pub fn report_staleness(&mut self, context: &mut UpdateContext) {
         let Some(service) = &mut self.service else { return };
         let owner = &context.sources[service.owner];
-        let is_stale = owner.silent.as_ref().filter(|silent| silent.is_stale);
-        if service.is_stale == is_stale.is_some() {
+        let stale = owner.silent.as_ref().filter(|silent| silent.is_stale);
+        if service.is_stale == stale.is_some() {
             return;
         }
-        service.is_stale = is_stale.is_some();
+        service.is_stale = stale.is_some();
         let (cluster, source) = (self.name.clone(), owner.id.clone());
-        context.out.push(match is_stale {
+        context.out.push(match stale {
             Some(silent) => Output::Stale(Stale { cluster, source, since: silent.since }),
             None => Output::Recovered { cluster, source },
         });
@@ -116,12 +118,12 @@
                 .timers
                 .set(&mut subscription.timer, refetch_at, || Timer::Refetch(self.name.clone(), *rank));
         }
-        let forget_at = self.service.as_ref().and_then(|service| service.next_forget_at(context.policy));
+        let forget_at = self.service.as_ref().and_then(|service| service.next_expiry_at(context.policy));
         context.timers.set(&mut self.forget_at, forget_at, || Timer::Forget(self.name.clone()));
     }
 }
 
-/// Puts all listed endpoints into a service that has none yet.
+/// Adds all listed endpoints to a service that has none yet.
 fn serve_all(service: &mut Service, listing: &Listing, overlay: StateOverlay) -> ServedDifference {
     let endpoints = listing.iter().map(|(name, listed)| (name.clone(), effective(overlay, listed)));
     service.endpoints = endpoints.collect();
@@ -129,7 +131,7 @@
     ServedDifference { removed: Vec::new(), upserted: service.endpoints.values().map(upserted).collect() }
 }
 
-/// Brings the touched endpoints of a service up to date.
+/// Updates the touched endpoints of a service.
 fn serve_touched(
     service: &mut Service,
     listing: &Listing,
@@ -147,13 +149,13 @@
     difference
 }
 
-/// The endpoints that serve or are listed.
+/// Returns the names of all endpoints that are in service or listed.
 fn all_names(service: &Service, listing: &Listing) -> Vec<EndpointName> {
     let listed = listing.iter().map(|(name, _)| name);
     service.endpoints.keys().chain(listed).cloned().collect()
 }
 
-/// An endpoint as it serves: as the owner lists it, in the most cautious state that any source says it is in.
+/// Returns an endpoint as the owner lists it, but in the most cautious state that any source reports.
 fn effective(overlay: StateOverlay, own: &Arc<Endpoint>) -> Arc<Endpoint> {
     let state = overlay.state(own);
     if state == own.state { own.clone() } else { Arc::new(Endpoint { state, ..Endpoint::clone(own) }) }
--- a/crates/membership/src/catalog/service.rs
+++ b/crates/membership/src/catalog/service.rs
@@ -1,5 +1,5 @@
-//! What serves of one cluster, as it was put out, and the smallest change from there to what is to serve.
-//! `reconcile` brings it up to date; it knows nothing of sources.
+//! The published state of one cluster, and the smallest change that brings it up to date. `reconcile` updates
+//! it; it knows nothing about the sources' reports.
 
 use super::source::Rank;
 use crate::endpoint::{ClusterSettings, Endpoint};
@@ -10,30 +10,30 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// What has been put out of one cluster.
+/// The state of one cluster as published by the catalog's outputs.
 #[derive(Debug)]
 pub(super) struct Service {
     pub owner: Rank,
     pub endpoints: BTreeMap<EndpointName, Arc<Endpoint>>,
     pub settings: ClusterSettings,
     pub is_stale: bool,
-    /// When something last changed in it.
-    pub changed: Nanos,
+    /// When the published state last changed.
+    pub changed_at: Nanos,
     recently_removed: RecentlyRemoved,
 }
 
-/// What differs from what was put out before.
+/// The difference from the previously published state.
 #[derive(Debug, Default)]
 pub(super) struct ServedDifference {
     pub removed: Vec<EndpointName>,
     pub upserted: Vec<Upserted>,
 }
 
-/// What left a moment ago, so that it is known again.
+/// The endpoints that were removed within the return window, so that they are recognized when they come back.
 #[derive(Debug, Default)]
 struct RecentlyRemoved {
     endpoints: BTreeMap<EndpointName, (Nanos, Arc<Endpoint>)>,
-    /// In the order of leaving. Holds outdated entries of endpoints that came back.
+    /// In order of removal. Contains outdated entries of endpoints that have returned.
     order: VecDeque<(Nanos, EndpointName)>,
 }
 
@@ -44,12 +44,12 @@
             endpoints: BTreeMap::new(),
             settings,
             is_stale: false,
-            changed: now,
+            changed_at: now,
             recently_removed: RecentlyRemoved::default(),
         }
     }
 
-    /// Puts an endpoint as it is to be in the place of what was there, and notes the difference.
+    /// Replaces an endpoint with its target state, or removes it, and records the difference.
     pub fn set(
         &mut self,
         name: EndpointName,
@@ -62,7 +62,7 @@
             (None, None) => {}
             (Some(_), None) => {
                 if let Some(last) = self.endpoints.remove(&name) {
-                    self.recently_removed.leave(last, now, policy);
+                    self.recently_removed.insert(last, now, policy);
                 }
                 difference.removed.push(name);
             }
@@ -70,7 +70,7 @@
             (old, Some(new)) => {
                 let arrival = match old {
                     Some(old) => arrival(old, &new).unwrap_or(Arrival::Changed),
-                    None => self.recently_removed.arrive(&new, now, policy),
+                    None => self.recently_removed.take_arrival(&new, now, policy),
                 };
                 self.endpoints.insert(name, new.clone());
                 difference.upserted.push(Upserted { endpoint: new, arrival });
@@ -78,19 +78,20 @@
         }
     }
 
-    /// Forgets what has been away for too long.
-    pub fn forget(&mut self, now: Nanos, policy: &Policy) {
+    /// Forgets endpoints whose return window has ended.
+    pub fn expire_removed(&mut self, now: Nanos, policy: &Policy) {
         self.recently_removed.expire(now, policy);
     }
 
-    /// When something is next to be forgotten.
-    pub fn next_forget_at(&self, policy: &Policy) -> Option<Nanos> {
+    /// Returns when the next return window ends.
+    pub fn next_expiry_at(&self, policy: &Policy) -> Option<Nanos> {
         let (at, _) = self.recently_removed.order.front()?;
         Some(at.saturating_add(policy.returns_within.as_nanos() as Nanos).saturating_add(1))
     }
 }
 
-/// What an endpoint is to an earlier one of its id; none if the same process at the same address.
+/// Compares an endpoint with an earlier one of its id. Returns `None` for the same process at the same
+/// address.
 fn arrival(old: &Endpoint, new: &Endpoint) -> Option<Arrival> {
     if new.restarted_since(old) {
         return Some(Arrival::Restarted);
@@ -99,8 +100,9 @@
 }
 
 impl RecentlyRemoved {
-    fn leave(&mut self, endpoint: Arc<Endpoint>, now: Nanos, policy: &Policy) {
-        // Danger: without a limit a source that lists other endpoints in each update fills the memory.
+    fn insert(&mut self, endpoint: Arc<Endpoint>, now: Nanos, policy: &Policy) {
+        // Without this limit, a source that lists different endpoints in each update would exhaust the
+        // memory.
         if self.order.len() >= policy.max_endpoints {
             self.drop_first();
         }
@@ -108,26 +110,26 @@
         self.endpoints.insert(endpoint.name.clone(), (now, endpoint));
     }
 
-    fn arrive(&mut self, new: &Endpoint, now: Nanos, policy: &Policy) -> Arrival {
+    fn take_arrival(&mut self, new: &Endpoint, now: Nanos, policy: &Policy) -> Arrival {
         self.expire(now, policy);
         match self.endpoints.remove(&new.name) {
             None => Arrival::New,
-            Some((left, old)) => {
-                arrival(&old, new).unwrap_or(Arrival::Returned { away: now.saturating_sub(left) })
+            Some((removed_at, old)) => {
+                arrival(&old, new).unwrap_or(Arrival::Returned { away: now.saturating_sub(removed_at) })
             }
         }
     }
 
     fn expire(&mut self, now: Nanos, policy: &Policy) {
-        let within = policy.returns_within.as_nanos() as Nanos;
-        while self.order.front().is_some_and(|(left, _)| now.saturating_sub(*left) > within) {
+        let window = policy.returns_within.as_nanos() as Nanos;
+        while self.order.front().is_some_and(|(removed_at, _)| now.saturating_sub(*removed_at) > window) {
             self.drop_first();
         }
     }
 
     fn drop_first(&mut self) {
-        let Some((left, name)) = self.order.pop_front() else { return };
-        if self.endpoints.get(&name).is_some_and(|(at, _)| *at == left) {
+        let Some((removed_at, name)) = self.order.pop_front() else { return };
+        if self.endpoints.get(&name).is_some_and(|(at, _)| *at == removed_at) {
             self.endpoints.remove(&name);
         }
     }
--- a/crates/membership/src/catalog/source.rs
+++ b/crates/membership/src/catalog/source.rs
@@ -1,4 +1,4 @@
-//! The sources of the catalog as it knows them: their rank, silence and last rejection.
+//! The catalog's state of each source: its rank, silence and last rejection.
 
 use crate::event::Silence;
 use crate::names::SourceId;
@@ -13,17 +13,17 @@
 pub(super) struct Source {
     pub id: SourceId,
     pub silent: Option<Silent>,
-    /// When the catalog has asked to be woken for it.
+    /// When the timer is due that marks its clusters as stale, if it is set.
     pub timer: Option<Nanos>,
-    /// The last rejection that was about no cluster that is known.
+    /// The last rejection that does not concern a known cluster.
     pub last_rejection: Option<(Nanos, Rejection)>,
 }
 
-/// A source that is silent.
+/// The silence of a source.
 #[derive(Debug)]
 pub(super) struct Silent {
     pub since: Nanos,
     pub silence: Silence,
-    /// For long enough that its clusters are stale.
+    /// Whether the silence has lasted long enough for its clusters to be stale.
     pub is_stale: bool,
 }
--- a/crates/membership/src/catalog/subscription.rs
+++ b/crates/membership/src/catalog/subscription.rs
@@ -1,4 +1,4 @@
-//! What one source reports of one cluster: what has been accepted of it, and what is quarantined.
+//! The state of one cluster as one source reports it: its accepted content and its quarantined changes.
 
 use super::change_set::{ChangeSet, EndpointChange};
 use super::input_validation::InvalidInput;
@@ -16,20 +16,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What one source says of one cluster.
+/// One source's reports of one cluster.
 #[derive(Debug, Default)]
 pub(super) struct Subscription {
-    /// The last good content.
+    /// The last valid content that was applied.
     pub accepted: Option<AcceptedContent>,
     pub quarantine: Option<Quarantine>,
-    /// The cluster was missing from its list of all clusters.
+    /// Set if the cluster is missing from the source's last full snapshot.
     pub missing: Option<MissingCluster>,
-    /// When the source last spoke of this cluster.
+    /// When the source last sent an update of this cluster.
     pub last_update_at: Nanos,
     pub last_rejection: Option<(Nanos, Rejection)>,
-    /// The anomalies that were last put out.
+    /// The anomalies in the last output.
     pub last_reported: Vec<Anomaly>,
-    /// When the catalog has asked to be woken for it.
+    /// When the refetch timer is due, if it is set.
     pub timer: Option<Nanos>,
 }
 
@@ -41,21 +41,21 @@
     pub version: Version,
 }
 
-/// A change that is quarantined. It has only the differences, so that a quarantine costs as much memory as
-/// the difference.
+/// A quarantined change. Only differences are stored, so its memory is proportional to the size of the
+/// change.
 #[derive(Debug)]
 pub(super) struct Quarantine {
     pub changes: ChangeSet,
-    /// The items are a whole list: they pass together, with these limits.
-    pub whole: Option<ClusterSettings>,
+    /// Set if the changes stem from a whole list: they are released together, with these limits.
+    pub list_settings: Option<ClusterSettings>,
     pub version: Version,
     pub anomalies: Vec<Anomaly>,
     pub since: Nanos,
-    /// When its source is to be asked again; before, no repetition confirms.
+    /// When its source is to be asked again. Earlier repetition does not confirm the change.
     pub refetch_at: Nanos,
-    /// For a first list: whose listing it would displace.
-    pub against: Option<Rank>,
-    /// Made by the event at hand: no need to look at it again.
+    /// For a first list: the current owner of the cluster, whose listing it would displace.
+    pub displaced_owner: Option<Rank>,
+    /// Created by the current event, so that it needs no recheck.
     pub is_new: bool,
 }
 
@@ -65,22 +65,22 @@
     pub report: ValidationReport,
     pub settings: ClusterSettings,
     pub version: &'a Version,
-    /// What was quarantined of its source before.
+    /// The previous quarantine of the source, which the list replaces.
     pub previous: Option<Quarantine>,
-    /// Which source gives the cluster meanwhile.
+    /// The source that currently provides the cluster.
     pub owner: Option<Rank>,
 }
 
-/// What a delta changes in the accepted content.
+/// The changes of a delta to the accepted content.
 pub(super) struct DeltaChanges {
     pub changes: ChangeSet,
-    /// All endpoints that it names, changed or not.
+    /// All endpoints that the delta names, changed or not.
     pub named: Vec<EndpointName>,
     /// The endpoints beyond the limit.
     pub too_many: Vec<InvalidInput>,
 }
 
-/// A cluster that is missing from the list of all clusters.
+/// The record of a cluster that is missing from a full snapshot.
 #[derive(Clone, Debug)]
 pub(super) struct MissingCluster {
     pub anomaly: Anomaly,
@@ -99,20 +99,20 @@
         self.accepted.as_ref().map(|accepted| &accepted.listing)
     }
 
-    /// Whether it says anything: neither accepted nor quarantined nor rejected content.
+    /// Returns whether it has neither accepted nor quarantined nor rejected content.
     pub fn is_vacant(&self) -> bool {
         self.accepted.is_none() && self.quarantine.is_none() && self.last_rejection.is_none()
     }
 
-    /// When its source is next to be asked again.
+    /// Returns when its source is to be asked again.
     pub fn refetch_at(&self) -> Option<Nanos> {
         let quarantine = self.quarantine.as_ref().map(|quarantine| quarantine.refetch_at);
         quarantine.into_iter().chain(self.missing.as_ref().map(|missing| missing.refetch_at)).min()
     }
 
-    /// Puts off what was due until the next time to ask.
+    /// Postpones the due refetches by one interval.
     pub fn postpone_refetch(&mut self, now: Nanos, policy: &Policy) {
-        let next = now.saturating_add(policy.asking().as_nanos() as Nanos);
+        let next = now.saturating_add(policy.refetch_interval().as_nanos() as Nanos);
         let of_quarantine = self.quarantine.iter_mut().map(|quarantine| &mut quarantine.refetch_at);
         let of_missing = self.missing.iter_mut().map(|missing| &mut missing.refetch_at);
         for refetch_at in of_quarantine.chain(of_missing).filter(|refetch_at| **refetch_at <= now) {
@@ -120,8 +120,8 @@
         }
     }
 
-    /// One part of a change that is said now. A claim that is held keeps its time, as long as it stays the
-    /// same in what can be doubted: that the endpoint leaves, or where it is.
+    /// Creates the change of one endpoint that is reported now. A quarantined change of the endpoint keeps
+    /// its time as long as its suspicious part is the same: the removal of the endpoint, or its address.
     fn change(
         &self,
         name: EndpointName,
@@ -129,9 +129,9 @@
         new: Option<Endpoint>,
         now: Nanos,
     ) -> EndpointChange {
-        let held = self.quarantine.as_ref().and_then(|quarantine| quarantine.changes.get(&name));
-        let same =
-            held.filter(|change| change.new.as_ref().map(|e| e.address) == new.as_ref().map(|e| e.address));
+        let quarantined = self.quarantine.as_ref().and_then(|quarantine| quarantine.changes.get(&name));
+        let same = quarantined
+            .filter(|change| change.new.as_ref().map(|e| e.address) == new.as_ref().map(|e| e.address));
         let since = same.map_or(now, |change| change.since);
         let is_not_ready = new.as_ref().is_some_and(|e| e.state != State::Ready);
         EndpointChange {
@@ -144,40 +144,42 @@
         }
     }
 
-    /// The change that leads from the accepted content to a whole list, which is sorted by id. In a first
-    /// list all is new, and it also names whom it would displace of another source's, so that it is known
-    /// since when.
+    /// Returns the changes from the accepted content to a whole list, which is sorted by id. For a first
+    /// list, all endpoints are new, and the changes also include the removals of another source's endpoints
+    /// that the list would displace, in order to record their time.
     pub fn difference(&self, list: Vec<Endpoint>, other: Option<&Listing>, now: Nanos) -> ChangeSet {
-        let mut olds = self.accepted_listing().or(other).into_iter().flat_map(Listing::iter).peekable();
+        let mut old_endpoints =
+            self.accepted_listing().or(other).into_iter().flat_map(Listing::iter).peekable();
         let is_known = self.accepted.is_some();
         let mut changes = Vec::with_capacity(if is_known { 0 } else { list.len() });
-        let leaves = |(name, old): (&EndpointName, _)| self.change(name.clone(), Some(old), None, now);
+        let removal = |(name, old): (&EndpointName, _)| self.change(name.clone(), Some(old), None, now);
         for new in list {
-            while let Some(old) = olds.next_if(|(name, _)| **name < new.name) {
-                changes.push(leaves(old));
+            while let Some(old) = old_endpoints.next_if(|(name, _)| **name < new.name) {
+                changes.push(removal(old));
             }
-            let old = olds.next_if(|(name, _)| **name == new.name).map(|(_, old)| old);
+            let old = old_endpoints.next_if(|(name, _)| **name == new.name).map(|(_, old)| old);
             if !old.is_some_and(|old| is_known && **old == new) {
                 changes.push(self.change(new.name.clone(), old, Some(new), now));
             }
         }
-        changes.extend(olds.map(leaves));
+        changes.extend(old_endpoints.map(removal));
         ChangeSet::from_sorted(changes)
     }
 
-    /// The first list of a source that sends deltas only: what is quarantined of it so far, and what it reports now.
-    pub fn first_list(&self, parts: BTreeMap<EndpointName, Option<Endpoint>>) -> Vec<Endpoint> {
-        let held = self
+    /// Returns the first list of a source that only sends deltas: its quarantined endpoints, updated by the
+    /// new ones.
+    pub fn first_list(&self, endpoints: BTreeMap<EndpointName, Option<Endpoint>>) -> Vec<Endpoint> {
+        let quarantined = self
             .quarantine
             .iter()
             .flat_map(|quarantine| quarantine.changes.iter())
             .filter_map(|change| change.new.as_deref());
-        let mut list: BTreeMap<_, _> = held.map(|e| (e.name.clone(), Some(e.clone()))).collect();
-        list.extend(parts);
+        let mut list: BTreeMap<_, _> = quarantined.map(|e| (e.name.clone(), Some(e.clone()))).collect();
+        list.extend(endpoints);
         list.into_values().flatten().collect()
     }
 
-    /// What the endpoints of a delta change in the accepted content.
+    /// Returns the changes of a delta's endpoints to the accepted content.
     pub fn delta_changes(
         &self,
         endpoints: BTreeMap<EndpointName, Option<Endpoint>>,
@@ -205,7 +207,7 @@
         DeltaChanges { changes: ChangeSet::from_sorted(changes), named, too_many }
     }
 
-    /// Takes a change into the accepted content, and notes what it touches.
+    /// Applies changes to the accepted content, and records the touched endpoints.
     pub fn apply(
         &mut self,
         changes: ChangeSet,
@@ -231,7 +233,8 @@
         accepted.settings = settings.unwrap_or(accepted.settings);
     }
 
-    /// Whether another source lists exactly what this one would, held changes included.
+    /// Returns whether another source lists exactly the same endpoints as this one, quarantined changes
+    /// included.
     pub fn agrees_with(&self, other: &Listing) -> bool {
         let Some(quarantine) = &self.quarantine else { return false };
         let listed = self.accepted_listing().map_or(0, |own| own.counts().listed);
--- a/crates/membership/src/catalog/timers.rs
+++ b/crates/membership/src/catalog/timers.rs
@@ -1,27 +1,27 @@
-//! When the catalog wants to be woken, and for what.
+//! The timers of the catalog. They hold deadlines only; the caller of the catalog waits for them.
 
 use super::source::Rank;
 use crate::names::ClusterName;
 use olivecart_decisions::Nanos;
 use std::collections::BTreeSet;
 
-/// What a wake-up is for.
+/// The action of a timer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A source is to be asked again about a cluster.
+    /// Ask a source for a cluster again.
     Refetch(ClusterName, Rank),
-    /// Endpoints of a cluster have been away for long enough to be forgotten.
+    /// Forget removed endpoints of a cluster whose return window has ended.
     Forget(ClusterName),
-    /// A source has been silent for long enough to age its clusters.
-    Age(Rank),
+    /// Mark the clusters of a silent source as stale.
+    MarkStale(Rank),
 }
 
-/// All wake-ups that are wanted, by time.
+/// All timers that are set, ordered by deadline.
 #[derive(Debug, Default)]
 pub(super) struct Timers(BTreeSet<(Nanos, Timer)>);
 
 impl Timers {
-    /// Moves a wake-up from where it was to where it shall be.
+    /// Moves a timer from its scheduled deadline to the target; `None` stands for a timer that is not set.
     pub fn set(&mut self, scheduled: &mut Option<Nanos>, target: Option<Nanos>, timer: impl Fn() -> Timer) {
         if *scheduled == target {
             return;
@@ -32,13 +32,13 @@
         self.0.extend(target.map(|at| (at, timer())));
     }
 
-    pub fn first(&self) -> Option<Nanos> {
+    pub fn next_deadline(&self) -> Option<Nanos> {
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// The next one that is due.
+    /// Removes and returns the next timer that is due.
     pub fn pop(&mut self, now: Nanos) -> Option<Timer> {
-        if self.first()? > now {
+        if self.next_deadline()? > now {
             return None;
         }
         self.0.pop_first().map(|(_, timer)| timer)
--- a/crates/membership/src/catalog/update.rs
+++ b/crates/membership/src/catalog/update.rs
@@ -1,5 +1,5 @@
-//! What passes between the catalog and a cluster while one update is applied: the context that it runs in, and what
-//! it has done.
+//! The context in which an update of a cluster is applied, and the effects of the update. The catalog passes
+//! the context to the cluster's state and completes the update from the effects.
 
 use super::change_set::ChangeSet;
 use super::source::{Rank, Source};
@@ -10,7 +10,7 @@
 use olivecart_decisions::Nanos;
 use std::collections::BTreeMap;
 
-/// What an update of a cluster runs in.
+/// The parts of the catalog that an update of a cluster uses.
 pub(super) struct UpdateContext<'a> {
     pub now: Nanos,
     pub policy: &'a Policy,
@@ -19,18 +19,18 @@
     pub out: &'a mut Vec<Output>,
 }
 
-/// What an update has done to a cluster.
+/// The effects of an update on a cluster.
 #[derive(Debug, Default)]
 pub(super) struct UpdateEffects {
-    /// Endpoints that may serve differently.
+    /// Endpoints whose published state may have to change.
     pub touched: Vec<EndpointName>,
-    /// Whose quarantined changes were released, and why.
+    /// The sources whose quarantined changes were released, with the cause.
     pub released: BTreeMap<Rank, Cause>,
 }
 
 impl UpdateEffects {
-    /// Changes that came to be quarantined, or no longer are. Only what they say of an endpoint's not being
-    /// ready counts while they are.
+    /// Records endpoints whose changes enter or leave the quarantine. Of a quarantined change, only the
+    /// report that an endpoint is not ready takes effect.
     pub fn touch_not_ready(&mut self, changes: &ChangeSet) {
         self.touched.extend(changes.not_ready_names().cloned());
     }
--- a/crates/membership/src/catalog/validation_report.rs
+++ b/crates/membership/src/catalog/validation_report.rs
@@ -1,17 +1,17 @@
-//! What the validator finds about a change. The cluster's state and the quarantine act on it.
+//! The result of the validator. The cluster's state and the quarantine act on it.
 
 use super::change_set::ChangeSet;
 use crate::anomaly::Anomaly;
 
-/// What is suspicious.
+/// The suspicious parts of a change set.
 #[derive(Debug)]
 pub(super) struct ValidationReport {
-    /// Which items are, in their order.
+    /// Whether each change is suspicious, in the order of the changes.
     pub suspicious: Vec<bool>,
-    /// Which of them are one of many, in their order.
+    /// Whether each change is one of many and has to wait for a confirmation, in the order of the changes.
     pub awaits_confirmation: Vec<bool>,
     pub anomalies: Vec<Anomaly>,
-    /// Something passed only because it was said again.
+    /// Whether a change was accepted only because its source repeated it.
     pub confirmed_by_repetition: bool,
 }
 
@@ -20,13 +20,13 @@
         self.anomalies.is_empty()
     }
 
-    /// What is doubtful of a change, with its marks, and what passes.
+    /// Splits changes into the suspicious ones, which are marked, and the others.
     pub fn split(&self, mut changes: ChangeSet) -> (ChangeSet, ChangeSet) {
         self.mark(&mut changes);
         changes.split(&self.suspicious)
     }
 
-    /// Marks those that are one of many.
+    /// Marks the changes that have to wait for a confirmation.
     pub fn mark(&self, changes: &mut ChangeSet) {
         changes
             .iter_mut()
--- a/crates/membership/src/catalog/validator.rs
+++ b/crates/membership/src/catalog/validator.rs
@@ -1,16 +1,19 @@
-//! Validates a change as a whole: what is suspicious about it, and which of its parts are. A pure function of the
-//! [`Candidate`]; the cluster's state calls it for each change, and again while something is quarantined.
+//! Validates the changes of an update as a whole: finds anomalies and the changes that cause them. A pure
+//! function of the [`Candidate`]; the cluster's state calls it for each update, and again while changes are
+//! quarantined.
 //!
-//! Three kinds of reasons: nothing that takes requests would be left (only the source's explicit word lets that
-//! pass), many leave at once, and an endpoint is where it should not be (moved, or at an address that is taken).
-//! A part is confirmed, and no longer suspicious for the latter two, if its source reports it again after the hold.
+//! There are three kinds of anomalies: no endpoint that accepts requests would remain (only an explicit
+//! statement of the source or an operator releases such a change), many endpoints are removed in one update,
+//! and an address is implausible (the endpoint has moved, or the address is in use). For the latter two
+//! kinds, a change is confirmed if its source repeats it after the quarantine period.
 //!
-//! All is validated by what it does to service: a source's list against the one before it, or a first list of a
-//! source against the listing that it would take the place of. What others say of an endpoint's not being
-//! ready counts: an endpoint that the list calls ready and another source calls draining serves nobody.
+//! Changes are validated by their effect on service. A list is compared with the previous list of its source,
+//! and a first list with the listing that it would displace. Reports of other sources that an endpoint is not
+//! ready are taken into account: an endpoint that is ready in the list but draining by another source serves
+//! no requests.
 
 use super::change_set::{ChangeSet, EndpointChange};
-use super::listing::{EndpointCounts, Listing, ready_at};
+use super::listing::{EndpointCounts, Listing, ready_address};
 use super::state_overlay::StateOverlay;
 use super::validation_report::ValidationReport;
 use crate::anomaly::Anomaly;
@@ -22,32 +25,32 @@
 use std::hash::BuildHasher;
 use std::net::SocketAddr;
 
-/// Why a change is validated.
+/// The reason for a validation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Occasion {
-    /// Its source reports it now, which may confirm it.
+    /// The source reports the changes now, which may confirm them.
     Reported,
-    /// It was reported before, and something else has changed.
+    /// The changes were reported before, and something else has changed.
     Rechecked,
 }
 
-/// A change to be validated.
+/// The changes to be validated, with their context.
 pub(super) struct Candidate<'a> {
     pub policy: &'a Policy,
     pub now: Nanos,
-    /// What the items change. None if they are a whole list, the first of its source.
+    /// The listing to be changed. `None` if the changes are the first list of the source.
     pub current: Option<&'a Listing>,
-    /// What serves before a first list, and it would displace.
+    /// The listing that a first list would displace.
     pub displaced: Option<&'a Listing>,
     pub changes: &'a ChangeSet,
-    /// What else is said of the endpoints: one that serves by this list alone may not by all of them.
+    /// The reports about the endpoints from outside the listing, by which a listed endpoint may be not ready.
     pub overlay: StateOverlay<'a>,
     pub occasion: Occasion,
 }
 
 impl Candidate<'_> {
-    /// Judges the change. Costs as much as the change is large, and as there are endpoints that others say
-    /// are not ready.
+    /// Validates the changes. The cost is proportional to the number of changes and of endpoints that other
+    /// reports call not ready.
     pub fn validate(&self) -> ValidationReport {
         let mut report = ValidationReport {
             suspicious: vec![false; self.changes.len()],
@@ -55,13 +58,13 @@
             anomalies: Vec::new(),
             confirmed_by_repetition: false,
         };
-        self.find_nothing_left(&mut report);
-        self.find_many_gone(&mut report);
+        self.find_loss_of_service(&mut report);
+        self.find_mass_removal(&mut report);
         self.find_moved(&mut report);
-        self.find_addresses_twice(&mut report);
+        self.find_duplicate_addresses(&mut report);
         if !report.is_clear() && !report.anomalies.iter().any(Anomaly::needs_explicit_confirmation) {
-            // Without what is held there may be nothing left after all.
-            self.find_nothing_left(&mut report);
+            // Without the suspicious changes, no serving endpoint may remain after all.
+            self.find_loss_of_service(&mut report);
         }
         report
     }
@@ -71,63 +74,73 @@
             && self.now.saturating_sub(change.since) >= self.policy.hold.as_nanos() as Nanos
     }
 
-    /// What passes, as far as is known yet.
-    fn passing<'a>(&'a self, suspicious: &'a [bool]) -> impl Iterator<Item = (usize, &'a EndpointChange)> {
-        let passes = |(at, _): &(usize, &EndpointChange)| !suspicious[*at];
-        self.changes.iter().enumerate().filter(passes)
+    /// Iterates over the changes that have not been found suspicious so far, with their positions.
+    fn unsuspicious<'a>(
+        &'a self,
+        suspicious: &'a [bool],
+    ) -> impl Iterator<Item = (usize, &'a EndpointChange)> {
+        let is_unsuspicious = |(at, _): &(usize, &EndpointChange)| !suspicious[*at];
+        self.changes.iter().enumerate().filter(is_unsuspicious)
     }
 
     fn is_ready(&self, endpoint: &Endpoint) -> bool {
         endpoint.state == State::Ready && self.overlay.state(endpoint) == State::Ready
     }
 
-    /// A listing with regard to what else is said of its endpoints, but for those in `without`.
-    fn counts(&self, listing: Option<&Listing>, without: impl Fn(&EndpointName) -> bool) -> EndpointCounts {
+    /// Counts the endpoints of a listing by their effective states, but by their listed ones if
+    /// `is_excluded`.
+    fn counts(
+        &self,
+        listing: Option<&Listing>,
+        is_excluded: impl Fn(&EndpointName) -> bool,
+    ) -> EndpointCounts {
         let Some(listing) = listing else { return EndpointCounts::default() };
         let mut counts = listing.counts();
         let mut names: Vec<&EndpointName> =
-            self.overlay.not_ready_names().filter(|name| !without(name)).collect();
+            self.overlay.not_ready_names().filter(|name| !is_excluded(name)).collect();
         names.sort();
         names.dedup();
         for endpoint in names.into_iter().filter_map(|name| listing.get(name)) {
-            counts.take(endpoint);
+            counts.subtract(endpoint);
             counts.add_as(endpoint, self.overlay.state(endpoint));
         }
         counts
     }
 
-    /// What would serve by this source's list if what passes is taken in.
-    fn tally_after(&self, suspicious: &[bool]) -> EndpointCounts {
-        let passes = |name: &EndpointName| self.changes.position(name).is_ok_and(|at| !suspicious[at]);
-        let mut after = self.counts(self.current, passes);
-        for (_, change) in self.passing(suspicious) {
+    /// Counts the endpoints of this source's list after the unsuspicious changes.
+    fn counts_after(&self, suspicious: &[bool]) -> EndpointCounts {
+        let is_applied = |name: &EndpointName| self.changes.position(name).is_ok_and(|at| !suspicious[at]);
+        let mut after = self.counts(self.current, is_applied);
+        for (_, change) in self.unsuspicious(suspicious) {
             if self.current.is_some() {
-                change.old.iter().for_each(|old| after.take(old));
+                change.old.iter().for_each(|old| after.subtract(old));
             }
             change.new.iter().for_each(|new| after.add_as(new, self.overlay.state(new)));
         }
         after
     }
 
-    /// Endpoints that leave or lose their weight are suspicious if none that takes requests remains.
+    /// Finds removals of endpoints, and weights set to 0, after which no endpoint that accepts requests
+    /// remains.
     ///
-    /// Drains do not count, not even of all: each is said of an endpoint by name, and must not wait. Weighed
-    /// against letting repetition confirm: whatever made a list empty by mistake makes it empty again.
-    fn find_nothing_left(&self, report: &mut ValidationReport) {
-        let after = self.tally_after(&report.suspicious);
+    /// Draining endpoints do not count, not even if all drain: each is named explicitly, and draining must
+    /// not be delayed. Repetition does not confirm the loss, since a fault that empties a list by mistake
+    /// does so again.
+    fn find_loss_of_service(&self, report: &mut ValidationReport) {
+        let after = self.counts_after(&report.suspicious);
         if after.serving > 0 {
             return;
         }
         let listed = self.current.map_or(0, |own| own.counts().listed);
         let (mut lost, mut first) = (Vec::new(), None);
-        for (at, change) in self.passing(&report.suspicious) {
+        for (at, change) in self.unsuspicious(&report.suspicious) {
             let served = change.old.as_deref().is_some_and(|e| e.weight > 0.0 && self.is_ready(e));
-            let weightless = change.new.as_deref().is_some_and(|e| self.is_ready(e));
-            let loses = served && (change.new.is_none() || weightless);
-            if loses {
+            let is_new_ready = change.new.as_deref().is_some_and(|e| self.is_ready(e));
+            let is_loss = served && (change.new.is_none() || is_new_ready);
+            if is_loss {
                 first.get_or_insert(&change.name);
             }
-            if loses || after.listed == 0 || listed == 0 && weightless {
+            if is_loss || after.listed == 0 || listed == 0 && is_new_ready {
                 lost.push(at);
             }
         }
@@ -135,67 +148,70 @@
             _ if after.listed == 0 && (self.current.is_none() || listed > 0) => Anomaly::NoEndpoints,
             Some(_) if after.ready > 0 => Anomaly::AllWeightsZero,
             None if after.ready > 0 && listed == 0 => Anomaly::AllWeightsZero,
-            Some(first) => Anomaly::NothingLeft { first: first.clone() },
+            Some(first) => Anomaly::NoServingEndpointsLeft { first: first.clone() },
             None => return,
         });
-        let are_many = lost.len() >= Policy::FEWEST_SUSPICIOUS;
+        let are_many = lost.len() >= Policy::MIN_SUSPICIOUS_REMOVALS;
         for at in lost {
             report.suspicious[at] = true;
             report.awaits_confirmation[at] |= are_many;
         }
     }
 
-    /// Ready endpoints that leave are suspicious if they are many at once. They are counted whether or not
-    /// they are doubtful for another reason.
+    /// Finds updates that remove many ready endpoints. The endpoints are counted even if they are suspicious
+    /// for another reason.
     ///
-    /// Weighed:
-    /// - What was draining or unhealthy has announced itself, and does not count.
-    /// - What comes in the same change is no excuse: a list of the wrong cluster brings others too.
-    /// - At once is in one update. Counting over a time would hold back single endpoints, which must leave
-    ///   within 500 ms; a registry that drops them one by one by mistake is stopped at the last one only.
-    fn find_many_gone(&self, report: &mut ValidationReport) {
-        let leaves = |change: &EndpointChange| {
+    /// - Draining and unhealthy endpoints do not count, since their removal was announced.
+    /// - Endpoints that the update adds do not offset the loss: a list of the wrong cluster contains other
+    ///   endpoints.
+    /// - Only removals in one update are counted. Counting over a period would delay the removal of single
+    ///   endpoints, which must take effect within 500 ms. The drawback is that a registry that removes
+    ///   endpoints one by one by mistake is stopped only at the last one.
+    fn find_mass_removal(&self, report: &mut ValidationReport) {
+        let is_removal = |change: &EndpointChange| {
             change.new.is_none() && change.old.as_deref().is_some_and(|e| self.is_ready(e))
         };
-        let (mut gone, mut confirmed_by_repetition) = (Vec::new(), 0);
-        for (at, change) in self.changes.iter().enumerate().filter(|(_, change)| leaves(change)) {
+        let (mut removed, mut confirmed) = (Vec::new(), 0);
+        for (at, change) in self.changes.iter().enumerate().filter(|(_, change)| is_removal(change)) {
             if self.is_confirmed(change) {
-                confirmed_by_repetition += 1;
+                confirmed += 1;
             } else {
-                gone.push((at, &change.name));
+                removed.push((at, &change.name));
             }
         }
-        if gone.len() + confirmed_by_repetition < Policy::FEWEST_SUSPICIOUS {
+        if removed.len() + confirmed < Policy::MIN_SUSPICIOUS_REMOVALS {
             return;
         }
-        let of = self.counts(self.current.or(self.displaced), |_| false).ready;
-        let are_many =
-            |n: usize| n >= Policy::FEWEST_SUSPICIOUS && n as f64 > self.policy.most_gone * of as f64;
-        let Some((_, first)) = gone.first().filter(|_| are_many(gone.len())) else {
-            report.confirmed_by_repetition |= are_many(gone.len() + confirmed_by_repetition);
+        let total = self.counts(self.current.or(self.displaced), |_| false).ready;
+        let are_many = |n: usize| {
+            n >= Policy::MIN_SUSPICIOUS_REMOVALS && n as f64 > self.policy.most_gone * total as f64
+        };
+        let Some((_, first)) = removed.first().filter(|_| are_many(removed.len())) else {
+            report.confirmed_by_repetition |= are_many(removed.len() + confirmed);
             return;
         };
-        let (count, first) = (gone.len(), EndpointName::clone(first));
-        report.anomalies.push(match count == of {
-            true => Anomaly::AllGone { count, first },
-            false => Anomaly::ManyGone { count, of, first },
+        let (count, first) = (removed.len(), EndpointName::clone(first));
+        report.anomalies.push(match count == total {
+            true => Anomaly::AllEndpointsRemoved { count, first },
+            false => Anomaly::ManyEndpointsRemoved { count, total, first },
         });
-        for (at, _) in gone {
+        for (at, _) in removed {
             report.suspicious[at] = true;
             report.awaits_confirmation[at] = true;
         }
     }
 
-    /// A ready endpoint at another address is suspicious, as from a port column that has slipped.
+    /// Finds ready endpoints whose address changes, e.g. because a table's port column was shifted by
+    /// mistake.
     ///
-    /// Weighed: named replicas come back elsewhere with every restart; a new start lets them pass at once.
-    /// Where a source tells no starts, such a replica waits for the hold, and the balancer does without it as
-    /// its old address refuses connections.
+    /// Named replicas get a new address with every restart; a new start time makes the change unsuspicious.
+    /// If a source reports no start times, such a replica waits for the quarantine period. Meanwhile the load
+    /// balancer ejects it, since its old address refuses connections.
     fn find_moved(&self, report: &mut ValidationReport) {
         let (mut moved, mut confirmed_by_repetition) = (Vec::new(), false);
-        for (at, change) in self.passing(&report.suspicious) {
+        for (at, change) in self.unsuspicious(&report.suspicious) {
             let (Some(old), Some(new)) = (&change.old, &change.new) else { continue };
-            let (Some(from), Some(to)) = (ready_at(old), ready_at(new)) else { continue };
+            let (Some(from), Some(to)) = (ready_address(old), ready_address(new)) else { continue };
             if from == to || new.restarted_since(old) || !self.is_ready(old) {
                 continue;
             }
@@ -212,25 +228,26 @@
         moved.into_iter().for_each(|(at, ..)| report.suspicious[at] = true);
     }
 
-    /// An endpoint that comes to an address where another ready endpoint is and stays is suspicious.
+    /// Finds endpoints whose new address belongs to another ready endpoint that is not removed.
     ///
-    /// Weighed: addresses of containers are used again at once, and their old owner's removal may come a
-    /// moment later; then the newcomer waits for that and no longer. To serve both sends one process twice
-    /// its share.
-    fn find_addresses_twice(&self, report: &mut ValidationReport) {
-        let arrivals = self.arrivals(&report.suspicious);
-        let may_clash = may_clash(&arrivals);
-        if !may_clash && self.current.is_none() {
+    /// Container addresses are reused immediately, and the removal of the previous endpoint may be reported a
+    /// little later; the new endpoint then waits for that removal only. With both in service, one process
+    /// would get twice its share of requests.
+    fn find_duplicate_addresses(&self, report: &mut ValidationReport) {
+        let new_addresses = self.new_addresses(&report.suspicious);
+        let may_have_duplicates = may_have_duplicates(&new_addresses);
+        if !may_have_duplicates && self.current.is_none() {
             return;
         }
-        let first_two = if may_clash { first_two_by_address(&arrivals) } else { FxHashMap::default() };
+        let first_two =
+            if may_have_duplicates { first_two_by_address(&new_addresses) } else { FxHashMap::default() };
         let mut duplicates = Vec::new();
         let mut confirmed_by_repetition = false;
-        for (at, address) in arrivals {
+        for (at, address) in new_addresses {
             let (first, second) = first_two.get(&address).copied().unwrap_or((at, None));
-            let other_arrival = if first == at { second } else { Some(first) };
-            let holder = self.holder_that_stays(at, address, &report.suspicious);
-            let other = holder.or_else(|| other_arrival.map(|at| self.changes[at].name.clone()));
+            let other_change = if first == at { second } else { Some(first) };
+            let remaining = self.remaining_endpoint_at(at, address, &report.suspicious);
+            let other = remaining.or_else(|| other_change.map(|at| self.changes[at].name.clone()));
             let Some(other) = other else { continue };
             if self.is_confirmed(&self.changes[at]) {
                 confirmed_by_repetition = true;
@@ -242,42 +259,50 @@
         let Some((at, other, address)) = duplicates.first().cloned() else { return };
         let endpoint = self.changes[at].name.clone();
         let others = duplicates.len() - 1;
-        report.anomalies.push(Anomaly::AddressTwice { endpoint, other, address, others });
+        report.anomalies.push(Anomaly::DuplicateAddress { endpoint, other, address, others });
         duplicates.into_iter().for_each(|(at, ..)| report.suspicious[at] = true);
     }
 
-    /// The changes that pass and bring a ready endpoint to an address, by their place in the change.
-    fn arrivals(&self, suspicious: &[bool]) -> Vec<(usize, SocketAddr)> {
-        let mut arrivals = Vec::new();
-        for (at, change) in self.passing(suspicious) {
+    /// Returns the unsuspicious changes that give a ready endpoint a new address, by their positions.
+    fn new_addresses(&self, suspicious: &[bool]) -> Vec<(usize, SocketAddr)> {
+        let mut new_addresses = Vec::new();
+        for (at, change) in self.unsuspicious(suspicious) {
             let old = change.old.as_deref().filter(|_| self.current.is_some());
             let Some(address) = new_ready_address(change) else { continue };
-            if old.and_then(ready_at) != Some(address) {
-                arrivals.push((at, address));
+            if old.and_then(ready_address) != Some(address) {
+                new_addresses.push((at, address));
             }
         }
-        arrivals
+        new_addresses
     }
 
-    /// The endpoint that is at an address already, and is after the change; another than that of change `at`.
-    fn holder_that_stays(&self, at: usize, address: SocketAddr, suspicious: &[bool]) -> Option<EndpointName> {
-        let stays = |holder: &&EndpointName| match self.changes.position(holder) {
+    /// Returns an endpoint, other than that of change `at`, that has the address before and after the
+    /// changes.
+    fn remaining_endpoint_at(
+        &self,
+        at: usize,
+        address: SocketAddr,
+        suspicious: &[bool],
+    ) -> Option<EndpointName> {
+        let remains = |name: &&EndpointName| match self.changes.position(name) {
             Ok(other) if other == at => false,
             Ok(other) => suspicious[other] || new_ready_address(&self.changes[other]) == Some(address),
             Err(_) => true,
         };
-        self.current?.at(address).find(stays).cloned()
+        self.current?.at(address).find(remains).cloned()
     }
 }
 
 fn new_ready_address(change: &EndpointChange) -> Option<SocketAddr> {
-    change.new.as_deref().and_then(ready_at)
+    change.new.as_deref().and_then(ready_address)
 }
 
-/// Which changes come to each address: the first two are enough to name.
-fn first_two_by_address(arrivals: &[(usize, SocketAddr)]) -> FxHashMap<SocketAddr, (usize, Option<usize>)> {
+/// Returns the first two changes that use each address; messages name no more.
+fn first_two_by_address(
+    new_addresses: &[(usize, SocketAddr)],
+) -> FxHashMap<SocketAddr, (usize, Option<usize>)> {
     let mut first_two: FxHashMap<SocketAddr, (usize, Option<usize>)> = FxHashMap::default();
-    for (at, address) in arrivals {
+    for (at, address) in new_addresses {
         first_two
             .entry(*address)
             .and_modify(|(_, second)| _ = second.get_or_insert(*at))
@@ -286,10 +311,11 @@
     first_two
 }
 
-/// Whether two of them may come to one address: a sort of hashes, at a fifth of the cost of a hash table that
-/// is made only to find that out.
-fn may_clash(arrivals: &[(usize, SocketAddr)]) -> bool {
-    let mut hashes: Vec<u64> = arrivals.iter().map(|(_, address)| FxBuildHasher.hash_one(address)).collect();
+/// Returns whether two changes may use the same address. Sorting the hashes takes a fifth of the time of
+/// building a hash table, which is then needed only in the rare case of duplicates.
+fn may_have_duplicates(new_addresses: &[(usize, SocketAddr)]) -> bool {
+    let mut hashes: Vec<u64> =
+        new_addresses.iter().map(|(_, address)| FxBuildHasher.hash_one(address)).collect();
     hashes.sort_unstable();
     hashes.windows(2).any(|pair| pair[0] == pair[1])
 }
--- a/crates/membership/src/catalog/view.rs
+++ b/crates/membership/src/catalog/view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the catalog: plain values, printed as lines or serialized for an admin socket.
+//! The operators' view of the catalog: plain values, printed as lines or serialized by the admin server.
 
 use super::cluster::ClusterState;
 use super::source::{Rank, Source};
@@ -11,90 +11,92 @@
 use serde::Serialize;
 use std::fmt;
 
-/// One cluster.
+/// The state of one cluster.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClusterView {
     /// Its name.
     pub cluster: ClusterName,
-    /// Which source gives it; none if no source has said anything of it that could serve.
+    /// The source that provides it; `None` if no source has an accepted update of it.
     pub source: Option<SourceId>,
-    /// Its source has been silent for longer than the policy allows.
+    /// Whether its source has been silent for longer than the policy allows.
     #[serde(rename = "aged")]
     pub is_stale: bool,
-    /// When what serves last changed, in milliseconds ago.
+    /// The time since its published state last changed, in milliseconds.
     pub changed_ms_ago: Option<u64>,
-    /// Endpoints that take new requests.
+    /// The number of endpoints that accept new requests.
     pub ready: usize,
-    /// Endpoints that are ready, with a weight of 0.
+    /// The number of ready endpoints with a weight of 0.
     pub weightless: usize,
-    /// Endpoints that finish what they have.
+    /// The number of draining endpoints.
     pub draining: usize,
-    /// Endpoints that fail, as a source says.
+    /// The number of endpoints that a source reports as unhealthy.
     pub unhealthy: usize,
-    /// Limits that come with it.
+    /// The limits that its source sets for it.
     pub settings: ClusterSettings,
-    /// What each source says of it, in the order of precedence.
+    /// The state of each source's reports of it, in order of precedence.
     #[serde(rename = "feeds")]
     pub subscriptions: Vec<SubscriptionView>,
 }
 
-/// What one source says of one cluster.
+/// The state of one source's reports of one cluster.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SubscriptionView {
     /// The source.
     pub source: SourceId,
-    /// The version accepted last.
+    /// The version that was last accepted.
     pub version: Option<Version>,
-    /// How many endpoints were accepted; none if nothing has been, 0 if it is empty on purpose.
+    /// The number of accepted endpoints: `None` if no update was accepted, 0 if the cluster is intentionally
+    /// empty.
     pub endpoints: Option<usize>,
-    /// The age of it: when the source last spoke of this cluster, in milliseconds ago.
+    /// The time since the source's last update of this cluster, in milliseconds.
     #[serde(rename = "heard_ms_ago")]
     pub last_update_ms_ago: u64,
-    /// The source is silent, and for how many milliseconds.
+    /// The kind and duration, in milliseconds, of the source's silence, if it is silent.
     pub silent: Option<(Silence, u64)>,
-    /// What is quarantined.
+    /// The quarantined change, if any.
     #[serde(rename = "held")]
     pub quarantine: Option<QuarantineView>,
-    /// What was rejected last.
+    /// The last rejection, if any.
     #[serde(rename = "refusal")]
     pub rejection: Option<RejectionView>,
 }
 
-/// What is quarantined.
+/// A quarantined change.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct QuarantineView {
-    /// What is suspicious.
+    /// The messages of the anomalies.
     #[serde(rename = "suspicions")]
     pub anomalies: Vec<String>,
-    /// Only an explicit word lets it pass.
+    /// Whether only an explicit statement of the source or an operator releases it.
     #[serde(rename = "needs_word")]
     pub needs_explicit_confirmation: bool,
-    /// How many endpoints' changes are held.
+    /// The number of endpoints whose changes are quarantined.
     pub endpoints: usize,
-    /// For how many milliseconds.
+    /// The time since the quarantine began, in milliseconds.
     pub for_ms: u64,
-    /// In how many milliseconds the source is asked again; before, no repetition confirms.
+    /// The time until the source is asked again, in milliseconds. Earlier repetition does not confirm the
+    /// change.
     #[serde(rename = "asks_in_ms")]
     pub refetch_in_ms: u64,
 }
 
-/// What was rejected.
+/// A rejected input.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RejectionView {
-    /// When, in milliseconds ago.
+    /// The time since the rejection, in milliseconds.
     pub ms_ago: u64,
-    /// What and why.
+    /// The message, with the source, the item and the cause.
     pub reason: String,
 }
 
-/// One source.
+/// The state of one source.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct SourceView {
     /// The source.
     pub source: SourceId,
-    /// It is silent, and for how many milliseconds.
+    /// The kind and duration, in milliseconds, of its silence, if it is silent.
     pub silent: Option<(Silence, u64)>,
-    /// What was rejected last of it that was about no cluster that is known.
+    /// The last rejection that does not concern a known cluster, if any.
     #[serde(rename = "refusal")]
     pub rejection: Option<RejectionView>,
 }
@@ -106,7 +108,7 @@
             silent: source
                 .silent
                 .as_ref()
-                .map(|silent| (silent.silence, ms(now.saturating_sub(silent.since)))),
+                .map(|silent| (silent.silence, to_ms(now.saturating_sub(silent.since)))),
             rejection: source
                 .last_rejection
                 .as_ref()
@@ -115,13 +117,13 @@
     }
 }
 
-fn ms(nanos: Nanos) -> u64 {
+fn to_ms(nanos: Nanos) -> u64 {
     nanos / 1_000_000
 }
 
 impl RejectionView {
     pub(super) fn of((at, last_rejection): &(Nanos, Rejection), now: Nanos) -> RejectionView {
-        RejectionView { ms_ago: ms(now.saturating_sub(*at)), reason: last_rejection.to_string() }
+        RejectionView { ms_ago: to_ms(now.saturating_sub(*at)), reason: last_rejection.to_string() }
     }
 }
 
@@ -135,7 +137,7 @@
             cluster: state.name.clone(),
             source: service.map(|service| sources[service.owner].id.clone()),
             is_stale: service.is_some_and(|service| service.is_stale),
-            changed_ms_ago: service.map(|service| ms(now.saturating_sub(service.changed))),
+            changed_ms_ago: service.map(|service| to_ms(now.saturating_sub(service.changed_at))),
             ready: 0,
             weightless: 0,
             draining: 0,
@@ -156,8 +158,8 @@
 }
 
 fn subscription_view(source: &Source, subscription: &Subscription, now: Nanos) -> SubscriptionView {
-    let ago = |at: Nanos| ms(now.saturating_sub(at));
-    let held = subscription.refetch_at().map(|refetch_at| {
+    let ms_ago = |at: Nanos| to_ms(now.saturating_sub(at));
+    let quarantine = subscription.refetch_at().map(|refetch_at| {
         let (quarantine, missing) = (subscription.quarantine.as_ref(), subscription.missing.as_ref());
         let anomalies = quarantine.into_iter().flat_map(|quarantine| &quarantine.anomalies);
         let anomalies: Vec<_> = anomalies.chain(missing.map(|missing| &missing.anomaly)).collect();
@@ -172,17 +174,17 @@
                 .any(|anomaly| anomaly.needs_explicit_confirmation()),
             anomalies: anomalies.iter().map(|anomaly| anomaly.to_string()).collect(),
             endpoints: quarantine.map_or(0, |quarantine| quarantine.changes.len()),
-            for_ms: ago(since.unwrap_or(now)),
-            refetch_in_ms: ms(refetch_at.saturating_sub(now)),
+            for_ms: ms_ago(since.unwrap_or(now)),
+            refetch_in_ms: to_ms(refetch_at.saturating_sub(now)),
         }
     });
     SubscriptionView {
         source: source.id.clone(),
         version: subscription.accepted.as_ref().map(|accepted| accepted.version.clone()),
         endpoints: subscription.accepted_listing().map(|own| own.counts().listed),
-        last_update_ms_ago: ago(subscription.last_update_at),
-        silent: source.silent.as_ref().map(|silent| (silent.silence, ago(silent.since))),
-        quarantine: held,
+        last_update_ms_ago: ms_ago(subscription.last_update_at),
+        silent: source.silent.as_ref().map(|silent| (silent.silence, ms_ago(silent.since))),
+        quarantine,
         rejection: subscription
             .last_rejection
             .as_ref()
@@ -190,8 +192,8 @@
     }
 }
 
-/// A length of time in the unit that a person would choose.
-fn span(ms: u64) -> String {
+/// Formats a duration in a readable unit.
+fn format_duration(ms: u64) -> String {
     match ms {
         0..10_000 => format!("{ms} ms"),
         10_000..600_000 => format!("{} s", ms / 1000),
@@ -201,17 +203,17 @@
 }
 
 impl fmt::Display for ClusterView {
-    /// Several lines, without a line break at the end.
+    /// Writes several lines, without a line break at the end.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}: ", self.cluster)?;
         match (&self.source, self.changed_ms_ago) {
             (Some(source), Some(changed)) => {
                 let ClusterView { ready, weightless, draining, unhealthy, .. } = self;
                 write!(f, "from {source}, {ready} ready, {draining} draining, {unhealthy} unhealthy")?;
-                write!(f, ", {weightless} of weight 0, changed {} ago", span(changed))?;
-                f.write_str(if self.is_stale { ", AGED" } else { "" })?;
+                write!(f, ", {weightless} of weight 0, changed {} ago", format_duration(changed))?;
+                f.write_str(if self.is_stale { ", STALE" } else { "" })?;
             }
-            _ => f.write_str("nothing serves")?,
+            _ => f.write_str("not in service")?,
         }
         self.subscriptions.iter().try_for_each(|subscription| write!(f, "\n  {subscription}"))
     }
@@ -221,23 +223,27 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}: ", self.source)?;
         match (&self.version, self.endpoints) {
-            (Some(version), Some(0)) => write!(f, "version {version:?}, empty on purpose")?,
+            (Some(version), Some(0)) => write!(f, "version {version:?}, intentionally empty")?,
             (Some(version), Some(n)) => write!(f, "version {version:?}, {n} endpoints")?,
-            _ => f.write_str("nothing accepted")?,
+            _ => f.write_str("no update accepted")?,
         }
-        write!(f, ", heard {} ago", span(self.last_update_ms_ago))?;
+        write!(f, ", last update {} ago", format_duration(self.last_update_ms_ago))?;
         if let Some((silence, for_ms)) = &self.silent {
-            write!(f, ", source {silence} for {}", span(*for_ms))?;
+            write!(f, ", source {silence} for {}", format_duration(*for_ms))?;
         }
-        if let Some(held) = &self.quarantine {
-            let (reasons, for_ms) = (held.anomalies.join("; "), span(held.for_ms));
-            write!(f, "\n    held for {for_ms}, {} endpoints: {reasons}; ", held.endpoints)?;
-            write!(f, "asked again in {}", span(held.refetch_in_ms))?;
-            f.write_str(if held.needs_explicit_confirmation { ", needs an explicit word" } else { "" })?;
+        if let Some(quarantine) = &self.quarantine {
+            let (reasons, duration) = (quarantine.anomalies.join("; "), format_duration(quarantine.for_ms));
+            write!(f, "\n    quarantined for {duration}, {} endpoints: {reasons}; ", quarantine.endpoints)?;
+            write!(f, "asking again in {}", format_duration(quarantine.refetch_in_ms))?;
+            f.write_str(if quarantine.needs_explicit_confirmation {
+                ", needs explicit confirmation"
+            } else {
+                ""
+            })?;
         }
         match &self.rejection {
             Some(last_rejection) => {
-                write!(f, "\n    {} ago: {}", span(last_rejection.ms_ago), last_rejection.reason)
+                write!(f, "\n    {} ago: {}", format_duration(last_rejection.ms_ago), last_rejection.reason)
             }
             None => Ok(()),
         }
--- a/crates/membership/src/diff.rs
+++ b/crates/membership/src/diff.rs
@@ -1,4 +1,4 @@
-//! What would change from one set of clusters to another, in words.
+//! Compares two sets of clusters and describes the differences as text, for the command line.
 
 use crate::catalog::Catalog;
 use crate::endpoint::{Cluster, ClusterSettings, Endpoint, Endpoints};
@@ -9,71 +9,73 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One thing that differs between two sets of clusters.
+/// One difference between two sets of clusters.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// The cluster.
     pub cluster: ClusterName,
-    /// The endpoint, if it is about one.
+    /// The endpoint, if the difference concerns one.
     pub endpoint: Option<EndpointName>,
-    /// What differs.
+    /// The kind of difference.
     pub edit: Edit,
 }
 
-/// What differs.
+/// A kind of difference.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Edit {
-    /// Only the new set has it; in words what it is.
+    /// Only the new set has the item; the text describes it.
     Added(String),
-    /// Only the old set has it; in words what it was.
+    /// Only the old set has the item; the text describes it.
     Removed(String),
     /// The value of a key differs.
     Changed {
         /// The key.
         key: &'static str,
-        /// What it was; `none` where there was nothing.
+        /// The old value; `none` if it was not set.
         from: String,
-        /// What it is.
+        /// The new value; `none` if it is not set.
         to: String,
     },
 }
 
-/// What differs between two sets of clusters: cluster by cluster, its own values first, then endpoint by
-/// endpoint. Of two clusters or endpoints of one name in a set the last one counts.
+/// Returns the differences between two sets of clusters, ordered by cluster: first those of its own values,
+/// then those of its endpoints by id. If a set has several clusters or endpoints of one name, the last one is
+/// used.
 pub fn diff(old: &[Cluster], new: &[Cluster]) -> Vec<Difference> {
     let by_name =
         |set: &'_ [Cluster]| set.iter().map(|c| (c.name.clone(), c.clone())).collect::<BTreeMap<_, _>>();
     let mut found = Vec::new();
     for (cluster, pair) in pairs(&by_name(old), &by_name(new)) {
-        let mut note = |endpoint: Option<&EndpointName>, edit| {
+        let mut add = |endpoint: Option<&EndpointName>, edit| {
             found.push(Difference { cluster: cluster.clone(), endpoint: endpoint.cloned(), edit });
         };
         match pair {
             (Some(old), Some(new)) => {
-                edits(cluster_values(old), cluster_values(new)).for_each(|edit| note(None, edit));
+                edits(cluster_values(old), cluster_values(new)).for_each(|edit| add(None, edit));
                 for (name, pair) in pairs(&endpoints(old), &endpoints(new)) {
                     match pair {
                         (Some(old), Some(new)) => {
-                            edits(values(old), values(new)).for_each(|edit| note(Some(name), edit));
+                            edits(endpoint_values(old), endpoint_values(new))
+                                .for_each(|edit| add(Some(name), edit));
                         }
-                        (None, Some(new)) => note(Some(name), Edit::Added(in_words(new))),
-                        (Some(old), None) => note(Some(name), Edit::Removed(in_words(old))),
+                        (None, Some(new)) => add(Some(name), Edit::Added(describe_endpoint(new))),
+                        (Some(old), None) => add(Some(name), Edit::Removed(describe_endpoint(old))),
                         (None, None) => {}
                     }
                 }
             }
-            (None, Some(new)) => note(None, Edit::Added(size(new))),
-            (Some(old), None) => note(None, Edit::Removed(size(old))),
+            (None, Some(new)) => add(None, Edit::Added(describe_size(new))),
+            (Some(old), None) => add(None, Edit::Removed(describe_size(old))),
             (None, None) => {}
         }
     }
     found
 }
 
-/// What a catalog that serves `old` would quarantine of `new`, if one source replaced the one by the other.
+/// Returns the changes that a catalog would quarantine if its only source replaced `old` with `new`.
 ///
 /// # Errors
-/// A figure of the policy that is out of its range.
+/// Fails if a value of the policy is out of range.
 pub fn quarantined_changes(
     old: &[Cluster],
     new: &[Cluster],
@@ -81,20 +83,20 @@
 ) -> Result<Vec<Quarantined>, BadPolicy> {
     let source = SourceId::from("diff");
     let mut catalog = Catalog::new(policy, [source.clone()])?;
-    let mut say = |version: u64, clusters: &[Cluster]| {
+    let mut handle_snapshot = |version: u64, clusters: &[Cluster]| {
         let (version, update) = (Version::from(version), EndpointUpdate::FullSnapshot(clusters.to_vec()));
         let mut out = Vec::new();
         catalog.handle(0, Event::Update { source: source.clone(), version, update }, &mut out);
         out
     };
-    say(1, old);
-    let held = |output| if let Output::Quarantined(held) = output { Some(held) } else { None };
-    Ok(say(2, new).into_iter().filter_map(held).collect())
+    handle_snapshot(1, old);
+    let quarantined = |output| if let Output::Quarantined(change) = output { Some(change) } else { None };
+    Ok(handle_snapshot(2, new).into_iter().filter_map(quarantined).collect())
 }
 
 type Pair<'a, T> = (Option<&'a T>, Option<&'a T>);
 
-/// The values of two maps by key.
+/// Joins two maps by key.
 fn pairs<'a, K: Ord, T>(old: &'a BTreeMap<K, T>, new: &'a BTreeMap<K, T>) -> BTreeMap<&'a K, Pair<'a, T>> {
     let mut pairs: BTreeMap<&K, Pair<T>> =
         old.iter().map(|(key, value)| (key, (Some(value), None))).collect();
@@ -123,7 +125,7 @@
     let ClusterSettings { connect_timeout, max_connections, .. } = cluster.settings;
     let ClusterSettings { max_pending_requests, max_requests, max_retries, .. } = cluster.settings;
     vec![
-        ("empty", (cluster.endpoints == Endpoints::NoneOnPurpose).to_string()),
+        ("empty", (cluster.endpoints == Endpoints::IntentionallyEmpty).to_string()),
         ("connect_timeout", or_none(connect_timeout.map(humantime::format_duration))),
         ("max_connections", or_none(max_connections)),
         ("max_pending_requests", or_none(max_pending_requests)),
@@ -132,7 +134,7 @@
     ]
 }
 
-fn values(endpoint: &Endpoint) -> Vec<(&'static str, String)> {
+fn endpoint_values(endpoint: &Endpoint) -> Vec<(&'static str, String)> {
     let Endpoint { name: _, address, zone, priority, weight, cell, kind, state, metadata, started } =
         endpoint;
     vec![
@@ -148,17 +150,20 @@
     ]
 }
 
-/// An endpoint by what it has other than the defaults.
-fn in_words(endpoint: &Endpoint) -> String {
-    let plain = Endpoint { address: None, ..Endpoint::ready("", ([0, 0, 0, 0], 0).into()) };
-    let told = values(endpoint).into_iter().zip(values(&plain)).filter(|(own, plain)| own != plain);
-    told.map(|((key, value), _)| format!("{key} {value}")).collect::<Vec<_>>().join(", ")
+/// Describes an endpoint by the values that differ from the defaults.
+fn describe_endpoint(endpoint: &Endpoint) -> String {
+    let defaults = Endpoint { address: None, ..Endpoint::ready("", ([0, 0, 0, 0], 0).into()) };
+    let differing = endpoint_values(endpoint)
+        .into_iter()
+        .zip(endpoint_values(&defaults))
+        .filter(|(own, default)| own != default);
+    differing.map(|((key, value), _)| format!("{key} {value}")).collect::<Vec<_>>().join(", ")
 }
 
-fn size(cluster: &Cluster) -> String {
+fn describe_size(cluster: &Cluster) -> String {
     match &cluster.endpoints {
         Endpoints::Listed(endpoints) => format!("{} endpoints", endpoints.len()),
-        Endpoints::NoneOnPurpose => "empty on purpose".into(),
+        Endpoints::IntentionallyEmpty => "intentionally empty".into(),
     }
 }
 
@@ -169,8 +174,8 @@
             write!(f, ": endpoint {endpoint}")?;
         }
         match &self.edit {
-            Edit::Added(what) => write!(f, ": added ({what})"),
-            Edit::Removed(what) => write!(f, ": removed ({what})"),
+            Edit::Added(description) => write!(f, ": added ({description})"),
+            Edit::Removed(description) => write!(f, ": removed ({description})"),
             Edit::Changed { key, from, to } => write!(f, ": {key} {from} -> {to}"),
         }
     }
--- a/crates/membership/src/endpoint.rs
+++ b/crates/membership/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a cluster is and what an endpoint is, in the field's words, and what makes either unusable.
+//! Clusters and endpoints as sources describe them, and the validation of their values.
 
 use crate::invalid::Invalid;
 use crate::limits;
@@ -9,54 +9,54 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether an endpoint takes new requests. An endpoint that is gone is absent: there is no state for it.
+/// Whether an endpoint accepts new requests. A removed endpoint is absent from the list and has no state.
 ///
-/// Ordered by caution: where two sources differ, the greater holds.
+/// Ordered by caution: if two sources differ, the greater state applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It takes new requests.
+    /// The endpoint accepts new requests.
     #[default]
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The endpoint finishes its requests and must not be sent new ones.
     Draining,
-    /// Its source says that it fails; it takes nothing new.
+    /// Its source reports it as failing; it must not be sent new requests.
     Unhealthy,
 }
 
 /// One endpoint as its source describes it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// Its id.
+    /// Its id, unique in the cluster.
     pub name: EndpointName,
-    /// Where it is reached; none if it cannot be, and then it is not [`State::Ready`].
+    /// Its address. `None` if it has none; it is then not [`State::Ready`].
     pub address: Option<SocketAddr>,
     /// Its zone (failure domain).
     pub zone: Label,
-    /// 0 is used first; 0 to [`Endpoint::MAX_PRIORITY`].
+    /// Its priority, from 0 (used first) to [`Endpoint::MAX_PRIORITY`].
     pub priority: u32,
-    /// Its size relative to others of its cluster, 0 to [`Endpoint::MAX_WEIGHT`]; 1 where nothing is known, 0
-    /// if it shall get nothing. Passed on as it is: whoever shares load out normalises.
+    /// Its weight relative to the other endpoints of its cluster, from 0 to [`Endpoint::MAX_WEIGHT`]; 1 if
+    /// unknown, 0 if it must get no requests. Not normalized here; the load balancer does that.
     pub weight: f64,
-    /// Its cell: a small group of endpoints that share which keys they have seen.
+    /// Its cell: a small group of endpoints that share a record of the idempotency keys they have seen.
     pub cell: u64,
-    /// Its kind of machine.
+    /// Its machine type.
     pub kind: Label,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: State,
-    /// Further pairs of key and value.
+    /// Additional key-value pairs.
     pub metadata: Metadata,
-    /// When its process started, in nanoseconds of Unix time; none if long ago or not known.
+    /// When its process started, in nanoseconds of Unix time; `None` if long ago or unknown.
     pub started: Option<Nanos>,
 }
 
 impl Endpoint {
     /// The largest priority; xDS has the same limit.
     pub const MAX_PRIORITY: u32 = limits::MAX_PRIORITY;
-    /// The largest weight: that of xDS, and far below where sums of weights lose exactness.
+    /// The largest weight: the limit of xDS, and low enough that sums of weights stay exact.
     pub const MAX_WEIGHT: f64 = limits::MAX_WEIGHT;
 
-    /// An endpoint that takes requests, with nothing else known of it.
+    /// Creates a ready endpoint with default values for all other fields.
     pub fn ready(name: impl Into<EndpointName>, address: SocketAddr) -> Endpoint {
         Endpoint {
             name: name.into(),
@@ -72,29 +72,29 @@
         }
     }
 
-    /// Whether it is to be sent anything new.
+    /// Returns whether new requests may be sent to the endpoint.
     pub fn takes_requests(&self) -> bool {
         self.state == State::Ready && self.weight > 0.0
     }
 
-    /// Whether this describes another process than `before` did. Any other start counts, an earlier one too:
-    /// to take a restart for the old process sends a cold endpoint full load, while the other mistake costs
-    /// it a slow start.
+    /// Returns whether this describes another process than `before` did. Any different start time counts,
+    /// even an earlier one: missing a restart sends full load to a cold endpoint, while a falsely detected
+    /// restart only costs a slow start.
     pub fn restarted_since(&self, before: &Endpoint) -> bool {
         self.started.is_some() && self.started != before.started
     }
 
-    /// What makes this endpoint unusable on its own, if anything.
+    /// Validates the endpoint on its own.
     ///
     /// # Errors
-    /// The first fault, with the value at fault.
+    /// Returns the first invalid value.
     pub fn check(&self) -> Result<(), Invalid> {
         if let Some(fault) = fault_of(self.name.as_str()) {
             return Err(Invalid::EndpointName { fault });
         }
         match self.address {
             None if self.state == State::Ready => return Err(Invalid::NoAddress),
-            Some(address) if address.port() == 0 || unroutable(address) => {
+            Some(address) if address.port() == 0 || is_unroutable(address) => {
                 return Err(Invalid::Address { address });
             }
             _ => {}
@@ -109,30 +109,30 @@
     }
 }
 
-fn unroutable(address: SocketAddr) -> bool {
+fn is_unroutable(address: SocketAddr) -> bool {
     address.ip().is_unspecified() || address.ip().is_multicast()
 }
 
-/// A small map from keys to values, sorted by key. Cheap to clone; an empty one holds no memory.
+/// A small map of strings, sorted by key. Cheap to clone; an empty map allocates nothing.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Metadata(Option<Arc<[Pair]>>);
 
 type Pair = (Box<str>, Box<str>);
 
 impl Metadata {
-    /// Most pairs.
+    /// The maximum number of pairs.
     pub const MAX_PAIRS: usize = limits::MAX_METADATA_PAIRS;
-    /// Most bytes of all keys and values together.
+    /// The maximum total size of all keys and values, in bytes.
     pub const MAX_BYTES: usize = limits::MAX_METADATA_BYTES;
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<&str> {
         let pairs = self.0.as_deref()?;
         let at = pairs.binary_search_by(|(k, _)| (**k).cmp(key)).ok()?;
         pairs.get(at).map(|(_, value)| &**value)
     }
 
-    /// All pairs, by key.
+    /// Iterates over the pairs in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().flat_map(|pairs| pairs.iter().map(|(k, v)| (&**k, &**v)))
     }
@@ -148,7 +148,7 @@
 }
 
 impl<K: Into<Box<str>>, V: Into<Box<str>>> FromIterator<(K, V)> for Metadata {
-    /// Of a key that comes twice the last value stays.
+    /// Builds a map; if a key occurs several times, its last value is kept.
     fn from_iter<I: IntoIterator<Item = (K, V)>>(pairs: I) -> Metadata {
         let sorted: std::collections::BTreeMap<Box<str>, Box<str>> =
             pairs.into_iter().map(|(k, v)| (k.into(), v.into())).collect();
@@ -168,39 +168,39 @@
     }
 }
 
-/// Limits that come with a cluster; what is none is left to the proxy's own settings.
+/// The limits that a source sets for a cluster. For a limit that is `None`, the proxy's own setting applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ClusterSettings {
-    /// A connection not established in this time has failed; over 0, at most an hour.
+    /// The timeout for establishing a connection; greater than 0, at most one hour.
     pub connect_timeout: Option<Duration>,
-    /// Most connections to the cluster, at least 1.
+    /// The maximum number of connections to the cluster, at least 1.
     pub max_connections: Option<u32>,
-    /// Most requests that wait for a connection.
+    /// The maximum number of requests that wait for a connection.
     pub max_pending_requests: Option<u32>,
-    /// Most requests at a time, at least 1.
+    /// The maximum number of concurrent requests, at least 1.
     pub max_requests: Option<u32>,
-    /// Most retries at a time.
+    /// The maximum number of concurrent retries.
     pub max_retries: Option<u32>,
 }
 
 impl ClusterSettings {
-    /// The longest connect time-out: longer ones are a slip in the unit.
+    /// The longest connect timeout. A longer one is likely a wrong unit.
     pub const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(3600);
 
-    /// What makes these limits unusable, if anything.
+    /// Checks each limit against its range.
     ///
     /// # Errors
-    /// The first fault, with its key.
+    /// Returns the first limit that is out of range, with its key.
     pub fn check(&self) -> Result<(), Invalid> {
-        let bad = |key, requirement| Err(Invalid::Setting { key, requirement });
+        let invalid = |key, requirement| Err(Invalid::Setting { key, requirement });
         if self.connect_timeout.is_some_and(|t| t.is_zero() || t > ClusterSettings::MAX_CONNECT_TIMEOUT) {
-            return bad("connect_timeout", "be over 0 and at most 1h");
+            return invalid("connect_timeout", "be greater than 0 and at most 1h");
         }
         if self.max_connections == Some(0) {
-            return bad("max_connections", "be at least 1");
+            return invalid("max_connections", "be at least 1");
         }
         if self.max_requests == Some(0) {
-            return bad("max_requests", "be at least 1");
+            return invalid("max_requests", "be at least 1");
         }
         Ok(())
     }
@@ -209,42 +209,42 @@
 /// The endpoints of a whole cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Endpoints {
-    /// All of them, in any order; sorted by id, 10,000 cost the catalog a millisecond less. A list of none is
-    /// not taken for an empty cluster: it may be a mistake.
+    /// All endpoints, in any order; a list sorted by id saves the catalog a millisecond per 10,000 endpoints.
+    /// An empty list does not stand for an empty cluster, since it may be a mistake.
     Listed(Vec<Endpoint>),
-    /// The source says in so many words that there are none.
-    NoneOnPurpose,
+    /// The source states explicitly that the cluster has no endpoints.
+    IntentionallyEmpty,
 }
 
-/// One cluster whole, as its source describes it.
+/// The complete state of a cluster, as its source describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cluster {
     /// Its name.
     pub name: ClusterName,
     /// Its endpoints.
     pub endpoints: Endpoints,
-    /// Limits that come with it.
+    /// The limits that the source sets for it.
     pub settings: ClusterSettings,
 }
 
 impl Cluster {
-    /// A cluster that brings no limits.
+    /// Creates a cluster without limits.
     pub fn new(name: impl Into<ClusterName>, endpoints: Vec<Endpoint>) -> Cluster {
         let (endpoints, settings) = (Endpoints::Listed(endpoints), ClusterSettings::default());
         Cluster { name: name.into(), endpoints, settings }
     }
 
-    /// A cluster without endpoints, on purpose.
+    /// Creates a cluster that is intentionally empty.
     pub fn empty(name: impl Into<ClusterName>) -> Cluster {
         let settings = ClusterSettings::default();
-        Cluster { name: name.into(), endpoints: Endpoints::NoneOnPurpose, settings }
+        Cluster { name: name.into(), endpoints: Endpoints::IntentionallyEmpty, settings }
     }
 
-    /// The endpoints listed.
+    /// Returns the listed endpoints.
     pub fn listed(&self) -> &[Endpoint] {
         match &self.endpoints {
             Endpoints::Listed(endpoints) => endpoints,
-            Endpoints::NoneOnPurpose => &[],
+            Endpoints::IntentionallyEmpty => &[],
         }
     }
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,70 +1,72 @@
-//! The events that the catalog is notified of by its sources.
+//! The events that sources and operators pass to the catalog.
 
 use crate::endpoint::{Cluster, ClusterSettings, Endpoint};
 use crate::names::{ClusterName, EndpointName, SourceId, Version};
 use serde::Serialize;
 use std::fmt;
 
-/// What the catalog is notified of.
+/// An input of the catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A source spoke; so it is in touch again, if it was silent.
+    /// A source sent an update. If the source was silent, it is connected again.
     Update {
-        /// Who spoke.
+        /// The source.
         source: SourceId,
         /// The version that this brings its clusters to.
         version: Version,
-        /// What it said.
+        /// The content of the update.
         update: EndpointUpdate,
     },
-    /// The explicit word, from the source or from somebody in its name: what is held of it stands.
+    /// The source, or an operator on its behalf, explicitly confirms the quarantined change of a cluster.
     Confirm {
-        /// Whose change it is.
+        /// The source of the change.
         source: SourceId,
         /// The cluster.
         cluster: ClusterName,
     },
-    /// A source should have spoken and has not, or is lost. Its clusters age, visibly, and nothing else
-    /// happens.
+    /// A source has not sent an expected update, or is disconnected. After a while its clusters are reported
+    /// as stale; they are otherwise unaffected.
     ///
-    /// Weighed against turning to the next source: silence would then be what changes a fleet most, all
-    /// proxies at once; and endpoints that have gone meanwhile are found by the balancer.
+    /// The catalog does not fall back to the next source, since the silence of one source would then change
+    /// the endpoints of all proxies at once. The load balancer detects endpoints that have disappeared
+    /// meanwhile.
     Silent {
-        /// Which one.
+        /// The source.
         source: SourceId,
-        /// How.
+        /// The kind of silence.
         silence: Silence,
     },
-    /// A source is in touch again and stands by all that it last said.
+    /// A source is connected again, and its last update is still current.
     Reconnected {
-        /// Which one.
+        /// The source.
         source: SourceId,
     },
-    /// [`Catalog::deadline`](crate::Catalog::deadline) has come.
+    /// [`Catalog::deadline`](crate::Catalog::deadline) has passed.
     Tick,
 }
 
-/// How a source is silent.
+/// The kind of a source's silence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Silence {
-    /// The way to it stands, but nothing comes.
+    /// The source is connected but sends nothing usable.
     Quiet,
-    /// The way to it is lost: a stream ended, a file cannot be read.
+    /// The connection to the source is lost: a stream has ended or a file cannot be read.
     Lost,
 }
 
-/// What a source says.
+/// The content of a source's update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// All clusters whole: its others are no more. Each is validated on its own.
+    /// The complete state of all clusters; any other cluster of the source is removed. Each is validated on
+    /// its own.
     FullSnapshot(Vec<Cluster>),
-    /// Some clusters whole; nothing about its others.
+    /// The complete state of some clusters; the source's other clusters are unchanged.
     ClusterSnapshots(Vec<Cluster>),
-    /// Changes to some clusters; all to one cluster count as one update. To a cluster that the source has not
-    /// listed yet they are its first list.
+    /// Changes to some clusters. All changes to one cluster count as one update. For a cluster that the
+    /// source has not listed yet, they are its first list.
     ClusterDeltas(Vec<ClusterDelta>),
-    /// These clusters are no more, in so many words.
+    /// The source explicitly removes these clusters.
     ClustersRemoved(Vec<ClusterName>),
 }
 
@@ -73,11 +75,11 @@
 pub struct ClusterDelta {
     /// The cluster.
     pub cluster: ClusterName,
-    /// New limits, all of them; none if they stay.
+    /// The new limits, which replace all previous ones; `None` if they are unchanged.
     pub settings: Option<ClusterSettings>,
-    /// Endpoints that are new or described anew.
+    /// Endpoints that are new or have changed.
     pub upserts: Vec<Endpoint>,
-    /// Endpoints that have left. One that is not listed is passed over.
+    /// Endpoints that are removed. Endpoints that are not listed are ignored.
     pub removals: Vec<EndpointName>,
 }
 
--- a/crates/membership/src/file/mod.rs
+++ b/crates/membership/src/file/mod.rs
@@ -1,20 +1,20 @@
-//! Clusters as files write them, in TOML or in JSON. One schema, version 1:
+//! Reads clusters from files in TOML or JSON. The schema is the same for both, version 1:
 //!
 //! ```toml
 //! version = 1
 //!
 //! [[clusters]]
 //! name = "cart"
-//! connect_timeout = "250ms"    # these limits may be left out
+//! connect_timeout = "250ms"    # this and the following limits are optional
 //! max_connections = 100
 //! max_pending_requests = 50
 //! max_requests = 200
 //! max_retries = 3
 //!
 //! [[clusters.endpoints]]
-//! name = "cart-1"              # the id; must stay the same as long as the endpoint does
+//! name = "cart-1"              # the id; must not change during the lifetime of the endpoint
 //! address = "10.0.0.1:8080"
-//! zone = "a"                   # from here on all may be left out; these are examples, not defaults
+//! zone = "a"                   # this and the following keys are optional, with example values
 //! priority = 0                 # default 0
 //! weight = 1.5                 # default 1
 //! cell = 3                     # default 0
@@ -25,18 +25,19 @@
 //!
 //! [[clusters]]
 //! name = "old"
-//! empty = true                 # the explicit word: no endpoints, on purpose
+//! empty = true                 # states explicitly that the cluster has no endpoints
 //!
 //! [end]
 //! ```
 //!
-//! TOML files end with `[end]`: a TOML file that is torn off between two endpoints, or in the middle of a
-//! number, is a shorter TOML file, and nothing else tells it from a whole one. JSON tells by its closing
-//! brace.
+//! TOML files end with `[end]`: a TOML file that is truncated between two endpoints, or in the middle of a
+//! number, is still valid TOML, so that nothing else distinguishes it from a complete one. In JSON the
+//! closing brace does.
 //!
-//! A file is good as a whole or not at all. So is a directory of fragments, in which each cluster stands in
-//! exactly one file. Weighed against spreading a cluster over files: there a file that is missing looks like
-//! endpoints that left, two files can contradict each other in the limits, and nobody owns the cluster.
+//! A file is accepted as a whole or not at all. The same applies to a directory of fragments, in which each
+//! cluster is defined in exactly one file. If a cluster could be spread over several files, a missing file
+//! would look like the removal of its endpoints, two files could contradict each other in the limits, and no
+//! file would own the cluster.
 
 mod fragments;
 mod problem;
@@ -48,14 +49,15 @@
 
 use crate::endpoint::Cluster;
 
-/// The version of the form.
+/// The version of the file format.
 pub const VERSION: u32 = 1;
 
-/// Reads a file. `name` is what problems call it; it is read as JSON if it ends in `.json`, as TOML if it
-/// ends in `.toml`, and otherwise as JSON if its text begins with a brace.
+/// Reads clusters from the text of a file. `name` is the file name used in problems. The text is read as JSON
+/// if the name ends in `.json`, as TOML if it ends in `.toml`, and otherwise as JSON if the text begins with
+/// a brace.
 ///
 /// # Errors
-/// All that is wrong with it, at least one thing, in the order of the text.
+/// Returns all problems, at least one, in the order of the text.
 pub fn parse(name: &str, text: &str) -> Result<Vec<Cluster>, FileProblems> {
     Ok(read::read(name, text)?.into_iter().map(|placed| placed.cluster).collect())
 }
--- a/crates/membership/src/file/problem.rs
+++ b/crates/membership/src/file/problem.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a file, and where.
+//! The problems found in a file, with their positions.
 
 use crate::invalid::Invalid;
 use std::fmt;
 use std::ops::Range;
 
-/// One thing that is wrong with a file.
+/// One problem in a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FileProblem {
     /// The file.
@@ -13,94 +13,94 @@
     pub line: usize,
     /// The column in characters, from 1.
     pub column: usize,
-    /// The key, such as `clusters[0].endpoints[2].weight`; empty where the fault is in no key.
+    /// The path of the key, such as `clusters[0].endpoints[2].weight`; empty if the fault concerns no key.
     pub key: String,
-    /// What is wrong.
+    /// The kind of fault.
     pub fault: Fault,
 }
 
-/// What can be wrong with a file.
+/// A kind of fault in a file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Fault {
-    /// It is not TOML or JSON.
-    #[error("not {form}: {what}")]
+    /// The text is not valid TOML or JSON.
+    #[error("invalid {format}: {message}")]
     Syntax {
         /// TOML or JSON.
-        form: &'static str,
-        /// What the parser says.
-        what: String,
+        format: &'static str,
+        /// The message of the parser.
+        message: String,
     },
-    /// The end mark is not the last thing in it.
-    #[error("no [end] as the last line: the file may be torn off, so nothing of it is taken")]
-    Torn,
-    /// Another version of the form.
-    #[error("version {found} of the form; this build reads version {}", super::VERSION)]
+    /// The end mark is missing or is not the last line.
+    #[error("no [end] as the last line: the file may be truncated, so none of it is used")]
+    Truncated,
+    /// The version of the format is not supported.
+    #[error("format version {found} is not supported; this build reads version {}", super::VERSION)]
     Version {
-        /// What it says.
+        /// The version in the file.
         found: String,
     },
-    /// A key that is needed is not there.
-    #[error("the key is missing")]
-    Missing,
-    /// A key that nobody knows.
-    #[error("unknown key; {instead}")]
-    Unknown {
-        /// What may be meant.
-        instead: String,
+    /// A required key is missing.
+    #[error("the required key is missing")]
+    MissingKey,
+    /// A key is not part of the schema.
+    #[error("unknown key; {suggestion}")]
+    UnknownKey {
+        /// The key that may be meant, or the known keys.
+        suggestion: String,
     },
-    /// A key comes twice.
-    #[error("the key comes twice")]
-    KeyTwice,
-    /// A value of another type or form.
-    #[error("{found} is not {wanted}")]
+    /// A key occurs twice in a table.
+    #[error("duplicate key")]
+    DuplicateKey,
+    /// A value has another type or format than expected.
+    #[error("{found} is not {expected}")]
     Value {
-        /// What would be right.
-        wanted: &'static str,
-        /// What is there.
+        /// The expected value.
+        expected: &'static str,
+        /// The value in the file.
         found: String,
     },
-    /// A value that can mean nothing.
+    /// A value of the right type is invalid.
     #[error("{0}")]
     Invalid(Invalid),
-    /// A name that must be unique stands elsewhere too.
-    #[error("{what} {name:?} is also in {place}")]
-    Twice {
+    /// A name that must be unique is used twice.
+    #[error("{item} {name:?} is also defined in {place}")]
+    DuplicateName {
         /// Cluster or endpoint.
-        what: &'static str,
+        item: &'static str,
         /// Its name.
         name: String,
-        /// Where it stands too, as `file:line`.
+        /// The other place, as `file:line`.
         place: String,
     },
-    /// No cluster is listed.
-    #[error("no cluster is listed")]
+    /// The file lists no clusters.
+    #[error("the file lists no clusters")]
     NoClusters,
-    /// No endpoint is listed.
-    #[error("the cluster lists no endpoint; write `empty = true` if that is meant")]
+    /// A cluster lists no endpoints and is not marked as empty.
+    #[error("the cluster lists no endpoints; set `empty = true` if this is intended")]
     NoEndpoints,
-    /// Endpoints are listed, and the cluster is said to be empty.
-    #[error("the cluster is said to be empty, and lists {count} endpoints")]
+    /// A cluster is marked as empty but lists endpoints.
+    #[error("the cluster is marked as empty but lists {count} endpoints")]
     NotEmpty {
-        /// How many.
+        /// The number of listed endpoints.
         count: usize,
     },
-    /// No ready endpoint has a weight.
-    #[error("all weights are zero, so that nothing would be served")]
+    /// No ready endpoint of a cluster has a weight greater than 0.
+    #[error("all weights are zero, so no endpoint would receive requests")]
     AllWeightsZero,
 }
 
-/// All that is wrong with one or more files, at least one thing.
+/// All problems of one or more files, at least one.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub struct FileProblems(Vec<FileProblem>);
 
 impl FileProblems {
-    /// None if there is no problem.
+    /// Sorts the problems by position. Returns `None` if there are none.
     pub(super) fn of(mut problems: Vec<FileProblem>) -> Option<FileProblems> {
         problems.sort_by(|a, b| (&a.file, a.line, a.column).cmp(&(&b.file, b.line, b.column)));
         (!problems.is_empty()).then_some(FileProblems(problems))
     }
 
-    /// The problems, by file and in the order of the text.
+    /// Returns the problems, by file and in the order of the text.
     pub fn problems(&self) -> &[FileProblem] {
         &self.0
     }
@@ -118,13 +118,13 @@
         key: String,
         fault: Fault,
     ) -> FileProblem {
-        let (line, column) = lines.place(range.start);
+        let (line, column) = lines.line_and_column(range.start);
         FileProblem { file: file.into(), line, column, key, fault }
     }
 }
 
-/// Where the lines of a text begin. Danger: whoever counts lines from the start of the text for each of 10,000
-/// endpoints takes seconds.
+/// An index of the line starts of a text. Without it, counting lines from the start of the text for each of
+/// 10,000 endpoints would take seconds.
 pub(super) struct Lines<'t> {
     text: &'t str,
     starts: Vec<usize>,
@@ -136,8 +136,8 @@
         Lines { text, starts }
     }
 
-    /// Line and column of a byte, from 1.
-    pub fn place(&self, at: usize) -> (usize, usize) {
+    /// Returns the line and column of a byte offset, from 1.
+    pub fn line_and_column(&self, at: usize) -> (usize, usize) {
         let at = (0..=at.min(self.text.len())).rev().find(|&at| self.text.is_char_boundary(at)).unwrap_or(0);
         let line = self.starts.partition_point(|start| *start <= at);
         let start = self.starts.get(line.saturating_sub(1)).copied().unwrap_or(0);
--- a/crates/membership/src/file/read.rs
+++ b/crates/membership/src/file/read.rs
@@ -1,4 +1,4 @@
-//! From a tree to clusters, with all that is wrong on the way. Called for each file; it does no I/O.
+//! Converts the tree of a file to clusters and collects all problems. It does no I/O.
 
 use super::VERSION;
 use super::problem::{Fault, FileProblem, FileProblems, Lines};
@@ -12,7 +12,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// A cluster, and where its name stands.
+/// A cluster, and the position of its name.
 pub(super) struct PlacedCluster {
     pub cluster: Cluster,
     pub key: String,
@@ -20,21 +20,21 @@
     pub column: usize,
 }
 
-/// A name, and where it stands.
+/// A name and its position.
 struct PlacedName {
     name: String,
     line: usize,
     column: usize,
 }
 
-/// Reads a file.
+/// Reads the clusters of a file's text.
 pub(super) fn read(file: &str, text: &str) -> Result<Vec<PlacedCluster>, FileProblems> {
     let mut reader = Reader { file, lines: Lines::of(text), problems: Vec::new(), labels: BTreeMap::new() };
     let tree = if is_json(file, text) { Node::from_json(text) } else { Node::from_toml(text) };
     let clusters = match tree {
         Ok(tree) => reader.clusters(&tree),
         Err((range, fault)) => {
-            reader.problem(&range, "", fault);
+            reader.report(&range, "", fault);
             Vec::new()
         }
     };
@@ -45,12 +45,13 @@
     file: &'t str,
     lines: Lines<'t>,
     problems: Vec<FileProblem>,
-    /// Zones and kinds, so that endpoints share them.
+    /// The names of zones and machine types, so that endpoints share their memory.
     labels: BTreeMap<String, Label>,
 }
 
-/// The keys of a table that are taken out one by one.
+/// A table with known keys.
 struct Table<'n> {
+    /// The path of the table; empty at the top level.
     key: String,
     range: Range<usize>,
     entries: BTreeMap<&'n str, &'n Entry>,
@@ -71,75 +72,76 @@
     ["name", "address", "zone", "priority", "weight", "cell", "kind", "state", "metadata", "started_ms"];
 
 impl Reader<'_> {
-    fn problem(&mut self, range: &Range<usize>, key: &str, fault: Fault) {
+    fn report(&mut self, range: &Range<usize>, key: &str, fault: Fault) {
         self.problems.push(FileProblem::at(self.file, &self.lines, range, key.to_owned(), fault));
     }
 
-    fn wrong(&mut self, node: &Node, key: &str, wanted: &'static str) {
+    fn report_value(&mut self, node: &Node, key: &str, expected: &'static str) {
         let found = match &node.value {
             Value::Text(text) => format!("{text:?}"),
             Value::Integer(number) => number.to_string(),
             Value::Float(number) => number.to_string(),
-            Value::Bool(is) => is.to_string(),
+            Value::Bool(value) => value.to_string(),
             Value::List(_) => "a list".into(),
             Value::Table(_) => "a table".into(),
-            Value::Other(what) => (*what).into(),
+            Value::Other(description) => (*description).into(),
         };
-        self.problem(&node.range, key, Fault::Value { wanted, found });
+        self.report(&node.range, key, Fault::Value { expected, found });
     }
 
-    /// A table of known keys. Of a key that comes twice the first counts.
+    /// Reads a table with known keys, or with any keys if `known` is empty. Of duplicate keys, the first one
+    /// is used.
     fn table<'n>(&mut self, node: &'n Node, key: &str, known: &[&str]) -> Option<Table<'n>> {
         let Value::Table(entries) = &node.value else {
-            self.wrong(node, key, "a table");
+            self.report_value(node, key, "a table");
             return None;
         };
         let (mut table, dot) = (BTreeMap::new(), if key.is_empty() { "" } else { "." });
         for entry in entries {
-            let inner = format!("{key}{dot}{}", entry.name);
+            let child_key = format!("{key}{dot}{}", entry.name);
             if !known.is_empty() && !known.contains(&entry.name.as_str()) {
-                self.problem(
+                self.report(
                     &entry.range,
-                    &inner,
-                    Fault::Unknown { instead: suggestion(&entry.name, known) },
+                    &child_key,
+                    Fault::UnknownKey { suggestion: suggest(&entry.name, known) },
                 );
                 continue;
             }
             match table.entry(entry.name.as_str()) {
-                Vacant(place) => _ = place.insert(entry),
-                Occupied(_) => self.problem(&entry.range, &inner, Fault::KeyTwice),
+                Vacant(vacant) => _ = vacant.insert(entry),
+                Occupied(_) => self.report(&entry.range, &child_key, Fault::DuplicateKey),
             }
         }
         Some(Table { key: key.to_owned(), range: node.range.clone(), entries: table })
     }
 
-    /// A value that must be there.
+    /// Returns the value of a required key.
     fn required<'n>(&mut self, table: &Table<'n>, name: &str) -> Option<&'n Node> {
         let node = table.entries.get(name).map(|entry| &entry.node);
         if node.is_none() {
-            self.problem(&table.range, &table.inner(name), Fault::Missing);
+            self.report(&table.range, &table.child_key(name), Fault::MissingKey);
         }
         node
     }
 
-    /// A value of one form, if the key is there.
+    /// Reads the value of an optional key.
     fn value<T>(
         &mut self,
         table: &Table,
         name: &str,
-        wanted: &'static str,
+        expected: &'static str,
         read: impl Fn(&Value) -> Option<T>,
     ) -> Option<T> {
         let node = &table.entries.get(name)?.node;
         let value = read(&node.value);
         if value.is_none() {
-            self.wrong(node, &table.inner(name), wanted);
+            self.report_value(node, &table.child_key(name), expected);
         }
         value
     }
 
     fn label(&mut self, table: &Table, name: &str) -> Label {
-        let text = self.value(table, name, "a text", text).unwrap_or_default();
+        let text = self.value(table, name, "a string", text).unwrap_or_default();
         self.labels.entry(text).or_insert_with_key(|text| Label::from(text.as_str())).clone()
     }
 
@@ -149,9 +151,9 @@
             match node.value {
                 Value::Integer(version) if version == i128::from(VERSION) => {}
                 Value::Integer(version) => {
-                    self.problem(&node.range, "version", Fault::Version { found: version.to_string() });
+                    self.report(&node.range, "version", Fault::Version { found: version.to_string() });
                 }
-                _ => self.wrong(node, "version", "a whole number"),
+                _ => self.report_value(node, "version", "an integer"),
             }
         }
         let empty =
@@ -159,11 +161,11 @@
         self.value(&table, "end", "an empty table", empty);
         let Some(node) = self.required(&table, "clusters") else { return Vec::new() };
         let Value::List(items) = &node.value else {
-            self.wrong(node, "clusters", "a list of clusters");
+            self.report_value(node, "clusters", "a list of clusters");
             return Vec::new();
         };
         if items.is_empty() {
-            self.problem(&node.range, "clusters", Fault::NoClusters);
+            self.report(&node.range, "clusters", Fault::NoClusters);
         }
         let mut clusters: Vec<PlacedCluster> = Vec::new();
         let mut lines: BTreeMap<String, usize> = BTreeMap::new();
@@ -171,39 +173,40 @@
             let Some(placed) = self.cluster(item, &format!("clusters[{at}]")) else { continue };
             let name = placed.cluster.name.as_str().to_owned();
             let name = PlacedName { name, line: placed.line, column: placed.column };
-            self.unique(&mut lines, "cluster", &name, &placed.key);
+            self.check_unique(&mut lines, "cluster", &name, &placed.key);
             clusters.push(placed);
         }
         clusters
     }
 
-    /// Notes where a name stands, and complains if it stands elsewhere too.
-    fn unique(
+    /// Records the line of a name, and reports a problem if the name was used before.
+    fn check_unique(
         &mut self,
         lines: &mut BTreeMap<String, usize>,
-        what: &'static str,
+        item: &'static str,
         placed: &PlacedName,
         key: &str,
     ) {
         let PlacedName { line, column, .. } = *placed;
         match lines.entry(placed.name.clone()) {
-            Vacant(place) => _ = place.insert(line),
-            Occupied(place) => {
-                let (name, place) = (place.key().clone(), format!("{}:{}", self.file, place.get()));
-                let (file, key, fault) = (self.file.into(), key.into(), Fault::Twice { what, name, place });
+            Vacant(entry) => _ = entry.insert(line),
+            Occupied(entry) => {
+                let (name, place) = (entry.key().clone(), format!("{}:{}", self.file, entry.get()));
+                let (file, key, fault) =
+                    (self.file.into(), key.into(), Fault::DuplicateName { item, name, place });
                 self.problems.push(FileProblem { file, line, column, key, fault });
             }
         }
     }
 
-    /// A name that can be used, and where it stands.
+    /// Reads the required name of a table; an invalid name is reported and returned.
     fn name(&mut self, table: &Table, invalid: fn(&'static str) -> Invalid) -> Option<PlacedName> {
         let node = self.required(table, "name")?;
-        let name = self.value(table, "name", "a text", text)?;
+        let name = self.value(table, "name", "a string", text)?;
         if let Some(fault) = fault_of(&name) {
-            self.problem(&node.range, &table.inner("name"), Fault::Invalid(invalid(fault)));
+            self.report(&node.range, &table.child_key("name"), Fault::Invalid(invalid(fault)));
         }
-        let (line, column) = self.lines.place(node.range.start);
+        let (line, column) = self.lines.line_and_column(node.range.start);
         Some(PlacedName { name, line, column })
     }
 
@@ -214,13 +217,12 @@
         let endpoints = self.endpoints(&table);
         let PlacedName { name, line, column } = name?;
         let cluster = Cluster { name: name.as_str().into(), endpoints, settings };
-        Some(PlacedCluster { cluster, key: table.inner("name"), line, column })
+        Some(PlacedCluster { cluster, key: table.child_key("name"), line, column })
     }
 
     fn settings(&mut self, table: &Table) -> ClusterSettings {
-        let connect_timeout =
-            self.value(table, "connect_timeout", "a length of time such as \"250ms\"", time);
-        let mut count = |name| self.value(table, name, "a whole number from 0 to 4294967295", integer::<u32>);
+        let connect_timeout = self.value(table, "connect_timeout", "a duration such as \"250ms\"", duration);
+        let mut count = |name| self.value(table, name, "an integer from 0 to 4294967295", integer::<u32>);
         let settings = ClusterSettings {
             connect_timeout,
             max_connections: count("max_connections"),
@@ -229,17 +231,17 @@
             max_retries: count("max_retries"),
         };
         if let Err(fault) = settings.check() {
-            self.invalid(table, fault);
+            self.report_invalid(table, fault);
         }
         settings
     }
 
-    /// Complains about a value of a table, at the key that the fault names.
-    fn invalid(&mut self, table: &Table, fault: Invalid) {
+    /// Reports an invalid value of a table at the position of its key.
+    fn report_invalid(&mut self, table: &Table, fault: Invalid) {
         let entry = fault.key().and_then(|name| table.entries.get(name));
         let range = entry.map_or(&table.range, |entry| &entry.node.range).clone();
-        let key = fault.key().map_or(table.key.clone(), |name| table.inner(name));
-        self.problem(&range, &key, Fault::Invalid(fault));
+        let key = fault.key().map_or(table.key.clone(), |name| table.child_key(name));
+        self.report(&range, &key, Fault::Invalid(fault));
     }
 
     fn endpoints(&mut self, table: &Table) -> Endpoints {
@@ -249,18 +251,19 @@
             None => &[],
             Some((_, Value::List(items))) => items,
             Some((node, _)) => {
-                self.wrong(node, &table.inner("endpoints"), "a list of endpoints");
-                return Endpoints::NoneOnPurpose;
+                self.report_value(node, &table.child_key("endpoints"), "a list of endpoints");
+                return Endpoints::IntentionallyEmpty;
             }
         };
-        let (range, key) = (node.map_or(&table.range, |node| &node.range).clone(), table.inner("endpoints"));
+        let (range, key) =
+            (node.map_or(&table.range, |node| &node.range).clone(), table.child_key("endpoints"));
         match (is_empty, items.len()) {
-            (true, 0) => return Endpoints::NoneOnPurpose,
+            (true, 0) => return Endpoints::IntentionallyEmpty,
             (true, count) => {
                 let range = table.entries.get("empty").map_or(&range, |entry| &entry.node.range).clone();
-                self.problem(&range, &table.inner("empty"), Fault::NotEmpty { count });
+                self.report(&range, &table.child_key("empty"), Fault::NotEmpty { count });
             }
-            (false, 0) => self.problem(&range, &key, Fault::NoEndpoints),
+            (false, 0) => self.report(&range, &key, Fault::NoEndpoints),
             (false, _) => {}
         }
         let (mut list, mut lines) = (Vec::with_capacity(items.len()), BTreeMap::new());
@@ -269,27 +272,27 @@
         }
         let mut ready = list.iter().filter(|e: &&Endpoint| e.state == State::Ready).peekable();
         if ready.peek().is_some() && ready.all(|e| e.weight == 0.0) {
-            self.problem(&range, &key, Fault::AllWeightsZero);
+            self.report(&range, &key, Fault::AllWeightsZero);
         }
         Endpoints::Listed(list)
     }
 
     fn endpoint(&mut self, node: &Node, key: &str, lines: &mut BTreeMap<String, usize>) -> Option<Endpoint> {
-        let known = self.problems.len();
+        let problems_before = self.problems.len();
         let table = self.table(node, key, &ENDPOINT_KEYS)?;
         let name = self.name(&table, |fault| Invalid::EndpointName { fault });
         let address =
             self.value(&table, "address", "an IP address and port such as \"10.0.0.1:8080\"", address);
         let state = self.value(&table, "state", "\"ready\", \"draining\" or \"unhealthy\"", state);
         let (zone, kind) = (self.label(&table, "zone"), self.label(&table, "kind"));
-        let count = "a whole number of at least 0";
-        let priority = self.value(&table, "priority", "a whole number from 0 to 128", integer);
+        let count = "an integer of at least 0";
+        let priority = self.value(&table, "priority", "an integer from 0 to 128", integer);
         let weight = self.value(&table, "weight", "a number", number);
         let cell = self.value(&table, "cell", count, integer);
         let started = self.value(&table, "started_ms", count, integer::<u64>);
         let metadata = self.metadata(&table);
         let name = name?;
-        self.unique(lines, "endpoint", &name, &table.inner("name"));
+        self.check_unique(lines, "endpoint", &name, &table.child_key("name"));
         let PlacedName { name, .. } = name;
         let endpoint = Endpoint {
             name: name.as_str().into(),
@@ -303,28 +306,28 @@
             metadata,
             started: started.filter(|ms| *ms > 0).map(|ms| ms.saturating_mul(1_000_000)),
         };
-        // What was complained of already would be complained of once more.
+        // Validation would report a problem again that was found while reading the values.
         if let Err(fault) = endpoint.check()
-            && self.problems.len() == known
+            && self.problems.len() == problems_before
         {
-            self.invalid(&table, fault);
+            self.report_invalid(&table, fault);
         }
         Some(endpoint)
     }
 
     fn metadata(&mut self, table: &Table) -> Metadata {
         let Some(entry) = table.entries.get("metadata") else { return Metadata::default() };
-        let key = table.inner("metadata");
+        let key = table.child_key("metadata");
         let Some(pairs) = self.table(&entry.node, &key, &[]) else { return Metadata::default() };
         let names: Vec<&str> = pairs.entries.keys().copied().collect();
-        let pair = |name| Some((name, self.value(&pairs, name, "a text", text)?));
+        let pair = |name| Some((name, self.value(&pairs, name, "a string", text)?));
         names.into_iter().filter_map(pair).collect()
     }
 }
 
 impl Table<'_> {
-    /// The whole name of a key in it.
-    fn inner(&self, name: &str) -> String {
+    /// Returns the path of a key in this table.
+    fn child_key(&self, name: &str) -> String {
         if self.key.is_empty() { name.to_owned() } else { format!("{}.{name}", self.key) }
     }
 }
@@ -334,7 +337,7 @@
 }
 
 fn boolean(value: &Value) -> Option<bool> {
-    if let Value::Bool(is) = value { Some(*is) } else { None }
+    if let Value::Bool(value) = value { Some(*value) } else { None }
 }
 
 fn integer<T: TryFrom<i128>>(value: &Value) -> Option<T> {
@@ -349,7 +352,7 @@
     }
 }
 
-fn time(value: &Value) -> Option<Duration> {
+fn duration(value: &Value) -> Option<Duration> {
     humantime::parse_duration(&text(value)?).ok()
 }
 
@@ -366,13 +369,13 @@
     }
 }
 
-/// What to write instead of an unknown key: the nearest known one, or what is known if none is near.
-fn suggestion(name: &str, known: &[&str]) -> String {
-    // As clap does for options: below 0.7 a suggestion is as often wrong as right.
-    let likeness = |other: &str| strsim::jaro_winkler(&name.to_lowercase(), other);
-    let near = known.iter().map(|&k| (likeness(k), k)).filter(|(likeness, _)| *likeness > 0.7);
-    match near.max_by(|a, b| a.0.total_cmp(&b.0)) {
-        Some((_, near)) => format!("did you mean `{near}`?"),
-        None => format!("known: {}", known.join(", ")),
+/// Suggests the most similar known key for an unknown one, or lists all known keys if none is similar.
+fn suggest(name: &str, known: &[&str]) -> String {
+    // The threshold of clap for options: below 0.7 a suggestion is as often wrong as right.
+    let similarity = |other: &str| strsim::jaro_winkler(&name.to_lowercase(), other);
+    let similar = known.iter().map(|&k| (similarity(k), k)).filter(|(similarity, _)| *similarity > 0.7);
+    match similar.max_by(|a, b| a.0.total_cmp(&b.0)) {
+        Some((_, closest)) => format!("did you mean `{closest}`?"),
+        None => format!("known keys: {}", known.join(", ")),
     }
 }
--- a/crates/membership/src/file/tree.rs
+++ b/crates/membership/src/file/tree.rs
@@ -1,4 +1,4 @@
-//! A text, TOML or JSON, as one kind of tree, with the place of each key and value.
+//! Parses TOML and JSON into a common tree that keeps the position of each key and value.
 
 use super::problem::Fault;
 use jsonc_parser::ast::Value as Json;
@@ -8,7 +8,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// A value and its place.
+/// A value and its byte range in the text.
 #[derive(Debug)]
 pub(super) struct Node {
     pub range: Range<usize>,
@@ -23,11 +23,11 @@
     Bool(bool),
     List(Vec<Node>),
     Table(Vec<Entry>),
-    /// What no key of ours may be, in words.
+    /// A value of a type that no key accepts, described for messages.
     Other(&'static str),
 }
 
-/// A key of a table.
+/// A key of a table, and its value.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub name: String,
@@ -35,36 +35,36 @@
     pub node: Node,
 }
 
-/// Where and why a text cannot be read.
-pub(super) type Unreadable = (Range<usize>, Fault);
+/// The position and cause of a syntax error.
+pub(super) type ParseError = (Range<usize>, Fault);
 
-/// Whether a text is to be read as JSON.
+/// Returns whether a text is to be read as JSON.
 pub(super) fn is_json(name: &str, text: &str) -> bool {
     name.ends_with(".json") || !name.ends_with(".toml") && text.trim_start().starts_with('{')
 }
 
 impl Node {
-    /// Reads TOML, down to its end mark, which is taken out.
-    pub fn from_toml(text: &str) -> Result<Node, Unreadable> {
+    /// Parses TOML. The required end mark is removed from the tree.
+    pub fn from_toml(text: &str) -> Result<Node, ParseError> {
         let table = DeTable::parse(text).map_err(|error| {
-            let what = error.message().to_owned();
-            (error.span().unwrap_or(0..0), Fault::Syntax { form: "TOML", what })
+            let message = error.message().to_owned();
+            (error.span().unwrap_or(0..0), Fault::Syntax { format: "TOML", message })
         })?;
         let mut entries = from_table(table.get_ref());
         let end = entries.iter().position(|entry| entry.name == "end").map(|at| entries.swap_remove(at));
-        // Danger: an end mark that anything follows proves nothing.
-        let is_whole = end.is_some_and(|end| {
+        // An end mark that is followed by other content does not prove that the file is complete.
+        let is_complete = end.is_some_and(|end| {
             let is_empty = matches!(&end.node.value, Value::Table(entries) if entries.is_empty());
-            is_empty && entries.iter().all(|entry| last_of(entry) < end.range.start)
+            is_empty && entries.iter().all(|entry| last_start_of_entry(entry) < end.range.start)
         });
-        if !is_whole {
-            return Err((text.trim_end().len()..text.len(), Fault::Torn));
+        if !is_complete {
+            return Err((text.trim_end().len()..text.len(), Fault::Truncated));
         }
         Ok(Node { range: table.span(), value: Value::Table(entries) })
     }
 
-    /// Reads JSON, and nothing beyond: no comments, no trailing commas.
-    pub fn from_json(text: &str) -> Result<Node, Unreadable> {
+    /// Parses strict JSON, without comments or trailing commas.
+    pub fn from_json(text: &str) -> Result<Node, ParseError> {
         let strict = ParseOptions {
             allow_comments: false,
             allow_loose_object_property_names: false,
@@ -77,25 +77,26 @@
             allow_non_finite_numbers: false,
             allow_extended_string_escapes: false,
         };
-        let bad = |range: Range<usize>, what: String| (range, Fault::Syntax { form: "JSON", what });
+        let syntax_error =
+            |range: Range<usize>, message: String| (range, Fault::Syntax { format: "JSON", message });
         let parsed = parse_to_ast(text, &CollectOptions::default(), &strict).map_err(|error| {
             let range = error.range();
-            bad(range.start..range.end, error.kind().to_string())
+            syntax_error(range.start..range.end, error.kind().to_string())
         })?;
-        let nothing = || bad(0..0, "the text is blank".into());
-        Ok(from_json(parsed.value.ok_or_else(nothing)?))
+        let empty_text = || syntax_error(0..0, "the text is empty".into());
+        Ok(from_json(parsed.value.ok_or_else(empty_text)?))
     }
 }
 
-/// Where the last key or value begins, of an entry or of a value.
-fn last_of(entry: &Entry) -> usize {
-    entry.range.start.max(last_in(&entry.node))
+/// Returns where the last key or value of an entry begins.
+fn last_start_of_entry(entry: &Entry) -> usize {
+    entry.range.start.max(last_start_of_node(&entry.node))
 }
 
-fn last_in(node: &Node) -> usize {
+fn last_start_of_node(node: &Node) -> usize {
     let inside = match &node.value {
-        Value::Table(entries) => entries.iter().map(last_of).max(),
-        Value::List(items) => items.iter().map(last_in).max(),
+        Value::Table(entries) => entries.iter().map(last_start_of_entry).max(),
+        Value::List(items) => items.iter().map(last_start_of_node).max(),
         _ => None,
     };
     inside.unwrap_or(0).max(node.range.start)
@@ -114,10 +115,10 @@
     let tree = match value.get_ref() {
         DeValue::String(text) => Value::Text(text.clone().into_owned()),
         DeValue::Integer(digits) => {
-            integer(digits).map_or(Value::Other("a number out of reach"), Value::Integer)
+            integer(digits).map_or(Value::Other("a number out of range"), Value::Integer)
         }
         DeValue::Float(digits) => float(digits.as_str()),
-        DeValue::Boolean(is) => Value::Bool(*is),
+        DeValue::Boolean(value) => Value::Bool(*value),
         DeValue::Datetime(_) => Value::Other("a date"),
         DeValue::Array(items) => Value::List(items.iter().map(from_value).collect()),
         DeValue::Table(table) => Value::Table(from_table(table)),
@@ -126,7 +127,7 @@
 }
 
 fn float(digits: &str) -> Value {
-    digits.parse().map_or(Value::Other("a number out of reach"), Value::Float)
+    digits.parse().map_or(Value::Other("a number out of range"), Value::Float)
 }
 
 fn from_json(value: Json) -> Node {
@@ -134,7 +135,7 @@
     let tree = match value {
         Json::StringLit(text) => Value::Text(text.value.into_owned()),
         Json::NumberLit(number) => number.value.parse().map_or_else(|_| float(number.value), Value::Integer),
-        Json::BooleanLit(is) => Value::Bool(is.value),
+        Json::BooleanLit(literal) => Value::Bool(literal.value),
         Json::NullKeyword(_) => Value::Other("null"),
         Json::Array(items) => Value::List(items.elements.into_iter().map(from_json).collect()),
         Json::Object(object) => {
--- a/crates/membership/src/invalid.rs
+++ b/crates/membership/src/invalid.rs
@@ -1,34 +1,34 @@
-//! What is wrong with a value, in words that a person can act on. Knows ranges and keys, and nothing of sources.
+//! The reasons why a value is invalid, with messages for operators.
 
 use crate::limits;
 use std::net::SocketAddr;
 
-/// What can mean nothing.
+/// The reason why an endpoint, a cluster, a limit or an event is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Invalid {
-    /// The id cannot be used.
-    #[error("its id {fault}")]
+    /// The endpoint's id is invalid.
+    #[error("the id {fault}")]
     EndpointName {
-        /// What is wrong with it.
+        /// The fault, as a phrase that follows the subject.
         fault: &'static str,
     },
-    /// The cluster's name cannot be used.
-    #[error("its name {fault}")]
+    /// The cluster's name is invalid.
+    #[error("the name {fault}")]
     ClusterName {
-        /// What is wrong with it.
+        /// The fault, as a phrase that follows the subject.
         fault: &'static str,
     },
-    /// The id comes twice in one list or update.
-    #[error("its id comes twice; ids are unique in a cluster")]
-    IdTwice,
-    /// The cluster comes twice in one update.
-    #[error("it comes twice in one update; put its endpoints into one list")]
-    ClusterTwice,
-    /// Ready, but nobody can reach it.
-    #[error("it is ready and has no address")]
+    /// The id occurs several times in one list or update.
+    #[error("the id occurs more than once; ids must be unique in a cluster")]
+    DuplicateEndpoint,
+    /// The cluster occurs several times in one update.
+    #[error("the cluster occurs more than once in one update; put its endpoints into one list")]
+    DuplicateCluster,
+    /// The endpoint is ready but has no address.
+    #[error("the endpoint is ready but has no address")]
     NoAddress,
-    /// No endpoint can be reached there.
-    #[error("address {address}: no endpoint can be reached there")]
+    /// The address is unspecified or a multicast address, or the port is 0.
+    #[error("address {address} must be a unicast address with a port other than 0")]
     Address {
         /// The address.
         address: SocketAddr,
@@ -45,16 +45,16 @@
         /// The priority.
         priority: u32,
     },
-    /// More than metadata are for.
+    /// The metadata are too large.
     #[error(
-        "metadata of {pairs} pairs and {bytes} bytes; at most {} and {} are kept",
+        "metadata has {pairs} pairs and {bytes} bytes; the limits are {} pairs and {} bytes",
         limits::MAX_METADATA_PAIRS,
         limits::MAX_METADATA_BYTES
     )]
     Metadata {
-        /// How many pairs.
+        /// The number of pairs.
         pairs: usize,
-        /// How many bytes in all.
+        /// The total size of keys and values, in bytes.
         bytes: usize,
     },
     /// A limit is out of range.
@@ -62,11 +62,11 @@
     Setting {
         /// The key.
         key: &'static str,
-        /// What it must do.
+        /// The requirement, as a phrase that follows "must".
         requirement: &'static str,
     },
-    /// The cluster would be too large.
-    #[error("it would have more than {most} endpoints (max_endpoints)")]
+    /// The cluster would have too many endpoints.
+    #[error("the cluster would have more than {most} endpoints (max_endpoints)")]
     TooManyEndpoints {
         /// The limit.
         most: usize,
@@ -77,26 +77,26 @@
         /// The limit.
         most: usize,
     },
-    /// So many more were rejected in the same update.
-    #[error("{count} more endpoints of the same update")]
-    More {
-        /// How many.
+    /// Further rejections of the same update that are not reported one by one.
+    #[error("{count} more rejections in the same update")]
+    MoreRejections {
+        /// The number of further rejections.
         count: usize,
     },
-    /// The source is not one of those that the catalog was made for.
-    #[error("no such source is set up")]
+    /// The source is not one that the catalog was created with.
+    #[error("the source is not configured")]
     UnknownSource,
-    /// There is nothing to confirm.
-    #[error("nothing of it is held, so there is nothing to confirm")]
+    /// The cluster has no quarantined change to confirm.
+    #[error("no change is quarantined, so there is nothing to confirm")]
     NothingQuarantined,
 }
 
 impl Invalid {
-    /// The key of an endpoint or a cluster that is at fault, as files write it; none if it is no single one.
+    /// Returns the key of the invalid value as files spell it, or `None` if no single key is at fault.
     pub fn key(&self) -> Option<&'static str> {
         Some(match self {
             Invalid::EndpointName { .. } | Invalid::ClusterName { .. } => "name",
-            Invalid::IdTwice | Invalid::ClusterTwice => "name",
+            Invalid::DuplicateEndpoint | Invalid::DuplicateCluster => "name",
             Invalid::NoAddress | Invalid::Address { .. } => "address",
             Invalid::Weight { .. } => "weight",
             Invalid::Priority { .. } => "priority",
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,14 +1,15 @@
-//! Membership: endpoints of any source, through one checked catalog, to the smallest change for each cluster.
+//! Cluster membership: combines the endpoints of several sources into one validated catalog.
 //!
-//! Sources (a control plane over xDS, watched files, a registry) put what they say into [`Event`]s. The
-//! [`Catalog`] checks it, holds back what looks like a mistake, merges sources, and answers with [`Output`]s.
-//! It does no I/O and reads no clock: the time is passed in, and a shell wakes it at [`Catalog::deadline`].
+//! Sources (an xDS control plane, watched files, a registry) report their state as [`Event`]s. The
+//! [`Catalog`] validates them, quarantines changes that are likely mistakes, merges the sources, and emits
+//! the smallest change for each cluster as [`Output`]s. It does no I/O and reads no clock: the caller passes
+//! the time in, and calls the catalog again at [`Catalog::deadline`].
 //!
 //! ```
 //! use olivecart_membership::{Catalog, Cluster, Endpoint, Event, EndpointUpdate, Output, Policy, SourceId, Version};
 //!
 //! let files = SourceId::new("files");
-//! let mut catalog = Catalog::new(Policy::default(), [files.clone()]).expect("a usable policy");
+//! let mut catalog = Catalog::new(Policy::default(), [files.clone()]).expect("a valid policy");
 //! let cart = Cluster::new("cart", vec![Endpoint::ready("cart-1", "10.0.0.1:8080".parse().unwrap())]);
 //! let event = Event::Update { source: files, version: Version::new("1"), update: EndpointUpdate::FullSnapshot(vec![cart]) };
 //! let mut out = Vec::new();
@@ -16,12 +17,13 @@
 //! assert!(matches!(&out[..], [Output::Added(_), Output::Changed(change)] if change.upserted.len() == 1));
 //! ```
 //!
-//! What a source must do, and nobody else can do for it:
-//! - put its events in the order in which it heard them; versions are opaque and have no order here;
-//! - wait with a cluster until it knows its endpoints (warming): a list of none is a mistake here;
-//! - say [`Event::Silent`] when it should have heard and has not, and [`Event::Reconnected`] when it is in touch
-//!   again;
-//! - on [`Output::RefetchRequested`], ask its origin for the cluster once more and put the answer in, changed or not.
+//! Each source must:
+//! - send its events in the order in which it received them, since versions are opaque and have no order
+//!   here;
+//! - delay a cluster until it knows its endpoints (warming), since an empty list counts as a mistake;
+//! - send [`Event::Silent`] when an expected update is missing, and [`Event::Reconnected`] when it is
+//!   connected again;
+//! - on [`Output::RefetchRequested`], fetch the cluster from its origin again and report it, changed or not.
 
 #[macro_use]
 mod names;
--- a/crates/membership/src/names.rs
+++ b/crates/membership/src/names.rs
@@ -1,5 +1,5 @@
-//! Names as types, so that a cluster's is never taken for an endpoint's. Cheap to clone; ordered by their
-//! bytes.
+//! Distinct types for the names of clusters, endpoints, sources and labels. They are cheap to clone and
+//! ordered by their bytes.
 
 use crate::invalid::Invalid;
 use std::fmt;
@@ -12,12 +12,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// A name of any text; what is not usable as one is rejected by whoever takes it in.
+            /// Creates a name from any text. Validation is left to the code that accepts the name.
             pub fn new(text: impl Into<Arc<str>>) -> $name {
                 $name(text.into())
             }
 
-            /// The text.
+            /// Returns the name as a string.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -48,32 +48,32 @@
     ClusterName
 }
 name! {
-    /// The id of an endpoint, unique in its cluster and the same at every proxy. It, and never the address,
-    /// says which endpoint is meant.
+    /// The id of an endpoint, unique in its cluster and the same at every proxy. The id identifies the
+    /// endpoint; the address does not.
     EndpointName
 }
 name! {
-    /// The name of a source, as it was configured.
+    /// The configured name of a source.
     SourceId
 }
 name! {
-    /// A version as its source writes it.
+    /// A version string of a source.
     ///
-    /// Opaque, as xDS demands: a control plane that restarts may begin again at 1, and of two versions only
-    /// the source knows which is newer. The catalog shows it and decides nothing by it.
+    /// Opaque, as xDS requires: a control plane may restart its numbering at 1, so only the source knows
+    /// which of two versions is newer. The catalog reports versions but makes no decisions based on them.
     Version
 }
 name! {
-    /// The name of a zone or of a machine kind; empty where nothing is known. Endpoints share it if the
-    /// source clones it.
+    /// The name of a zone or of a machine type; empty if unknown. Endpoints share its memory if the source
+    /// clones the label.
     Label
 }
 
 impl ClusterName {
-    /// What keeps this from being the name of a cluster, if anything.
+    /// Checks that this is a valid name of a cluster.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns [`Invalid::ClusterName`] with the fault.
     pub fn check(&self) -> Result<(), Invalid> {
         fault_of(self.as_str()).map_or(Ok(()), |fault| Err(Invalid::ClusterName { fault }))
     }
@@ -91,18 +91,18 @@
     }
 }
 
-/// Longest name, in bytes: names go into logs and metrics, and a domain name has no more than 253.
-pub(crate) const LONGEST_NAME: usize = 256;
+/// The maximum length of a name: names appear in logs and metrics, and a domain name has at most 253 bytes.
+pub(crate) const MAX_NAME_BYTES: usize = 256;
 
-/// What keeps a text from being the name of a cluster or of an endpoint, if anything. Blanks and control
-/// characters are turned away because names are printed in lines and tables.
+/// Returns why a text is no valid name of a cluster or an endpoint, or `None` if it is one. Whitespace and
+/// control characters are rejected because names are printed in lines and tables.
 pub(crate) fn fault_of(name: &str) -> Option<&'static str> {
     match name {
         "" => Some("is empty"),
-        n if n.len() > LONGEST_NAME => Some("is longer than 256 bytes"),
-        n if n.bytes().all(|b| b.is_ascii_graphic()) => None, // nearly all: spares the decoding
+        n if n.len() > MAX_NAME_BYTES => Some("is longer than 256 bytes"),
+        n if n.bytes().all(|b| b.is_ascii_graphic()) => None, // the common case, without decoding UTF-8
         n if n.chars().any(|c| c.is_whitespace() || c.is_control()) => {
-            Some("holds a blank or control character")
+            Some("contains whitespace or a control character")
         }
         _ => None,
     }
