--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -1,4 +1,4 @@
-//! What the catalog puts out.
+//! The outputs of the catalog, and their messages for operators.
 
 use crate::anomaly::Anomaly;
 use crate::endpoint::{ClusterSettings, Endpoint};
@@ -9,182 +9,185 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the catalog puts out. Applied in order to an empty map, the outputs give exactly what the catalog
-/// has.
+/// An output of the catalog. The outputs applied in order to an empty map yield exactly the catalog's
+/// clusters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// A cluster is there; its endpoints follow.
+    /// A cluster was added; its endpoints follow in a [`Change`].
     Added(Added),
-    /// A cluster is no more: nothing new goes to its endpoints, and its history is forgotten.
+    /// A cluster was removed: its endpoints must not be sent new requests, and its history is discarded.
     Removed(Removed),
-    /// The smallest change of a cluster.
+    /// The endpoints or limits of a cluster changed.
     Changed(Change),
-    /// A cluster's source has been silent for [`Policy::aged_after`](crate::Policy::aged_after). It serves
-    /// on.
+    /// A cluster's source has been silent for [`Policy::aged_after`](crate::Policy::aged_after). The cluster
+    /// stays in service.
     Stale(Stale),
-    /// The source of an aged cluster is in touch again.
+    /// The source of a stale cluster is connected again.
     Recovered {
         /// The cluster.
         cluster: ClusterName,
         /// Its source.
         source: SourceId,
     },
-    /// A suspicious change is quarantined. Put out again when other kinds of anomalies join or go.
+    /// A suspicious change is quarantined. Repeated when the set of anomaly kinds changes.
     Quarantined(Quarantined),
-    /// All that was held of a source's cluster has passed.
+    /// All quarantined changes of a source to a cluster have been applied.
     Released {
         /// The cluster.
         cluster: ClusterName,
-        /// Whose change it was.
+        /// The source of the changes.
         source: SourceId,
         /// Why.
         cause: Cause,
     },
-    /// What was held of a source's cluster is no longer what the source says, and was dropped.
+    /// The quarantined changes of a source to a cluster were dropped, since the source no longer reports
+    /// them.
     QuarantineDropped {
         /// The cluster.
         cluster: ClusterName,
-        /// Whose change it was.
+        /// The source of the changes.
         source: SourceId,
     },
-    /// A quarantine has run out: the source is to ask its origin for the cluster again, so that it can confirm.
+    /// The quarantine period has ended: the source must fetch the cluster again, which may confirm the
+    /// change.
     RefetchRequested {
         /// The cluster.
         cluster: ClusterName,
-        /// Who shall ask.
+        /// The source that must fetch the cluster.
         source: SourceId,
     },
-    /// Something was rejected.
+    /// An input was rejected.
     Rejected(Rejection),
 }
 
-/// A cluster is there.
+/// A cluster that was added.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Added {
     /// The cluster.
     pub cluster: ClusterName,
     /// Its source.
     pub source: SourceId,
-    /// Limits that come with it.
+    /// The limits that the source sets for it.
     pub settings: ClusterSettings,
 }
 
-/// A cluster is no more.
+/// A cluster that was removed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Removed {
     /// The cluster.
     pub cluster: ClusterName,
-    /// Its last source.
+    /// The source that last provided it.
     pub source: SourceId,
     /// Why.
     pub cause: Cause,
 }
 
-/// The smallest change of a cluster.
+/// The smallest change that brings a cluster up to date.
 ///
-/// Danger: whoever applies it must take the removals first, since an address may pass from one endpoint to
-/// another in one change.
+/// Removals must be applied first, since an address may move from one endpoint to another within one change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The cluster.
     pub cluster: ClusterName,
     /// Its source.
     pub source: SourceId,
-    /// The version of that source.
+    /// The version of the source's update.
     pub version: Version,
     /// Why.
     pub cause: Cause,
-    /// New limits, all of them; none if they stay.
+    /// The new limits, which replace all previous ones; `None` if they are unchanged.
     pub settings: Option<ClusterSettings>,
-    /// Endpoints that have left, by id.
+    /// The endpoints that were removed, ordered by id.
     pub removed: Vec<EndpointName>,
-    /// Endpoints that are new or have changed, by id.
+    /// The endpoints that are new or have changed, ordered by id.
     pub upserted: Vec<Upserted>,
 }
 
 /// An endpoint that is new or has changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upserted {
-    /// As it is now.
+    /// The new state of the endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// What it is to what was there before.
+    /// How it relates to the previous endpoint of the same id.
     pub arrival: Arrival,
 }
 
-/// What an endpoint is to what was there before. Identity goes by id: another id at the same address is
-/// [`Arrival::New`] and inherits nothing.
+/// How an endpoint relates to the previous endpoint of the same id. The id alone identifies an endpoint:
+/// another id at the same address is [`Arrival::New`] and inherits no history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// Not known, or gone for too long.
+    /// The endpoint was not known, or was removed too long ago.
     New,
-    /// It left a moment ago and is back, the same process at the same address: its history holds.
+    /// The same process is back at the same address shortly after its removal: its history stays valid.
     Returned {
-        /// How long it was away, in nanoseconds.
+        /// The time since its removal, in nanoseconds.
         away: Nanos,
     },
-    /// The same id in a new process, perhaps elsewhere: only requests that are still out are its
-    /// predecessor's.
+    /// A new process has the same id, perhaps at another address: it inherits no history, and requests in
+    /// flight belong to the previous process.
     Restarted,
-    /// The same process at another address: its history holds, connections to the old address do not.
+    /// The same process has another address: its history stays valid, connections to the old address do not.
     Moved {
-        /// Where it was.
+        /// The previous address.
         from: Option<SocketAddr>,
     },
-    /// The same process at the same address, described anew.
+    /// The same process at the same address has other properties.
     Changed,
 }
 
 /// Why something changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// A source said so.
+    /// A source's update.
     Update {
-        /// Who; another than the cluster's source where it urged caution, or where it left the cluster.
+        /// The source of the update. It differs from the cluster's source if it reported an endpoint as not
+        /// ready, or if it stopped providing the cluster.
         by: SourceId,
     },
-    /// What was held has been confirmed.
+    /// A quarantined change was confirmed.
     Confirmed(ConfirmationSource),
-    /// What was quarantined is no longer suspicious: an address is free again, another endpoint has come.
+    /// A quarantined change is no longer suspicious, e.g. since an address is free again or an endpoint was
+    /// added.
     Resolved,
 }
 
-/// What has confirmed a held change.
+/// How a quarantined change was confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfirmationSource {
-    /// The same again from its source after the hold.
+    /// Its source repeated it after the quarantine period.
     Repetition,
-    /// The explicit word.
+    /// It was confirmed by an explicit command.
     ExplicitCommand,
-    /// Another source lists exactly the same endpoints at the same addresses.
+    /// Another source lists exactly the same endpoints with the same addresses.
     SecondSource(SourceId),
 }
 
-/// A cluster whose source is silent.
+/// A cluster whose source has been silent for too long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stale {
     /// The cluster.
     pub cluster: ClusterName,
     /// Its source.
     pub source: SourceId,
-    /// Since when the source is silent.
+    /// When the source became silent.
     pub since: Nanos,
 }
 
-/// A suspicious change that is quarantined.
+/// A quarantined change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Quarantined {
     /// The cluster.
     pub cluster: ClusterName,
-    /// Who said it.
+    /// The source of the change.
     pub source: SourceId,
-    /// What is suspicious, at least one thing.
+    /// The anomalies of the change, at least one.
     pub anomalies: Vec<Anomaly>,
-    /// No repetition confirms it before; then the source is asked again.
+    /// The end of the quarantine period: the source is then asked again, and repetition confirms the change.
     pub until: Nanos,
 }
 
 impl Quarantined {
-    /// Whether only the explicit word confirms it.
+    /// Returns whether only an explicit statement of the source or an operator confirms the change.
     pub fn needs_explicit_confirmation(&self) -> bool {
         self.anomalies.iter().any(Anomaly::needs_explicit_confirmation)
     }
@@ -192,14 +195,14 @@
 
 impl fmt::Display for Quarantined {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: cluster {}: held: ", self.source, self.cluster)?;
+        write!(f, "{}: cluster {}: quarantined: ", self.source, self.cluster)?;
         for (i, anomaly) in self.anomalies.iter().enumerate() {
             write!(f, "{}{anomaly}", if i == 0 { "" } else { "; " })?;
         }
         f.write_str(if self.needs_explicit_confirmation() {
-            ". Only an explicit word lets it through: empty on purpose, removed, or a confirmation"
+            ". It is applied only if the source marks the cluster as empty or removes it, or on confirmation"
         } else {
-            ". The same again after the hold, or an explicit word, lets it through"
+            ". It is applied if the source repeats it after the quarantine period, or on confirmation"
         })
     }
 }
@@ -207,12 +210,16 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Cause::Update { by } => write!(f, "{by} said so"),
-            Cause::Confirmed(ConfirmationSource::Repetition) => f.write_str("said again after the hold"),
+            Cause::Update { by } => write!(f, "update from {by}"),
+            Cause::Confirmed(ConfirmationSource::Repetition) => {
+                f.write_str("repeated after the quarantine period")
+            }
             Cause::Confirmed(ConfirmationSource::ExplicitCommand) => {
-                f.write_str("confirmed by explicit word")
+                f.write_str("confirmed by explicit command")
+            }
+            Cause::Confirmed(ConfirmationSource::SecondSource(other)) => {
+                write!(f, "confirmed by the same list from {other}")
             }
-            Cause::Confirmed(ConfirmationSource::SecondSource(other)) => write!(f, "{other} lists the same"),
             Cause::Resolved => f.write_str("no longer suspicious"),
         }
     }
--- a/crates/membership/src/policy.rs
+++ b/crates/membership/src/policy.rs
@@ -1,47 +1,49 @@
-//! The figures of the catalog's decisions.
+//! The policy of the catalog: its limits and time spans.
 
 use std::time::Duration;
 
-/// The figures of the catalog's decisions. [`Policy::default`] is what is meant for service.
+/// The limits and time spans that control the catalog's decisions. [`Policy::default`] is meant for
+/// production.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// For how long a suspicious change is held before the same again from its source confirms it; 0 s to
-    /// 10 min, 30 s by default, 0 to let it pass at once.
+    /// The quarantine period: how long a suspicious change is held back before repetition by its source
+    /// confirms it; 0 s to 10 min, 30 s by default. With 0, the change is accepted at once.
     ///
-    /// Weighed: a registry that restarts relists its instances within one heartbeat, 5 to 30 s in common
-    /// ones, so that a shorter hold lets its first, partial lists through. Holding back a true loss costs
-    /// little: the endpoints that are gone fail to connect, and the balancer marks them down within a second
-    /// or two.
+    /// A registry that restarts lists its instances again within one heartbeat, 5 to 30 s in common
+    /// registries. A shorter period would accept its first, partial lists. Delaying a genuine loss costs
+    /// little: connections to the lost endpoints fail, and the load balancer ejects them within one or two
+    /// seconds.
     pub hold: Duration,
-    /// More than this share of a cluster's ready endpoints leaving in one update is suspicious if they are at
-    /// least two; over 0, at most 1, 0.5 by default.
+    /// The largest share of a cluster's ready endpoints that one update may remove without being suspicious;
+    /// greater than 0, at most 1, 0.5 by default. Removing a single endpoint is not suspicious by its share.
     ///
-    /// Weighed: deployments replace a quarter to a third at a time and drain first, and what drains or fails
-    /// when it leaves does not count. Half the endpoints can't be missed by mistake without the rest being
-    /// overloaded; a lower share would hold back ordinary scaling down.
+    /// Deployments replace a quarter to a third of the endpoints at a time and drain them first; endpoints
+    /// that are draining or unhealthy when they are removed do not count. Losing more than half of the
+    /// endpoints by mistake would overload the rest, while a lower share would delay ordinary scaling down.
     pub most_gone: f64,
-    /// An endpoint that is back within this time after it left has [returned](crate::Arrival::Returned) and
-    /// keeps its history; 0 s to 5 min, 10 s by default.
+    /// An endpoint that is added again within this time after its removal has
+    /// [returned](crate::Arrival::Returned) and keeps its history; 0 s to 5 min, 10 s by default.
     ///
-    /// Weighed: what is known of an endpoint's health and speed goes stale in tens of seconds, and what left
-    /// must be remembered for as long.
+    /// Knowledge of an endpoint's health and speed becomes outdated within tens of seconds, and removed
+    /// endpoints occupy memory for this time.
     pub returns_within: Duration,
-    /// A source that has been silent for this long makes its clusters aged; 0 s to 1 h, 10 s by default:
-    /// longer than a reconnect with back-off, shorter than somebody takes to wonder.
+    /// The clusters of a source are stale after it has been silent for this long; 0 s to 1 h, 10 s by
+    /// default. It is longer than a reconnect with backoff, and short enough that operators learn of the
+    /// outage early.
     pub aged_after: Duration,
-    /// Most clusters, 1 to 100,000; 1,000 by default. A flood is refused by name.
+    /// The maximum number of clusters, 1 to 100,000; 1,000 by default. Further clusters are rejected by name.
     pub max_clusters: usize,
-    /// Most endpoints of a cluster, 1 to 1,000,000; 20,000 by default: some 8 MB.
+    /// The maximum number of endpoints in a cluster, 1 to 1,000,000; 20,000 by default, which take some 8 MB.
     pub max_endpoints: usize,
 }
 
-/// A figure of the policy is out of its range.
+/// The error for a policy value that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("policy of the catalog: {key} must be {range}")]
+#[error("catalog policy: {key} must be {range}")]
 pub struct BadPolicy {
-    /// The figure.
+    /// The key of the value.
     pub key: &'static str,
-    /// Its range.
+    /// The valid range.
     pub range: &'static str,
 }
 
@@ -59,22 +61,24 @@
 }
 
 impl Policy {
-    /// A single endpoint may always leave at once, unless nothing that takes requests would be left.
-    pub const FEWEST_SUSPICIOUS: usize = 2;
-    /// A source is asked again about a held change no more often than this.
-    pub const LEAST_ASKING: Duration = Duration::from_secs(1);
-    /// Most refusals that one update of one cluster puts out by name; the rest is counted.
-    pub const MOST_REFUSALS: usize = 16;
+    /// The smallest number of removals in one update that can be suspicious. A single endpoint may always be
+    /// removed, unless no endpoint that accepts requests would remain.
+    pub const MIN_SUSPICIOUS_REMOVALS: usize = 2;
+    /// The shortest interval at which a source is asked again about a quarantined change.
+    pub const MIN_REFETCH_INTERVAL: Duration = Duration::from_secs(1);
+    /// The maximum number of rejections that are reported one by one for an update of a cluster; further ones
+    /// are counted.
+    pub const MAX_NAMED_REJECTIONS: usize = 16;
 
-    /// Checks every figure against its range.
+    /// Checks each value against its range.
     ///
     /// # Errors
-    /// The first one that lies outside.
+    /// Returns the first value that is out of range.
     pub fn check(&self) -> Result<(), BadPolicy> {
         let within = |d: Duration, seconds| d <= Duration::from_secs(seconds);
         for (key, range, fits) in [
             ("hold", "0 s to 10 min", within(self.hold, 600)),
-            ("most_gone", "over 0, at most 1", self.most_gone > 0.0 && self.most_gone <= 1.0),
+            ("most_gone", "greater than 0, at most 1", self.most_gone > 0.0 && self.most_gone <= 1.0),
             ("returns_within", "0 s to 5 min", within(self.returns_within, 300)),
             ("aged_after", "0 s to 1 h", within(self.aged_after, 3600)),
             ("max_clusters", "1 to 100,000", (1..=100_000).contains(&self.max_clusters)),
@@ -87,7 +91,7 @@
         Ok(())
     }
 
-    pub(crate) fn asking(&self) -> Duration {
-        self.hold.max(Policy::LEAST_ASKING)
+    pub(crate) fn refetch_interval(&self) -> Duration {
+        self.hold.max(Policy::MIN_REFETCH_INTERVAL)
     }
 }
--- a/crates/membership/src/rejection.rs
+++ b/crates/membership/src/rejection.rs
@@ -1,19 +1,19 @@
-//! Why something that a source said is rejected. The catalog puts it out; the proxy logs it.
+//! Rejected inputs of a source. The catalog emits them, and the proxy logs them.
 
 use crate::invalid::Invalid;
 use crate::names::{ClusterName, EndpointName, SourceId};
 use std::fmt;
 
-/// Something that a source said and that cannot be taken in. What served before serves on.
+/// An invalid input of a source. The last valid state stays in service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rejection {
-    /// Who said it.
+    /// The source of the input.
     pub source: SourceId,
-    /// The cluster, where it was about one.
+    /// The cluster, if the input concerns one.
     pub cluster: Option<ClusterName>,
-    /// The endpoint, where it was about one.
+    /// The endpoint, if the input concerns one.
     pub endpoint: Option<EndpointName>,
-    /// What is wrong with it.
+    /// Why the input is invalid.
     pub reason: Invalid,
 }
 
@@ -21,13 +21,13 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}: ", self.source)?;
         if let Some(cluster) = &self.cluster {
-            // Quoted, since the name itself may be what is wrong.
+            // Quoted, since the name itself may be the invalid value.
             write!(f, "cluster {:?}: ", cluster.as_str())?;
         }
         if let Some(endpoint) = &self.endpoint {
             write!(f, "endpoint {:?}: ", endpoint.as_str())?;
         }
-        write!(f, "refused: {}", self.reason)
+        write!(f, "rejected: {}", self.reason)
     }
 }
 
--- a/crates/membership/src/summary.rs
+++ b/crates/membership/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a set of clusters amounts to, in a few lines.
+//! A short summary of a set of clusters, for the command line.
 
 use crate::endpoint::{Cluster, Endpoints, State};
 use crate::names::{ClusterName, Label};
@@ -6,39 +6,39 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a set of clusters amounts to.
+/// The summary of a set of clusters.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Summary {
-    /// Cluster by cluster, by name.
+    /// The clusters, ordered by name.
     pub clusters: Vec<ClusterSummary>,
 }
 
-/// What one cluster amounts to.
+/// The summary of one cluster.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClusterSummary {
     /// Its name.
     pub cluster: ClusterName,
-    /// It has no endpoints, on purpose.
+    /// Whether the cluster is intentionally empty.
     pub empty: bool,
-    /// How many endpoints are in each state.
+    /// The number of endpoints in each state.
     pub states: BTreeMap<State, usize>,
-    /// How many endpoints are in each zone; of no name where none is known.
+    /// The number of endpoints in each zone; the zone's name is empty if unknown.
     pub zones: BTreeMap<Label, usize>,
-    /// How many endpoints are of each priority.
+    /// The number of endpoints of each priority.
     pub priorities: BTreeMap<u32, usize>,
-    /// The sum of the weights of those that take requests.
+    /// The sum of the weights of the endpoints that accept requests.
     pub weight: f64,
 }
 
-/// What a set of clusters amounts to.
+/// Summarizes a set of clusters.
 pub fn summary(clusters: &[Cluster]) -> Summary {
-    let mut clusters: Vec<ClusterSummary> = clusters.iter().map(of).collect();
+    let mut clusters: Vec<ClusterSummary> = clusters.iter().map(summarize_cluster).collect();
     clusters.sort_by(|a, b| a.cluster.cmp(&b.cluster));
     Summary { clusters }
 }
 
-fn of(cluster: &Cluster) -> ClusterSummary {
-    let empty = cluster.endpoints == Endpoints::NoneOnPurpose;
+fn summarize_cluster(cluster: &Cluster) -> ClusterSummary {
+    let empty = cluster.endpoints == Endpoints::IntentionallyEmpty;
     let (states, zones, priorities) = Default::default();
     let mut sum =
         ClusterSummary { cluster: cluster.name.clone(), empty, states, zones, priorities, weight: 0.0 };
@@ -63,7 +63,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}: ", self.cluster)?;
         if self.empty {
-            return f.write_str("empty on purpose");
+            return f.write_str("intentionally empty");
         }
         let states =
             self.states.iter().map(|(state, n)| format!("{n} {}", format!("{state:?}").to_lowercase()));
@@ -71,8 +71,8 @@
             "" => format!("{n} in no zone"),
             zone => format!("{n} in zone {zone}"),
         });
-        let several = self.priorities.len() > 1;
-        let priorities = self.priorities.iter().filter(|_| several);
+        let has_several_priorities = self.priorities.len() > 1;
+        let priorities = self.priorities.iter().filter(|_| has_several_priorities);
         let priorities = priorities.map(|(priority, n)| format!("{n} of priority {priority}"));
         let parts: Vec<String> = states.chain(zones).chain(priorities).collect();
         write!(f, "{}, weight {}", parts.join(", "), self.weight)
--- a/crates/membership/src/watch/fake_file_system.rs
+++ b/crates/membership/src/watch/fake_file_system.rs
@@ -1,5 +1,5 @@
-//! A file system in memory for tests: one directory of files whose times come from a wall clock that is stepped
-//! at will, and calls that are interrupted or fail on demand.
+//! An in-memory file system for tests, with one directory of files. Tests control the clocks that set the
+//! times of files, and can have calls interrupted.
 
 use super::file_system::{ClockReading, FileStatus, FileSystem};
 use std::cell::{Cell, RefCell};
@@ -12,18 +12,18 @@
 pub(super) const FILE: &str = "/fleet.d/fleet.toml";
 
 const NANOS_PER_SECOND: i128 = 1_000_000_000;
-/// Some day in 2026, in nanoseconds of Unix time.
+/// The initial wall clock time, a day in 2026, in nanoseconds of Unix time.
 const WALL_START_NS: i128 = 1_790_000_000 * NANOS_PER_SECOND;
 
 pub(super) struct FakeFileSystem {
     files: RefCell<BTreeMap<PathBuf, (String, FileStatus)>>,
     start: Instant,
-    passed: Cell<Duration>,
-    stepped_ns: Cell<i128>,
-    /// So many calls in a row are interrupted before the next one succeeds.
+    elapsed: Cell<Duration>,
+    wall_clock_step_ns: Cell<i128>,
+    /// The number of consecutive calls that are interrupted before one succeeds.
     pub interruptions: Cell<u32>,
-    interrupted_in_a_row: Cell<u32>,
-    /// Reads give one byte each, each of them interrupted once before.
+    consecutive_interruptions: Cell<u32>,
+    /// Each read returns one byte and is interrupted once before.
     pub has_short_reads: Cell<bool>,
     pub reads: Cell<u32>,
 }
@@ -33,26 +33,26 @@
         FakeFileSystem {
             files: RefCell::default(),
             start: Instant::now(),
-            passed: Cell::default(),
-            stepped_ns: Cell::default(),
+            elapsed: Cell::default(),
+            wall_clock_step_ns: Cell::default(),
             interruptions: Cell::default(),
-            interrupted_in_a_row: Cell::default(),
+            consecutive_interruptions: Cell::default(),
             has_short_reads: Cell::default(),
             reads: Cell::default(),
         }
     }
 
-    /// Both clocks run on.
-    pub fn pass(&self, time: Duration) {
-        self.passed.set(self.passed.get() + time);
+    /// Advances both clocks.
+    pub fn advance(&self, time: Duration) {
+        self.elapsed.set(self.elapsed.get() + time);
     }
 
-    /// Somebody sets the wall clock, by seconds forward (back, where negative).
+    /// Steps the wall clock forward by seconds, or back if the number is negative.
     pub fn step_wall_clock(&self, seconds: i64) {
-        self.stepped_ns.set(self.stepped_ns.get() + i128::from(seconds) * NANOS_PER_SECOND);
+        self.wall_clock_step_ns.set(self.wall_clock_step_ns.get() + i128::from(seconds) * NANOS_PER_SECOND);
     }
 
-    /// Writes in place: the same inode, and the times of the wall clock as it is.
+    /// Writes a file in place: the inode stays the same, and the times are set by the wall clock.
     pub fn write(&self, path: &str, text: &str) {
         let now = self.clocks().wall_ns;
         let status = FileStatus {
@@ -68,11 +68,11 @@
     }
 
     fn interrupt(&self) -> io::Result<()> {
-        if self.interrupted_in_a_row.get() < self.interruptions.get() {
-            self.interrupted_in_a_row.set(self.interrupted_in_a_row.get() + 1);
+        if self.consecutive_interruptions.get() < self.interruptions.get() {
+            self.consecutive_interruptions.set(self.consecutive_interruptions.get() + 1);
             return Err(ErrorKind::Interrupted.into());
         }
-        self.interrupted_in_a_row.set(0);
+        self.consecutive_interruptions.set(0);
         Ok(())
     }
 }
@@ -113,9 +113,9 @@
     }
 
     fn clocks(&self) -> ClockReading {
-        let passed = self.passed.get();
-        let wall_ns = WALL_START_NS + passed.as_nanos() as i128 + self.stepped_ns.get();
-        ClockReading { wall_ns, monotonic: self.start + passed }
+        let elapsed = self.elapsed.get();
+        let wall_ns = WALL_START_NS + elapsed.as_nanos() as i128 + self.wall_clock_step_ns.get();
+        ClockReading { wall_ns, monotonic: self.start + elapsed }
     }
 }
 
--- a/crates/membership/src/watch/file_system.rs
+++ b/crates/membership/src/watch/file_system.rs
@@ -1,6 +1,7 @@
-//! The system calls that watching files needs, as a seam: the operating system behind it, or a test's failing one.
+//! The system calls for watching files, as a trait with two implementations: the operating system, and a fake
+//! for tests.
 //!
-//! The snapshot of a file and the watch on its directory call it; it decides nothing and remembers nothing.
+//! `snapshot` and `file_watcher` use it; it keeps no state.
 
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Read};
@@ -8,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// What the file system says of a file without its content.
+/// The metadata of a file or directory.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FileStatus {
     pub device: u64,
@@ -16,13 +17,15 @@
     pub size: u64,
     /// The last change of the content, in nanoseconds of Unix time by the file system's clock.
     pub modified_ns: i128,
-    /// The last change of the content or of what is said about it, the same way.
+    /// The last change of the content or the metadata, in nanoseconds of Unix time by the file system's
+    /// clock.
     pub changed_ns: i128,
     pub is_file: bool,
     pub is_directory: bool,
 }
 
-/// Both clocks at one moment. The wall clock may be stepped, forward or back; the monotonic one runs on.
+/// A reading of both clocks. The wall clock may be stepped forward or back; the monotonic clock is not
+/// affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ClockReading {
     /// Nanoseconds of Unix time.
@@ -31,28 +34,28 @@
 }
 
 impl ClockReading {
-    /// By how much the wall clock has run ahead of the monotonic one since, in nanoseconds; below 0 if it was set
-    /// back.
+    /// Returns by how much the wall clock was stepped between two readings, in nanoseconds; negative if it
+    /// was set back.
     pub fn step_ns_until(self, later: ClockReading) -> i128 {
         let passed = later.monotonic.saturating_duration_since(self.monotonic);
         later.wall_ns - self.wall_ns - passed.as_nanos() as i128
     }
 }
 
-/// The system calls. Each may fail in the ways that the system documents, with `Interrupted` too.
+/// The system calls. Each may fail with any error that the system documents, including `Interrupted`.
 pub(super) trait FileSystem {
-    /// The status of a file or directory, of what a link points at.
+    /// Returns the status of a file or directory; follows links.
     fn status(&self, path: &Path) -> io::Result<FileStatus>;
-    /// The paths of all that is in a directory, in any order.
+    /// Returns the paths of all entries of a directory, in any order.
     fn entries(&self, path: &Path) -> io::Result<Vec<PathBuf>>;
-    /// A file's content from its start.
+    /// Opens a file for reading.
     fn open(&self, path: &Path) -> io::Result<Box<dyn Read>>;
-    /// Both clocks. Danger: the wall clock comes first, so that a pause between the two makes a state look less
-    /// rested and never more.
+    /// Reads both clocks, the wall clock first: a pause between the two readings then makes the last change
+    /// of a file look more recent, never older.
     fn clocks(&self) -> ClockReading;
 }
 
-/// The file system of the machine.
+/// The file system of the operating system.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LocalFileSystem;
 
@@ -86,7 +89,7 @@
     }
 }
 
-/// Repeats a call for as long as a signal interrupts it, however often that is: nothing has failed.
+/// Repeats a call until it is not interrupted by a signal, without a limit on the number of attempts.
 pub(super) fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
--- a/crates/membership/src/watch/file_watcher.rs
+++ b/crates/membership/src/watch/file_watcher.rs
@@ -1,7 +1,7 @@
-//! The events of the file system about one file or directory.
+//! Receives file system events for one file or directory.
 //!
-//! Owns the watch on the directory; the watching task has it follow the directory before each look. It reads no
-//! file and decides nothing.
+//! Owns the watch on the directory. The watching task lets it follow the directory before each observation.
+//! It reads no files.
 
 use super::file_system::{FileSystem, retry_interrupted};
 use super::validator::Notice;
@@ -16,16 +16,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Watches a directory: that of the file, since a watch on the file itself would follow it where a rename
-/// puts another in its place.
+/// Watches a directory. For a file, this is its parent directory: a watch on the file itself would stay on
+/// the old inode when a rename replaces the file.
 pub(super) struct FileWatcher {
-    /// None where the system has no room for one more: polling remains.
+    /// `None` if the system's limit of watchers is reached; only polling is used then.
     watcher: Option<RecommendedWatcher>,
     directory: PathBuf,
     watched: Option<DirectoryIdentity>,
 }
 
-/// Tells a directory from another one at the same path.
+/// Identifies a directory regardless of its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct DirectoryIdentity {
     device: u64,
@@ -33,8 +33,8 @@
 }
 
 impl FileWatcher {
-    /// Notifies `changed` of each event that may be about what is watched. The notice, if any, says why there
-    /// will be none.
+    /// Creates a watcher that notifies `changed` of each event that may concern the watched file. The notice,
+    /// if any, tells why events are unavailable.
     pub fn new(watch: &Watch, changed: Arc<Notify>) -> (FileWatcher, Option<Notice>) {
         let (directory, file_name) = match watch.kind {
             Kind::Directory => (watch.path.clone(), None),
@@ -52,11 +52,11 @@
         (FileWatcher { watcher, directory, watched: None }, notice)
     }
 
-    /// Watches the directory that is there now. Danger: one that was removed, or moved and replaced, is watched
-    /// on as what it was, and no event comes of what took its place.
+    /// Watches the directory that is currently at the path. Without this, the watch would stay on a directory
+    /// that was removed or replaced, and the new directory would cause no events.
     pub fn follow_directory(&mut self, system: &impl FileSystem) {
         let Some(watcher) = &mut self.watcher else { return };
-        // Danger: a call that was merely interrupted would end the watch until the next poll.
+        // Without the retry, an interrupted call would end the watch until the next poll.
         let status = retry_interrupted(|| system.status(&self.directory));
         let current =
             status.ok().map(|status| DirectoryIdentity { device: status.device, inode: status.inode });
@@ -77,7 +77,8 @@
     parent.unwrap_or(Path::new(".")).to_owned()
 }
 
-/// Whether an event may be about the file. Danger: our own reading is an event too.
+/// Returns whether an event may concern the watched file. Read events are ignored, since observing the file
+/// causes them.
 fn is_relevant(event: &Event, file_name: Option<&OsString>) -> bool {
     let is_read = match event.kind {
         EventKind::Access(AccessKind::Close(AccessMode::Write)) => false,
@@ -89,7 +90,7 @@
 
 fn may_be_file(path: &Path, file_name: Option<&OsString>) -> bool {
     match (path.file_name(), file_name) {
-        // `..data` is where Kubernetes puts the directory that all files of a mount are links into.
+        // In a Kubernetes volume, all files are links into the directory to which the link `..data` points.
         (Some(found), Some(name)) => found == name || found.as_encoded_bytes().starts_with(b".."),
         _ => true,
     }
--- a/crates/membership/src/watch/file_watcher/tests.rs
+++ b/crates/membership/src/watch/file_watcher/tests.rs
@@ -3,19 +3,19 @@
 use std::cell::Cell;
 use std::io::{self, ErrorKind, Read};
 
-/// The machine's file system, whose status calls are interrupted a hundred times each.
+/// The local file system, but each status call is interrupted a hundred times before it succeeds.
 #[derive(Default)]
-struct Interrupted {
-    in_a_row: Cell<u32>,
+struct InterruptedFileSystem {
+    consecutive_interruptions: Cell<u32>,
 }
 
-impl FileSystem for Interrupted {
+impl FileSystem for InterruptedFileSystem {
     fn status(&self, path: &Path) -> io::Result<FileStatus> {
-        if self.in_a_row.get() < 100 {
-            self.in_a_row.set(self.in_a_row.get() + 1);
+        if self.consecutive_interruptions.get() < 100 {
+            self.consecutive_interruptions.set(self.consecutive_interruptions.get() + 1);
             return Err(ErrorKind::Interrupted.into());
         }
-        self.in_a_row.set(0);
+        self.consecutive_interruptions.set(0);
         LocalFileSystem.status(path)
     }
 
@@ -42,6 +42,6 @@
     file_watcher.follow_directory(&LocalFileSystem);
     let watched = file_watcher.watched;
     assert!(watched.is_some());
-    file_watcher.follow_directory(&Interrupted::default());
+    file_watcher.follow_directory(&InterruptedFileSystem::default());
     assert_eq!(file_watcher.watched, watched);
 }
--- a/crates/membership/src/watch/mod.rs
+++ b/crates/membership/src/watch/mod.rs
@@ -1,12 +1,13 @@
-//! Files and directories in the documented form ([`file`](crate::file)) as a source of the catalog.
+//! A source of the catalog that watches a file or a directory, in the documented format
+//! ([`file`](crate::file)) or in Envoy's.
 //!
-//! A change is seen by the file system's events, with polling behind them, since network file systems send
-//! none. The file is read whole by a thread that may block, and checked before the catalog gets it; what cannot
-//! be read or used changes nothing, and the last good content stands.
+//! Changes are detected by file system events and by polling, since network file systems send no events. A
+//! blocking thread reads the whole file, which is validated before the catalog gets it. A file that cannot be
+//! read or is invalid changes nothing: the last valid content stays in use.
 //!
-//! `snapshot` is what a file is at one moment, `validator` what follows from it, `file_watcher` the file system's
-//! events, and [`run`] the task around them, which decides nothing. The proxy starts that task for each source of
-//! this kind, and reads files through [`read_texts`] for its command line.
+//! `snapshot` reads the state of a file, `validator` derives events and notices from it, and `file_watcher`
+//! receives the file system's events. [`run`] is the task that connects them. The proxy starts it for each
+//! source of this kind, and reads files with [`read_texts`] for its command line.
 
 #[cfg(test)]
 mod fake_file_system;
@@ -25,16 +26,16 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What is watched.
+/// The file or directory to watch, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Watch {
-    /// The source that it is.
+    /// The name of the source.
     pub source: SourceId,
     /// The file or directory.
     pub path: PathBuf,
-    /// Which of the two. A directory in the place of a file is a mistake, not another form of it.
+    /// The expected kind. A directory in place of a file is an error, and vice versa.
     pub kind: Kind,
-    /// How often to look whatever the file system tells; over 0.
+    /// The polling interval, greater than 0. Polling is independent of file system events.
     pub poll: Duration,
 }
 
@@ -43,39 +44,39 @@
 pub enum Kind {
     /// One file.
     File,
-    /// A directory of fragments: all files in it that end in `.toml` or `.json`, but not those whose names
-    /// begin with a dot.
+    /// A directory of fragments: all files in it that end in `.toml` or `.json`, except hidden files, whose
+    /// names begin with a dot.
     Directory,
 }
 
-/// What texts hold.
+/// The content of parsed files.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Parsed {
     /// The clusters.
     pub clusters: Vec<Cluster>,
-    /// What is there and does nothing here, in words with the places.
+    /// Messages about ignored fields, with their positions.
     pub warnings: Vec<String>,
 }
 
-/// From the texts of files, each with its name, to what they hold.
+/// A parser of the texts of files, each with its file name.
 ///
 /// # Errors
-/// All that is wrong, in words with the places.
+/// Returns a message with all problems and their positions.
 pub type Parser = fn(Vec<(String, String)>) -> Result<Parsed, String>;
 
-/// Reads texts in the documented form.
+/// Parses texts in the documented format.
 ///
 /// # Errors
-/// All that is wrong, in words with the places.
+/// Returns a message with all problems and their positions.
 pub fn parse_documented(texts: Vec<(String, String)>) -> Result<Parsed, String> {
     let clusters = crate::file::merge_fragments(texts).map_err(|problems| problems.to_string())?;
     Ok(Parsed { clusters, warnings: Vec::new() })
 }
 
-/// Reads texts in Envoy's JSON or YAML form ([`xds::file`](crate::xds::file)).
+/// Parses texts in Envoy's JSON or YAML format ([`xds::file`](crate::xds::file)).
 ///
 /// # Errors
-/// All that is wrong, in words with the places.
+/// Returns a message with all problems and their positions.
 #[cfg(feature = "xds")]
 pub fn parse_envoy(texts: Vec<(String, String)>) -> Result<Parsed, String> {
     let mut parsed = Parsed::default();
@@ -87,16 +88,16 @@
     Ok(parsed)
 }
 
-/// The texts of a file, or of a directory of fragments, as they are now; each with its name. Blocks.
+/// Reads a file, or all fragments of a directory. Returns the texts with their file names. Blocks.
 ///
 /// # Errors
-/// Why it cannot be read, in words.
+/// Returns a message with the reason if a file cannot be read or used.
 pub fn read_texts(path: &Path) -> Result<Vec<(String, String)>, String> {
     let kind = if path.is_dir() { Kind::Directory } else { Kind::File };
     match snapshot::observe(&file_system::LocalFileSystem, path, kind, None) {
         Observation::Read(snapshot) => Ok(snapshot.texts),
         Observation::Unavailable(error) => Err(format!("{}: {error}", path.display())),
         Observation::Unusable(reason) => Err(reason),
-        Observation::Unchanged => Ok(Vec::new()), // compared with nothing, it is never unchanged
+        Observation::Unchanged => Ok(Vec::new()), // not possible without a known fingerprint
     }
 }
--- a/crates/membership/src/watch/snapshot.rs
+++ b/crates/membership/src/watch/snapshot.rs
@@ -1,7 +1,7 @@
-//! What a file or directory is at one moment: a snapshot of its content, or why there is none.
+//! Reads a consistent snapshot of a file or directory, or reports why this is not possible.
 //!
-//! The watching task and the command line's tools call it. It blocks, so it runs on threads that may. It keeps
-//! nothing between two looks, and knows nothing of clusters.
+//! The watching task and the command line use it. Its calls block. It keeps no state between two
+//! observations, and knows nothing about clusters.
 
 use super::Kind;
 use super::file_system::{ClockReading, FileStatus, FileSystem, retry_interrupted};
@@ -13,22 +13,22 @@
 #[cfg(test)]
 mod tests;
 
-/// Most bytes of all files together: some 500,000 endpoints.
+/// The maximum total size of all files, in bytes; enough for some 500,000 endpoints.
 const MAX_TOTAL_BYTES: u64 = 64 << 20;
-/// Most files of a directory.
+/// The maximum number of files in a directory.
 const MAX_FILES: usize = 10_000;
-/// Two writes within so long may leave the same times; the coarsest file system in use (FAT) keeps 2 s.
+/// Two writes within this time may set the same timestamps. FAT, the coarsest file system in use, has 2 s.
 const TIMESTAMP_RESOLUTION: Duration = Duration::from_secs(2);
-/// Readings of something that changes meanwhile, before it is taken as it is.
+/// The maximum number of reads of content that keeps changing, before the last one is used.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// What tells one state from another without reading the files.
+/// The state of the files as far as it is known without reading them, to detect changes.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Fingerprint {
     files: Vec<(PathBuf, FileStatus)>,
     /// The last change by the file system's clock, in nanoseconds of Unix time.
     newest_change_ns: i128,
-    /// Both clocks, as they were before anything was looked at.
+    /// Both clocks, read before the status of any file.
     taken_at: ClockReading,
 }
 
@@ -36,22 +36,22 @@
 #[derive(Debug)]
 pub(super) struct FileSnapshot {
     pub fingerprint: Fingerprint,
-    /// Name and text of each file.
+    /// The name and text of each file.
     pub texts: Vec<(String, String)>,
-    /// Of all names and texts.
+    /// The hash of all names and texts.
     pub hash: u64,
 }
 
-/// What a look came to.
+/// The result of an observation.
 #[derive(Debug)]
 pub(super) enum Observation {
-    /// It is as it was.
+    /// The content is known to be unchanged.
     Unchanged,
-    /// It was read.
+    /// The content was read.
     Read(FileSnapshot),
-    /// It cannot be used, though something is there.
+    /// The file or directory exists but cannot be used.
     Unusable(String),
-    /// It is not there, or nobody can read it.
+    /// The file or directory does not exist or cannot be read.
     Unavailable(io::Error),
 }
 
@@ -77,16 +77,17 @@
 }
 
 impl Fingerprint {
-    fn take(system: &impl FileSystem, path: &Path, kind: Kind) -> Result<Fingerprint, SnapshotError> {
-        // Danger: read after the times of the files, the clock would count a pause between the two as rest.
+    fn read(system: &impl FileSystem, path: &Path, kind: Kind) -> Result<Fingerprint, SnapshotError> {
+        // The clocks are read first: if read after the status, a pause between would make the files look
+        // older.
         let taken_at = system.clocks();
         let status = retry_interrupted(|| system.status(path))?;
         let unusable = |reason: &str| SnapshotError::Unusable(format!("{} {reason}", path.display()));
         let mut fingerprint = Fingerprint { files: Vec::new(), newest_change_ns: 0, taken_at };
         match (kind, status.is_directory) {
             (Kind::File, false) => fingerprint.add(path.to_owned(), status),
-            (Kind::File, true) => return Err(unusable("is a directory, and a file is expected")),
-            (Kind::Directory, false) => return Err(unusable("is a file, and a directory is expected")),
+            (Kind::File, true) => return Err(unusable("is a directory; a file is expected")),
+            (Kind::Directory, false) => return Err(unusable("is a file; a directory is expected")),
             (Kind::Directory, true) => fingerprint.add_fragments(system, path)?,
         }
         if fingerprint.files.len() > MAX_FILES {
@@ -101,7 +102,8 @@
             if !is_fragment(&path) {
                 continue;
             }
-            // If it was removed since the directory was read, the whole directory is looked at once more.
+            // If the file was removed since the directory was read, this fails and the observation is
+            // repeated.
             let status = retry_interrupted(|| system.status(&path))?;
             if status.is_file {
                 self.add(path, status);
@@ -115,12 +117,12 @@
         self.files.push((path, status));
     }
 
-    /// Whether another state cannot look the same. Danger: a write right after the reading, of the same length
-    /// and within one tick of the file system's clock. A clock that is ahead of ours proves nothing either.
+    /// Returns whether an equal fingerprint `now` proves that the content is unchanged.
     ///
-    /// Danger: nor does a clock that was set back since: what is written then may get the very times that are
-    /// known. So the earliest time that a write since the reading can have got must lie well after the last
-    /// known change.
+    /// A write of the same length right after the reading may get the same timestamps, within the resolution
+    /// of the file system's clock. The same is possible if that clock is ahead of ours, or if the clock was
+    /// set back since the reading. The earliest timestamp that a write since the reading can have must
+    /// therefore be later than the last known change by more than the resolution.
     fn proves_unchanged(&self, now: &Fingerprint) -> bool {
         let set_back_ns = self.taken_at.step_ns_until(now.taken_at).min(0);
         let earliest_write_ns = self.taken_at.wall_ns + set_back_ns;
@@ -134,7 +136,7 @@
     !is_hidden && path.extension().is_some_and(|form| form == "toml" || form == "json")
 }
 
-/// Looks, and reads what may differ from `known`.
+/// Observes a file or directory, and reads it unless it is known to be unchanged since `known`.
 pub(super) fn observe(
     system: &impl FileSystem,
     path: &Path,
@@ -145,14 +147,14 @@
     for _ in 0..MAX_ATTEMPTS {
         let snapshot = match observe_once(system, path, kind, known) {
             Observation::Read(snapshot) => snapshot,
-            // A rename between two steps: the next attempt finds one or the other.
+            // Possibly a rename between two steps; the next attempt finds either the old or the new file.
             Observation::Unavailable(error) => {
                 last = Observation::Unavailable(error);
                 continue;
             }
             observation => return observation,
         };
-        let after = Fingerprint::take(system, path, kind);
+        let after = Fingerprint::read(system, path, kind);
         if after.is_ok_and(|after| after.files == snapshot.fingerprint.files) {
             return Observation::Read(snapshot);
         }
@@ -167,7 +169,7 @@
     kind: Kind,
     known: Option<&Fingerprint>,
 ) -> Observation {
-    let fingerprint = match Fingerprint::take(system, path, kind) {
+    let fingerprint = match Fingerprint::read(system, path, kind) {
         Ok(fingerprint) => fingerprint,
         Err(error) => return error.into(),
     };
@@ -188,10 +190,10 @@
         let name = path.to_string_lossy().into_owned();
         let mut bytes = Vec::new();
         let content = retry_interrupted(|| system.open(path))?;
-        // Goes on over interrupted and short reads by itself.
+        // `read_to_end` handles interrupted and short reads.
         content.take(bytes_left + 1).read_to_end(&mut bytes)?;
         let Some(rest) = bytes_left.checked_sub(bytes.len() as u64) else {
-            let reason = format!("{name}: more than {MAX_TOTAL_BYTES} bytes in all");
+            let reason = format!("{name}: the files exceed {MAX_TOTAL_BYTES} bytes in total");
             return Err(SnapshotError::Unusable(reason));
         };
         bytes_left = rest;
--- a/crates/membership/src/watch/snapshot/tests.rs
+++ b/crates/membership/src/watch/snapshot/tests.rs
@@ -1,25 +1,25 @@
 use super::super::fake_file_system::{DIRECTORY, FILE, FakeFileSystem};
 use super::*;
 
-/// Long enough for a file to have rested, by any file system's clock.
-const REST: Duration = Duration::from_secs(10);
+/// Longer than the timestamp resolution of any file system.
+const SETTLED_AGE: Duration = Duration::from_secs(10);
 const HOUR_S: i64 = 3600;
 
 fn observe_file(system: &FakeFileSystem, known: Option<&Fingerprint>) -> Observation {
     observe(system, Path::new(FILE), Kind::File, known)
 }
 
-fn content(look: Observation) -> String {
-    match look {
+fn content(observation: Observation) -> String {
+    match observation {
         Observation::Read(snapshot) => snapshot.texts.into_iter().map(|(_, text)| text).collect(),
         other => panic!("not read: {other:?}"),
     }
 }
 
-/// A file that was written, has rested for so long, and was read.
-fn fingerprint_after(system: &FakeFileSystem, rest: Duration) -> Fingerprint {
+/// Writes a file, waits and returns the fingerprint of a reading.
+fn fingerprint_after(system: &FakeFileSystem, age: Duration) -> Fingerprint {
     system.write(FILE, "a");
-    system.pass(rest);
+    system.advance(age);
     fingerprint_after_reading(system)
 }
 
@@ -31,59 +31,60 @@
 }
 
 #[test]
-fn file_at_rest_is_not_read_again() {
+fn unchanged_file_with_old_timestamps_is_not_read_again() {
     let system = FakeFileSystem::new();
-    let known = fingerprint_after(&system, REST);
-    system.pass(REST);
+    let known = fingerprint_after(&system, SETTLED_AGE);
+    system.advance(SETTLED_AGE);
     assert!(matches!(observe_file(&system, Some(&known)), Observation::Unchanged));
     assert_eq!(system.reads.get(), 1);
 }
 
 #[test]
 fn write_with_the_known_times_is_read_after_wall_clock_was_set_back() {
-    // Back to the very moment of the first write, so that the second one gets the same times.
+    // The clock is set back to the time of the first write, so that the second write gets the same
+    // timestamps.
     let system = FakeFileSystem::new();
-    let known = fingerprint_after(&system, REST);
-    system.step_wall_clock(-(REST.as_secs() as i64));
+    let known = fingerprint_after(&system, SETTLED_AGE);
+    system.step_wall_clock(-(SETTLED_AGE.as_secs() as i64));
     system.write(FILE, "b");
-    system.pass(REST);
+    system.advance(SETTLED_AGE);
     assert_eq!(content(observe_file(&system, Some(&known))), "b");
 }
 
 #[test]
 fn write_with_the_known_times_is_read_after_wall_clock_was_an_hour_ahead() {
-    // The file looks an hour old when it is read, and was written in the same moment.
+    // The file was written immediately before the reading but appears to be an hour old.
     let system = FakeFileSystem::new();
     system.write(FILE, "a");
     system.step_wall_clock(HOUR_S);
     let known = fingerprint_after_reading(&system);
     system.step_wall_clock(-HOUR_S);
     system.write(FILE, "b");
-    system.pass(REST);
+    system.advance(SETTLED_AGE);
     assert_eq!(content(observe_file(&system, Some(&known))), "b");
 }
 
 #[test]
 fn write_is_read_after_wall_clock_was_set_forward() {
     let system = FakeFileSystem::new();
-    let known = fingerprint_after(&system, REST);
+    let known = fingerprint_after(&system, SETTLED_AGE);
     system.step_wall_clock(HOUR_S);
     assert!(
         matches!(observe_file(&system, Some(&known)), Observation::Unchanged),
-        "it is at rest all the same"
+        "the step of the clock does not cause a reading"
     );
     system.write(FILE, "b");
     assert_eq!(content(observe_file(&system, Some(&known))), "b");
 }
 
 #[test]
-fn file_from_the_future_is_read_each_time() {
+fn file_with_timestamps_in_the_future_is_read_each_time() {
     let system = FakeFileSystem::new();
     system.step_wall_clock(HOUR_S);
     system.write(FILE, "a");
     system.step_wall_clock(-HOUR_S);
     let known = fingerprint_after_reading(&system);
-    system.pass(REST);
+    system.advance(SETTLED_AGE);
     assert_eq!(content(observe_file(&system, Some(&known))), "a");
 }
 
--- a/crates/membership/src/watch/task.rs
+++ b/crates/membership/src/watch/task.rs
@@ -1,5 +1,5 @@
-//! The task that watches: it waits for events of the file system, for the time to poll and for the catalog's
-//! requests, and has the file observed on a thread that may block. It decides nothing.
+//! The watching task: waits for file system events, the polling interval and the catalog's refetch requests,
+//! and observes the file on a blocking thread.
 
 use super::file_system::{FileSystem, LocalFileSystem};
 use super::file_watcher::FileWatcher;
@@ -15,12 +15,14 @@
 #[cfg(test)]
 mod tests;
 
-/// A change has come to rest when no event has come for so long...
+/// A change is considered complete if no event has arrived for this time.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(15);
-/// ...but it is not waited for longer than this: what drains must be sent nothing 500 ms after the change.
+/// The longest time to wait for a change to be complete: a draining endpoint must not be sent new requests
+/// later than 500 ms after the change.
 const MAX_SETTLE_TIME: Duration = Duration::from_millis(100);
 
-/// Watches until the receiver of the events is gone. `notify` gets what an operator should know.
+/// Watches a file until the receiver of `events` is dropped. `notify` is called with each notice for
+/// operators.
 pub async fn run(
     watch: Watch,
     parse: Parser,
@@ -36,13 +38,13 @@
     let mut trigger = Trigger::Poll;
     loop {
         let next_poll = Instant::now() + watch.poll;
-        // Danger: a network file system whose server is away blocks whoever reads, for minutes.
+        // Reading from a network file system whose server is unavailable can block for minutes.
         let observed = watch.clone();
         let blocking = tokio::task::spawn_blocking(move || {
             let evaluation = observer.observe(&observed, trigger);
             (observer, evaluation)
         });
-        let Ok((returned, evaluation)) = blocking.await else { return }; // the runtime shuts down
+        let Ok((returned, evaluation)) = blocking.await else { return }; // the runtime is shutting down
         observer = returned;
         evaluation.notices.into_iter().for_each(&mut notify);
         if let Some(event) = evaluation.event
@@ -56,7 +58,7 @@
     }
 }
 
-/// Why the file is to be observed next; none once the receiver of the events is gone.
+/// Waits for the next reason to observe the file. Returns `None` when the receiver of the events is dropped.
 async fn next_trigger(
     events: &EventSender,
     changed: &Notify,
@@ -71,31 +73,31 @@
         }
         () = sleep_until(next_poll) => Some(Trigger::Poll),
         Some(_) = refetch_requests.recv() => {
-            while refetch_requests.try_recv().is_ok() {} // one snapshot serves all requests
+            while refetch_requests.try_recv().is_ok() {} // one observation answers all requests
             Some(Trigger::RefetchRequest)
         }
     }
 }
 
-/// Waits until what changes has come to rest: a file is seldom written in one piece, and directories never.
+/// Waits until a change is complete: a file is seldom written in one call, and a directory never is.
 async fn settle(changed: &Notify) {
     let end = Instant::now() + MAX_SETTLE_TIME;
     while Instant::now() < end && timeout(SETTLE_INTERVAL, changed.notified()).await.is_ok() {}
 }
 
-/// Why the file is observed.
+/// The reason for an observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Trigger {
-    /// It is time to poll: what is certainly unchanged is not read.
+    /// The polling interval has passed. The file is not read if it is known to be unchanged.
     Poll,
-    /// The file system reports a change. Danger: the file is read whatever its times say, since the wall clock may
-    /// have been set back and forth again since the last look, which nothing else shows.
+    /// The file system reports a change. The file is read regardless of its timestamps, since they may be
+    /// unchanged if the wall clock was set back and forth again since the last observation.
     FileSystemEvent,
-    /// The catalog wants what is there now, changed or not.
+    /// The catalog requests the current content, changed or not.
     RefetchRequest,
 }
 
-/// What observes the file: it goes to the thread that may block, and comes back.
+/// The state for observing the file. It is moved to the blocking thread and back for each observation.
 struct Observer<S> {
     system: S,
     validator: FileValidator,
@@ -105,7 +107,7 @@
 
 impl<S: FileSystem> Observer<S> {
     fn observe(&mut self, watch: &Watch, trigger: Trigger) -> Evaluation {
-        // Before looking, so that no change falls between the two.
+        // Updated before the observation, so that no change between the two is missed.
         self.file_watcher.follow_directory(&self.system);
         let known = self.validator.fingerprint.as_ref().filter(|_| trigger == Trigger::Poll);
         let observation = observe(&self.system, &watch.path, watch.kind, known);
--- a/crates/membership/src/watch/validator.rs
+++ b/crates/membership/src/watch/validator.rs
@@ -1,6 +1,6 @@
-//! What follows from an observation of a file: the event for the catalog, and the notices for operators.
+//! Derives the event for the catalog and the notices for operators from an observation of a file.
 //!
-//! Owns what is known of the file. The watching task calls it; it does no I/O but through the parser's texts.
+//! Owns the known state of the file. The watching task calls it; it does no I/O.
 
 use super::snapshot::{FileSnapshot, Fingerprint, Observation};
 use super::{Parsed, Parser, Watch};
@@ -8,68 +8,72 @@
 use crate::names::Version;
 use std::fmt;
 
-/// Most warnings about a file that are given one by one.
+/// The maximum number of warnings about a file that are reported one by one.
 const MAX_WARNINGS: usize = 16;
 
-/// Something that an operator should know.
+/// A notice for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// It cannot be used: why, with file, line and key. The last good one stands.
+    /// The file is invalid; the message has file, line and key. The last valid content stays in use.
     Rejected(String),
-    /// It is not there or cannot be read. The last good one stands.
+    /// The file does not exist or cannot be read. The last valid content stays in use.
     Unavailable(String),
-    /// It is good again.
+    /// The file is valid again.
     Recovered,
-    /// Something in it does nothing here. Given once, until the file's warnings are others.
+    /// The file has a field that is ignored. Reported once, until the file's warnings change.
     Warning(String),
-    /// The file system reports no changes; polling remains.
+    /// File system events are unavailable; only polling is used.
     EventsUnavailable(String),
 }
 
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Notice::Rejected(why) => write!(f, "refused, the last good one stands: {why}"),
-            Notice::Unavailable(why) => write!(f, "cannot be read, the last good one stands: {why}"),
-            Notice::Recovered => f.write_str("good again"),
+            Notice::Rejected(reason) => write!(f, "rejected; the last valid content stays in use: {reason}"),
+            Notice::Unavailable(reason) => {
+                write!(f, "cannot be read; the last valid content stays in use: {reason}")
+            }
+            Notice::Recovered => f.write_str("valid again"),
             Notice::Warning(text) => f.write_str(text),
-            Notice::EventsUnavailable(why) => write!(f, "no events of the file system, only polling: {why}"),
+            Notice::EventsUnavailable(reason) => {
+                write!(f, "file system events are unavailable; only polling is used: {reason}")
+            }
         }
     }
 }
 
-/// What follows from an observation.
+/// The event and the notices that follow from an observation.
 #[derive(Debug, Default, PartialEq)]
 pub(super) struct Evaluation {
     pub event: Option<Event>,
     pub notices: Vec<Notice>,
 }
 
-/// Whether content that the catalog has already is reported once more.
+/// Whether content that the catalog already has is reported again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reporting {
     OnlyChanges,
-    /// The catalog has asked for what is there now, changed or not.
+    /// The catalog requested the current content, changed or not.
     Always,
 }
 
-/// What is known of the file.
+/// The known state of the file.
 #[derive(Debug, Default)]
 pub(super) struct FileValidator {
-    /// Of what was last read, good or not.
+    /// The fingerprint of the last content read, valid or not.
     pub fingerprint: Option<Fingerprint>,
-    /// The hash of what was last read, good or not.
+    /// The hash of the last content read, valid or not.
     last_read_hash: Option<u64>,
-    /// The hash of what the catalog last got.
+    /// The hash of the content last reported to the catalog.
     last_reported_hash: Option<u64>,
-    /// What is wrong with the file now, if anything.
+    /// The current fault of the file, if any.
     fault: Option<Notice>,
-    /// The warnings about the file that were last given.
+    /// The last warnings about the file.
     warnings: Vec<String>,
 }
 
 impl FileValidator {
-    /// What follows from an observation.
+    /// Evaluates an observation.
     pub fn evaluate(
         &mut self,
         watch: &Watch,
@@ -119,8 +123,8 @@
         }
     }
 
-    /// The file is again what the catalog has. Danger: an update would be a repetition, which confirms what is
-    /// quarantined.
+    /// Handles content that the catalog already has. No update is sent, since the catalog would count it as a
+    /// repetition that confirms quarantined changes.
     fn report_recovery(&mut self, watch: &Watch) -> Evaluation {
         if self.fault.take().is_none() {
             return Evaluation::default();
@@ -146,7 +150,7 @@
         Evaluation { event: Some(event), notices }
     }
 
-    /// Reports a fault once, however often it is seen.
+    /// Reports a fault, unless it was the last one reported.
     fn report_fault(&mut self, watch: &Watch, fault: Notice, silence: Silence) -> Evaluation {
         if self.fault.as_ref() == Some(&fault) {
             return Evaluation::default();
@@ -156,14 +160,14 @@
         Evaluation { event: Some(event), notices: vec![fault] }
     }
 
-    /// The warnings about the file, once for as long as they stay the same.
+    /// Returns notices for the warnings, or none if the warnings are the same as last time.
     fn new_warnings(&mut self, warnings: Vec<String>) -> Vec<Notice> {
         if self.warnings == warnings {
             return Vec::new();
         }
         let mut notices: Vec<_> = warnings.iter().take(MAX_WARNINGS).cloned().map(Notice::Warning).collect();
         if let Some(more @ 1..) = warnings.len().checked_sub(MAX_WARNINGS) {
-            notices.push(Notice::Warning(format!("{more} more fields that do nothing here")));
+            notices.push(Notice::Warning(format!("{more} more ignored fields")));
         }
         self.warnings = warnings;
         notices
--- a/crates/membership/src/xds/resource/cluster.rs
+++ b/crates/membership/src/xds/resource/cluster.rs
@@ -146,7 +146,7 @@
         if let Some(time) = &message.connect_timeout {
             settings.connect_timeout = duration(time);
             if settings.connect_timeout.is_none() {
-                let problem = Invalid::Setting { key: "it", requirement: "be over 0 and at most 1h" };
+                let problem = Invalid::Setting { key: "it", requirement: "be greater than 0 and at most 1h" };
                 self.fault("connect_timeout", problem.into());
             }
         }
--- a/crates/membership/tests/catalog/main.rs
+++ b/crates/membership/tests/catalog/main.rs
@@ -1,4 +1,4 @@
-//! Each decision of the catalog, by example.
+//! Tests of the catalog's decisions through its public interface.
 
 mod harness;
 mod quarantine;
--- a/crates/membership/tests/catalog/rejection.rs
+++ b/crates/membership/tests/catalog/rejection.rs
@@ -1,4 +1,4 @@
-//! Invalid input: what is rejected, and by which words.
+//! Which inputs are rejected, and with which messages.
 
 use crate::harness::{CatalogHarness, S, endpoint, endpoints};
 use olivecart_membership::{
@@ -8,68 +8,69 @@
 
 #[test]
 fn invalid_input_is_rejected_by_name() {
-    let odd = |change: &dyn Fn(&mut Endpoint)| {
+    let altered = |change: &dyn Fn(&mut Endpoint)| {
         let mut endpoint = endpoint("x");
         change(&mut endpoint);
         endpoint
     };
     for (endpoint, reason) in [
-        (odd(&|e| e.weight = f64::NAN), "weight NaN must be a number from 0 to 4294967295"),
-        (odd(&|e| e.weight = -1.0), "weight -1 must be a number from 0 to 4294967295"),
-        (odd(&|e| e.weight = f64::INFINITY), "weight inf must be a number from 0 to 4294967295"),
-        (odd(&|e| e.priority = 129), "priority 129 must be from 0 to 128"),
-        (odd(&|e| e.address = None), "it is ready and has no address"),
+        (altered(&|e| e.weight = f64::NAN), "weight NaN must be a number from 0 to 4294967295"),
+        (altered(&|e| e.weight = -1.0), "weight -1 must be a number from 0 to 4294967295"),
+        (altered(&|e| e.weight = f64::INFINITY), "weight inf must be a number from 0 to 4294967295"),
+        (altered(&|e| e.priority = 129), "priority 129 must be from 0 to 128"),
+        (altered(&|e| e.address = None), "the endpoint is ready but has no address"),
         (
-            odd(&|e| e.address = Some(([10, 0, 0, 1], 0).into())),
-            "address 10.0.0.1:0: no endpoint can be reached there",
+            altered(&|e| e.address = Some(([10, 0, 0, 1], 0).into())),
+            "address 10.0.0.1:0 must be a unicast address with a port other than 0",
         ),
         (
-            odd(&|e| e.address = Some(([0; 4], 80).into())),
-            "address 0.0.0.0:80: no endpoint can be reached there",
+            altered(&|e| e.address = Some(([0; 4], 80).into())),
+            "address 0.0.0.0:80 must be a unicast address with a port other than 0",
         ),
-        (odd(&|e| e.name = "x y".into()), "its id holds a blank or control character"),
-        (odd(&|e| e.name = "".into()), "its id is empty"),
-        (odd(&|e| e.name = "x".repeat(257).as_str().into()), "its id is longer than 256 bytes"),
+        (altered(&|e| e.name = "x y".into()), "the id contains whitespace or a control character"),
+        (altered(&|e| e.name = "".into()), "the id is empty"),
+        (altered(&|e| e.name = "x".repeat(257).as_str().into()), "the id is longer than 256 bytes"),
         (
-            odd(&|e| e.metadata = (0..33).map(|i| (i.to_string(), "")).collect::<Metadata>()),
-            "metadata of 33 pairs and 56 bytes; at most 32 and 4096 are kept",
+            altered(&|e| e.metadata = (0..33).map(|i| (i.to_string(), "")).collect::<Metadata>()),
+            "metadata has 33 pairs and 56 bytes; the limits are 32 pairs and 4096 bytes",
         ),
     ] {
         let mut catalog = CatalogHarness::serving(&["a", "b"]);
-        let told =
-            format!("file: cluster \"cart\": endpoint {:?}: refused: {reason}", endpoint.name.as_str());
+        let message =
+            format!("file: cluster \"cart\": endpoint {:?}: rejected: {reason}", endpoint.name.as_str());
         let list = vec![endpoint.clone(), self::endpoint("c")];
         let whole = EndpointUpdate::ClusterSnapshots(vec![Cluster::new("cart", list.clone())]);
-        assert_eq!(catalog.say("file", whole).join("\n"), told, "a list is refused whole");
+        assert_eq!(catalog.update_from("file", whole).join("\n"), message, "a list is rejected as a whole");
         let update =
             ClusterDelta { cluster: "cart".into(), settings: None, upserts: list, removals: Vec::new() };
         assert_eq!(
-            catalog.say("file", EndpointUpdate::ClusterDeltas(vec![update])),
-            [told.clone(), "+c new".into()],
-            "the rest is taken"
+            catalog.update_from("file", EndpointUpdate::ClusterDeltas(vec![update])),
+            [message.clone(), "+c new".into()],
+            "the valid part of a delta is applied"
         );
         assert_eq!(
             catalog.inner.view()[0].subscriptions[0].rejection.as_ref().map(|r| r.reason.clone()),
-            Some(told)
+            Some(message)
         );
     }
     let mut catalog = CatalogHarness::serving(&["a", "b"]);
-    let twice =
-        r#"file: cluster "cart": endpoint "c": refused: its id comes twice; ids are unique in a cluster"#;
-    assert_eq!(catalog.list("file", &["a", "c", "c*2"]), [twice]);
-    assert_eq!(catalog.update("file", &["c", "d"], &["c"]), [twice, "+d new"]);
-    let two = vec![Cluster::new("cart", endpoints(&["a"])), Cluster::new("cart", endpoints(&["b"]))];
+    let duplicate_id = "file: cluster \"cart\": endpoint \"c\": rejected: the id occurs more than once; ids \
+        must be unique in a cluster";
+    assert_eq!(catalog.list("file", &["a", "c", "c*2"]), [duplicate_id]);
+    assert_eq!(catalog.update("file", &["c", "d"], &["c"]), [duplicate_id, "+d new"]);
+    let same_name = vec![Cluster::new("cart", endpoints(&["a"])), Cluster::new("cart", endpoints(&["b"]))];
     assert_eq!(
-        catalog.say("file", EndpointUpdate::FullSnapshot(two)),
-        [r#"file: cluster "cart": refused: it comes twice in one update; put its endpoints into one list"#]
+        catalog.update_from("file", EndpointUpdate::FullSnapshot(same_name)),
+        ["file: cluster \"cart\": rejected: the cluster occurs more than once in one update; put its \
+                endpoints into one list"]
     );
     let limits = ClusterSettings { max_requests: Some(0), ..ClusterSettings::default() };
     let limited = Cluster { settings: limits, ..Cluster::new("cart", endpoints(&["a"])) };
     assert_eq!(
-        catalog.say("file", EndpointUpdate::ClusterSnapshots(vec![limited])),
-        [r#"file: cluster "cart": refused: max_requests must be at least 1"#]
+        catalog.update_from("file", EndpointUpdate::ClusterSnapshots(vec![limited])),
+        [r#"file: cluster "cart": rejected: max_requests must be at least 1"#]
     );
-    assert_eq!(catalog.list("ftp", &["a"]), ["ftp: refused: no such source is set up"]);
+    assert_eq!(catalog.list("ftp", &["a"]), ["ftp: rejected: the source is not configured"]);
     assert_eq!(catalog.serves(), "a b d");
 }
 
@@ -80,21 +81,29 @@
     catalog.list("file", &["a", "b"]);
     assert_eq!(
         catalog.list("file", &["a", "b", "c", "d"]),
-        [r#"file: cluster "cart": refused: it would have more than 3 endpoints (max_endpoints)"#]
+        [r#"file: cluster "cart": rejected: the cluster would have more than 3 endpoints (max_endpoints)"#]
     );
     assert_eq!(
         catalog.update("file", &["c", "d"], &[])[0],
-        r#"file: cluster "cart": endpoint "d": refused: it would have more than 3 endpoints (max_endpoints)"#
+        "file: cluster \"cart\": endpoint \"d\": rejected: the cluster would have more than 3 endpoints \
+            (max_endpoints)"
     );
     assert_eq!(catalog.serves(), "a b c");
     for id in ["c", "x", "y", "z"] {
         catalog.update("file", &[id], &[]);
         catalog.update("file", &[], &[id]);
     }
-    assert_eq!(catalog.update("file", &["c"], &[]), ["+c new"], "no more is remembered than may be listed");
+    assert_eq!(
+        catalog.update("file", &["c"], &[]),
+        ["+c new"],
+        "at most `max_endpoints` removed endpoints are remembered"
+    );
     let clusters = (0..3).map(|i| Cluster::new(format!("c{i}").as_str(), endpoints(&["a"]))).collect();
-    let told = catalog.say("file", EndpointUpdate::ClusterSnapshots(clusters));
-    assert_eq!(told[2], r#"file: cluster "c1": refused: there would be more than 2 clusters (max_clusters)"#);
+    let outputs = catalog.update_from("file", EndpointUpdate::ClusterSnapshots(clusters));
+    assert_eq!(
+        outputs[2],
+        r#"file: cluster "c1": rejected: there would be more than 2 clusters (max_clusters)"#
+    );
     let upserts = (0..100)
         .map(|i| Endpoint { priority: 999, ..Endpoint::ready(format!("e{i}").as_str(), ([1; 4], 1).into()) });
     let update = ClusterDelta {
@@ -103,22 +112,22 @@
         upserts: upserts.collect(),
         removals: Vec::new(),
     };
-    let told = catalog.say("file", EndpointUpdate::ClusterDeltas(vec![update]));
-    assert_eq!(told.len(), Policy::MOST_REFUSALS + 1);
-    assert_eq!(told[16], r#"file: cluster "cart": refused: 84 more endpoints of the same update"#);
+    let outputs = catalog.update_from("file", EndpointUpdate::ClusterDeltas(vec![update]));
+    assert_eq!(outputs.len(), Policy::MAX_NAMED_REJECTIONS + 1);
+    assert_eq!(outputs[16], r#"file: cluster "cart": rejected: 84 more rejections in the same update"#);
 }
 
 #[test]
 fn policy_out_of_range_is_rejected_and_time_never_runs_backwards() {
-    let good = Policy::default();
-    for (bad, key) in [
-        (Policy { most_gone: 0.0, ..good }, "most_gone must be over 0, at most 1"),
-        (Policy { most_gone: f64::NAN, ..good }, "most_gone must be over 0, at most 1"),
-        (Policy { hold: std::time::Duration::from_secs(601), ..good }, "hold must be 0 s to 10 min"),
-        (Policy { max_clusters: 0, ..good }, "max_clusters must be 1 to 100,000"),
+    let default = Policy::default();
+    for (policy, message) in [
+        (Policy { most_gone: 0.0, ..default }, "most_gone must be greater than 0, at most 1"),
+        (Policy { most_gone: f64::NAN, ..default }, "most_gone must be greater than 0, at most 1"),
+        (Policy { hold: std::time::Duration::from_secs(601), ..default }, "hold must be 0 s to 10 min"),
+        (Policy { max_clusters: 0, ..default }, "max_clusters must be 1 to 100,000"),
     ] {
-        let error = Catalog::new(bad, []).expect_err("out of range");
-        assert_eq!(error.to_string(), format!("policy of the catalog: {key}"));
+        let error = Catalog::new(policy, []).expect_err("out of range");
+        assert_eq!(error.to_string(), format!("catalog policy: {message}"));
     }
     let mut catalog = CatalogHarness::serving(&["a", "b", "c"]);
     catalog.wait(100);
--- a/crates/membership/tests/reference/model.rs
+++ b/crates/membership/tests/reference/model.rs
@@ -1,4 +1,4 @@
-//! A plain, slow model of the catalog, written from its rules: whole maps, copied and compared each time.
+//! A simple, slow reference model of the catalog, written from its rules: it copies and compares whole maps.
 
 mod validation;
 
@@ -14,17 +14,17 @@
     pub policy: Policy,
     pub sources: Vec<String>,
     pub clusters: BTreeMap<String, Cluster>,
-    /// Since when a source is silent.
+    /// When each source became silent, if it is.
     pub silent: Vec<Option<Nanos>>,
     pub now: Nanos,
     pub effects: Effects,
 }
 
-/// What one event brings about.
+/// The effects of one event.
 #[derive(Debug, Default, PartialEq)]
 pub struct Effects {
-    pub refused: usize,
-    pub asked: BTreeSet<(String, String)>,
+    pub rejections: usize,
+    pub refetches: BTreeSet<(String, String)>,
     pub upserted: BTreeMap<(String, String), Arrival>,
     pub removed: BTreeSet<(String, String)>,
 }
@@ -32,71 +32,75 @@
 #[derive(Default)]
 pub struct Cluster {
     pub subscriptions: BTreeMap<usize, Subscription>,
-    pub served: Option<Served>,
-    /// When endpoints left, and what they were.
-    left: Map,
-    left_at: BTreeMap<String, Nanos>,
+    pub published: Option<Published>,
+    /// The removed endpoints as they last were, with the times of their removal.
+    recently_removed: Map,
+    removed_at: BTreeMap<String, Nanos>,
 }
 
 #[derive(Default)]
 pub struct Subscription {
-    pub good: Option<(Map, ClusterSettings)>,
-    pub held: Option<Quarantined>,
+    pub accepted: Option<(Map, ClusterSettings)>,
+    pub quarantine: Option<Quarantine>,
     pub missing: Option<Missing>,
-    refused: bool,
+    has_rejection: bool,
 }
 
 #[derive(Clone, Debug)]
 pub struct Missing {
     pub since: Nanos,
-    pub due: Nanos,
-    none_named: bool,
+    pub refetch_at: Nanos,
+    is_snapshot_empty: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Quarantined {
-    pub parts: BTreeMap<String, Part>,
-    whole: Option<ClusterSettings>,
+pub struct Quarantine {
+    pub changes: BTreeMap<String, Change>,
+    list_settings: Option<ClusterSettings>,
     kinds: BTreeSet<&'static str>,
     pub since: Nanos,
-    pub due: Nanos,
-    against: Option<usize>,
+    pub refetch_at: Nanos,
+    displaced_owner: Option<usize>,
     is_new: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Part {
-    want: Option<Endpoint>,
+pub struct Change {
+    new_endpoint: Option<Endpoint>,
     since: Nanos,
-    sticky: bool,
+    awaits_confirmation: bool,
 }
 
-pub struct Served {
+pub struct Published {
     pub owner: usize,
     pub endpoints: Map,
     pub settings: ClusterSettings,
 }
 
-const WORDS: [&str; 3] = ["no endpoints", "all zero", "nothing left"];
+const EXPLICIT_KINDS: [&str; 3] = ["no endpoints", "all zero", "no serving endpoint"];
 
-impl Quarantined {
+impl Quarantine {
     pub fn needs_explicit_confirmation(&self) -> bool {
-        WORDS.iter().any(|kind| self.kinds.contains(kind))
+        EXPLICIT_KINDS.iter().any(|kind| self.kinds.contains(kind))
     }
 }
 
 impl Subscription {
-    /// What the source would list, if what is held passed.
-    pub fn wanted(&self) -> Map {
-        let own = self.good.as_ref().map_or(Map::new(), |(own, _)| own.clone());
+    /// Returns the listing of the source if its quarantined changes were released.
+    pub fn listing_if_released(&self) -> Map {
+        let own = self.accepted.as_ref().map_or(Map::new(), |(own, _)| own.clone());
         let none = BTreeMap::new();
-        with(&own, self.held.as_ref().map_or(&none, |held| &held.parts), &BTreeSet::new())
+        with_changes(
+            &own,
+            self.quarantine.as_ref().map_or(&none, |quarantine| &quarantine.changes),
+            &BTreeSet::new(),
+        )
     }
 }
 
 impl Missing {
     pub fn needs_explicit_confirmation(&self) -> bool {
-        self.none_named
+        self.is_snapshot_empty
     }
 }
 
@@ -104,11 +108,11 @@
     e.name.as_str().to_owned()
 }
 
-fn with(own: &Map, parts: &BTreeMap<String, Part>, without: &BTreeSet<String>) -> Map {
+fn with_changes(own: &Map, changes: &BTreeMap<String, Change>, without: &BTreeSet<String>) -> Map {
     let mut map = own.clone();
-    for (id, part) in parts.iter().filter(|(id, _)| !without.contains(*id)) {
+    for (id, change) in changes.iter().filter(|(id, _)| !without.contains(*id)) {
         map.remove(id);
-        map.extend(part.want.iter().map(|e| (id.clone(), e.clone())));
+        map.extend(change.new_endpoint.iter().map(|e| (id.clone(), e.clone())));
     }
     map
 }
@@ -121,15 +125,15 @@
         Model { policy, sources, clusters, silent, now: 0, effects }
     }
 
-    fn hold(&self) -> Nanos {
+    fn quarantine_period(&self) -> Nanos {
         self.policy.hold.as_nanos() as Nanos
     }
 
-    fn asking(&self) -> Nanos {
-        self.hold().max(1_000_000_000)
+    fn refetch_interval(&self) -> Nanos {
+        self.quarantine_period().max(1_000_000_000)
     }
 
-    pub fn is_aged(&self, source: usize) -> bool {
+    pub fn is_stale(&self, source: usize) -> bool {
         let after = self.policy.aged_after.as_nanos() as Nanos;
         self.silent[source].is_some_and(|since| self.now >= since + after)
     }
@@ -137,7 +141,7 @@
     pub fn handle(&mut self, now: Nanos, event: &Event) {
         self.now = now;
         self.effects = Effects::default();
-        self.ask();
+        self.request_refetches();
         let rank = |source: &str| self.sources.iter().position(|s| s == source).expect("a known source");
         match event {
             Event::Update { source, update, .. } => {
@@ -153,10 +157,10 @@
                     Some(subscription) if subscription.missing.is_some() => {
                         self.drop_subscription(cluster.as_str(), rank)
                     }
-                    Some(subscription) if subscription.held.is_some() => release(subscription),
-                    _ => self.effects.refused += 1,
+                    Some(subscription) if subscription.quarantine.is_some() => release(subscription),
+                    _ => self.effects.rejections += 1,
                 }
-                self.settle(cluster.as_str());
+                self.reconcile(cluster.as_str());
             }
             Event::Silent { source, .. } => {
                 let rank = rank(source.as_str());
@@ -169,23 +173,23 @@
             Event::Tick => {}
         }
         self.clusters.retain(|_, c| {
-            c.subscriptions.retain(|_, f| f.good.is_some() || f.held.is_some() || f.refused);
-            !c.subscriptions.is_empty() || c.served.is_some()
+            c.subscriptions.retain(|_, s| s.accepted.is_some() || s.quarantine.is_some() || s.has_rejection);
+            !c.subscriptions.is_empty() || c.published.is_some()
         });
     }
 
-    fn ask(&mut self) {
-        let (now, next) = (self.now, self.now + self.asking());
+    fn request_refetches(&mut self) {
+        let (now, next) = (self.now, self.now + self.refetch_interval());
         for (cluster, state) in &mut self.clusters {
             for (rank, subscription) in &mut state.subscriptions {
-                let dues = subscription
-                    .held
+                let refetch_times = subscription
+                    .quarantine
                     .iter_mut()
-                    .map(|h| &mut h.due)
-                    .chain(subscription.missing.iter_mut().map(|m| &mut m.due));
-                for due in dues.filter(|due| **due <= now) {
-                    *due = next;
-                    self.effects.asked.insert((cluster.clone(), self.sources[*rank].clone()));
+                    .map(|h| &mut h.refetch_at)
+                    .chain(subscription.missing.iter_mut().map(|m| &mut m.refetch_at));
+                for refetch_at in refetch_times.filter(|refetch_at| **refetch_at <= now) {
+                    *refetch_at = next;
+                    self.effects.refetches.insert((cluster.clone(), self.sources[*rank].clone()));
                 }
             }
         }
@@ -195,28 +199,28 @@
         match update {
             EndpointUpdate::FullSnapshot(clusters) | EndpointUpdate::ClusterSnapshots(clusters) => {
                 let names: Vec<&str> = clusters.iter().map(|c| c.name.as_str()).collect();
-                let is_twice = |name: &str| names.iter().filter(|n| **n == name).count() > 1;
-                for cluster in clusters.iter().filter(|c| !is_twice(c.name.as_str())) {
-                    self.list(rank, cluster.name.as_str(), &cluster.endpoints, cluster.settings);
+                let is_duplicate = |name: &str| names.iter().filter(|n| **n == name).count() > 1;
+                for cluster in clusters.iter().filter(|c| !is_duplicate(c.name.as_str())) {
+                    self.apply_list(rank, cluster.name.as_str(), &cluster.endpoints, cluster.settings);
                 }
-                let twice: BTreeSet<&str> = names.iter().copied().filter(|n| is_twice(n)).collect();
-                self.effects.refused += twice.len();
+                let duplicates: BTreeSet<&str> = names.iter().copied().filter(|n| is_duplicate(n)).collect();
+                self.effects.rejections += duplicates.len();
                 if matches!(update, EndpointUpdate::FullSnapshot(_)) {
                     let missing = self
                         .clusters
                         .iter()
                         .filter(|(n, c)| !names.contains(&n.as_str()) && c.subscriptions.contains_key(&rank));
                     let missing: Vec<String> = missing.map(|(n, _)| n.clone()).collect();
-                    missing.iter().for_each(|n| self.miss(rank, n, names.is_empty()));
+                    missing.iter().for_each(|n| self.mark_missing(rank, n, names.is_empty()));
                 }
             }
             EndpointUpdate::ClusterDeltas(updates) => {
-                updates.iter().for_each(|update| self.update(rank, update))
+                updates.iter().for_each(|update| self.apply_delta(rank, update))
             }
             EndpointUpdate::ClustersRemoved(names) => {
                 for cluster in names {
                     self.drop_subscription(cluster.as_str(), rank);
-                    self.settle(cluster.as_str());
+                    self.reconcile(cluster.as_str());
                 }
             }
         }
@@ -228,17 +232,22 @@
         }
     }
 
-    fn miss(&mut self, rank: usize, cluster: &str, none_named: bool) {
-        let (now, hold, due) = (self.now, self.hold(), self.now + self.asking());
-        let subscription =
-            self.clusters.get_mut(cluster).and_then(|c| c.subscriptions.get_mut(&rank)).expect("a feed");
-        let (since, due) = subscription.missing.as_ref().map_or((now, due), |m| (m.since, m.due));
-        if subscription.good.is_some() && (none_named || now - since < hold) {
-            subscription.missing = Some(Missing { since, due, none_named });
+    fn mark_missing(&mut self, rank: usize, cluster: &str, is_snapshot_empty: bool) {
+        let (now, period, refetch_at) =
+            (self.now, self.quarantine_period(), self.now + self.refetch_interval());
+        let subscription = self
+            .clusters
+            .get_mut(cluster)
+            .and_then(|c| c.subscriptions.get_mut(&rank))
+            .expect("a subscription");
+        let (since, refetch_at) =
+            subscription.missing.as_ref().map_or((now, refetch_at), |m| (m.since, m.refetch_at));
+        if subscription.accepted.is_some() && (is_snapshot_empty || now - since < period) {
+            subscription.missing = Some(Missing { since, refetch_at, is_snapshot_empty });
         } else {
             self.drop_subscription(cluster, rank);
         }
-        self.settle(cluster);
+        self.reconcile(cluster);
     }
 
     fn subscription(&mut self, cluster: &str, rank: usize) -> &mut Subscription {
@@ -246,19 +255,19 @@
         state.subscriptions.entry(rank).or_default()
     }
 
-    /// What would be displaced by a first list of a source.
-    fn other(&self, cluster: &str, rank: usize) -> Option<Map> {
+    /// Returns the owner's listing if a first list of the source would displace it.
+    fn displaced_listing(&self, cluster: &str, rank: usize) -> Option<Map> {
         let (owner, map) = owner(&self.clusters[cluster])?;
         (rank < owner).then(|| map.clone())
     }
 
-    fn list(&mut self, rank: usize, cluster: &str, endpoints: &Endpoints, settings: ClusterSettings) {
+    fn apply_list(&mut self, rank: usize, cluster: &str, endpoints: &Endpoints, settings: ClusterSettings) {
         let subscription = self.subscription(cluster, rank);
         subscription.missing = None;
         match endpoints {
-            Endpoints::NoneOnPurpose => {
-                subscription.held = None;
-                subscription.good = Some((Map::new(), settings));
+            Endpoints::IntentionallyEmpty => {
+                subscription.quarantine = None;
+                subscription.accepted = Some((Map::new(), settings));
             }
             Endpoints::Listed(list) => {
                 let ids: BTreeSet<String> = list.iter().map(name).collect();
@@ -266,234 +275,267 @@
                 let faults = list.iter().filter(|e| e.check().is_err()).count()
                     + ids.iter().filter(|id| count(id) > 1).count();
                 if faults > 0 {
-                    subscription.refused = true;
-                    self.effects.refused += faults;
+                    subscription.has_rejection = true;
+                    self.effects.rejections += faults;
                 } else {
                     let list = list.iter().map(|e| (name(e), e.clone())).collect();
-                    self.whole(rank, cluster, list, settings, true);
+                    self.validate_list(rank, cluster, list, settings, true);
                 }
             }
         }
-        self.settle(cluster);
+        self.reconcile(cluster);
     }
 
-    fn difference(&self, rank: usize, cluster: &str, list: &Map) -> BTreeMap<String, Part> {
-        let other = self.other(cluster, rank);
+    fn difference(&self, rank: usize, cluster: &str, list: &Map) -> BTreeMap<String, Change> {
+        let other = self.displaced_listing(cluster, rank);
         let subscription = &self.clusters[cluster].subscriptions[&rank];
-        let own = subscription.good.as_ref().map(|(own, _)| own);
+        let own = subscription.accepted.as_ref().map(|(own, _)| own);
         let base = own.cloned().or(other).unwrap_or_default();
         let ids: BTreeSet<&String> = base.keys().chain(list.keys()).collect();
         let changed = |id: &&String| own.is_none() || base.get(*id) != list.get(*id);
         ids.into_iter()
             .filter(changed)
-            .map(|id| (id.clone(), part(subscription, id, list.get(id), self.now)))
+            .map(|id| (id.clone(), endpoint_change(subscription, id, list.get(id), self.now)))
             .collect()
     }
 
-    fn whole(&mut self, rank: usize, cluster: &str, list: Map, settings: ClusterSettings, is_reported: bool) {
-        let parts = self.difference(rank, cluster, &list);
-        let old = self.subscription(cluster, rank).held.take();
-        let verdict = self.validate(cluster, rank, &parts, is_reported);
+    fn validate_list(
+        &mut self,
+        rank: usize,
+        cluster: &str,
+        list: Map,
+        settings: ClusterSettings,
+        is_reported: bool,
+    ) {
+        let changes = self.difference(rank, cluster, &list);
+        let old = self.subscription(cluster, rank).quarantine.take();
+        let report = self.validate(cluster, rank, &changes, is_reported);
         let owner = owner(&self.clusters[cluster]).map(|(owner, _)| owner);
-        let (now, due) = (self.now, self.now + self.asking());
+        let (now, refetch_at) = (self.now, self.now + self.refetch_interval());
         let subscription = self.subscription(cluster, rank);
-        let is_first = subscription.good.is_none();
-        if verdict.kinds.is_empty() {
-            subscription.good = Some((list, settings));
+        let is_first = subscription.accepted.is_none();
+        if report.kinds.is_empty() {
+            subscription.accepted = Some((list, settings));
             return;
         }
-        let (since, due) = old.map_or((now, due), |old| (old.since, old.due));
-        let (whole, against, kinds) = (Some(settings), owner.filter(|_| is_first), verdict.kinds);
-        let mut held = Quarantined { parts, whole, kinds, since, due, against, is_new: true };
-        held.parts.iter_mut().for_each(|(id, part)| part.sticky |= verdict.sticky.contains(id));
-        subscription.held = Some(held);
+        let (since, refetch_at) = old.map_or((now, refetch_at), |old| (old.since, old.refetch_at));
+        let (list_settings, displaced_owner, kinds) =
+            (Some(settings), owner.filter(|_| is_first), report.kinds);
+        let mut quarantine =
+            Quarantine { changes, list_settings, kinds, since, refetch_at, displaced_owner, is_new: true };
+        quarantine
+            .changes
+            .iter_mut()
+            .for_each(|(id, change)| change.awaits_confirmation |= report.awaits_confirmation.contains(id));
+        subscription.quarantine = Some(quarantine);
     }
 
-    fn update(&mut self, rank: usize, update: &ClusterDelta) {
+    fn apply_delta(&mut self, rank: usize, update: &ClusterDelta) {
         let cluster = update.cluster.as_str();
         let subscription = self.subscription(cluster, rank);
         subscription.missing = None;
         let upserts = update.upserts.iter().map(|e| (name(e), Some(e.clone())));
         let removals = update.removals.iter().map(|id| (id.as_str().to_owned(), None));
-        let is_reported: Vec<(String, Option<Endpoint>)> = upserts.chain(removals).collect();
-        let count = |id: &String| is_reported.iter().filter(|(other, _)| other == id).count();
-        let ids: BTreeSet<&String> = is_reported.iter().map(|(id, _)| id).collect();
-        let bad = |e: &Option<Endpoint>| e.as_ref().is_some_and(|e| e.check().is_err());
-        let good = |(id, e): &&(String, Option<Endpoint>)| count(id) == 1 && !bad(e);
-        let faults = ids.len() - is_reported.iter().filter(good).count();
-        let is_reported: BTreeMap<String, Option<Endpoint>> =
-            is_reported.iter().filter(good).cloned().collect();
-        subscription.refused |= faults > 0;
-        if subscription.good.is_none() {
-            let held = subscription.held.clone();
+        let reported: Vec<(String, Option<Endpoint>)> = upserts.chain(removals).collect();
+        let count = |id: &String| reported.iter().filter(|(other, _)| other == id).count();
+        let ids: BTreeSet<&String> = reported.iter().map(|(id, _)| id).collect();
+        let is_invalid = |e: &Option<Endpoint>| e.as_ref().is_some_and(|e| e.check().is_err());
+        let is_valid = |(id, e): &&(String, Option<Endpoint>)| count(id) == 1 && !is_invalid(e);
+        let faults = ids.len() - reported.iter().filter(is_valid).count();
+        let reported: BTreeMap<String, Option<Endpoint>> =
+            reported.iter().filter(is_valid).cloned().collect();
+        subscription.has_rejection |= faults > 0;
+        if subscription.accepted.is_none() {
+            let quarantine = subscription.quarantine.clone();
             let mut list: Map = Map::new();
-            for (id, part) in held.iter().flat_map(|held| &held.parts) {
-                list.extend(part.want.iter().map(|e| (id.clone(), e.clone())));
+            for (id, change) in quarantine.iter().flat_map(|quarantine| &quarantine.changes) {
+                list.extend(change.new_endpoint.iter().map(|e| (id.clone(), e.clone())));
             }
-            for (id, e) in &is_reported {
+            for (id, e) in &reported {
                 list.remove(id);
                 list.extend(e.iter().map(|e| (id.clone(), e.clone())));
             }
-            let settings = update.settings.or(held.as_ref().and_then(|h| h.whole)).unwrap_or_default();
-            if !list.is_empty() || held.is_some() {
-                self.whole(rank, cluster, list, settings, held.is_none());
+            let settings =
+                update.settings.or(quarantine.as_ref().and_then(|h| h.list_settings)).unwrap_or_default();
+            if !list.is_empty() || quarantine.is_some() {
+                self.validate_list(rank, cluster, list, settings, quarantine.is_none());
             }
         } else {
-            self.parts(rank, cluster, is_reported, update.settings);
+            self.apply_delta_changes(rank, cluster, reported, update.settings);
         }
-        self.effects.refused += faults;
-        self.settle(cluster);
+        self.effects.rejections += faults;
+        self.reconcile(cluster);
     }
 
-    fn parts(
+    fn apply_delta_changes(
         &mut self,
         rank: usize,
         cluster: &str,
-        is_reported: BTreeMap<String, Option<Endpoint>>,
+        reported: BTreeMap<String, Option<Endpoint>>,
         settings: Option<ClusterSettings>,
     ) {
-        let (now, due) = (self.now, self.now + self.asking());
+        let (now, refetch_at) = (self.now, self.now + self.refetch_interval());
         let subscription = &self.clusters[cluster].subscriptions[&rank];
-        let (own, _) = subscription.good.as_ref().expect("accepted content");
-        let changes = is_reported.iter().filter(|(id, e)| own.get(*id) != e.as_ref());
-        let parts: BTreeMap<String, Part> =
-            changes.map(|(id, e)| (id.clone(), part(subscription, id, e.as_ref(), now))).collect();
+        let (own, _) = subscription.accepted.as_ref().expect("accepted content");
+        let changes = reported.iter().filter(|(id, e)| own.get(*id) != e.as_ref());
+        let changes: BTreeMap<String, Change> =
+            changes.map(|(id, e)| (id.clone(), endpoint_change(subscription, id, e.as_ref(), now))).collect();
         let subscription = self.subscription(cluster, rank);
-        if let Some(held) = &mut subscription.held {
-            is_reported.keys().for_each(|id| _ = held.parts.remove(id));
-            held.whole = held.whole.map(|old| settings.unwrap_or(old));
+        if let Some(quarantine) = &mut subscription.quarantine {
+            reported.keys().for_each(|id| _ = quarantine.changes.remove(id));
+            quarantine.list_settings = quarantine.list_settings.map(|old| settings.unwrap_or(old));
         }
-        let verdict = self.validate(cluster, rank, &parts, true);
+        let report = self.validate(cluster, rank, &changes, true);
         let subscription = self.subscription(cluster, rank);
-        let good = subscription.good.as_mut().expect("accepted content");
-        *good = (with(&good.0, &parts, &verdict.doubtful), settings.unwrap_or(good.1));
-        if verdict.doubtful.is_empty() {
+        let accepted = subscription.accepted.as_mut().expect("accepted content");
+        *accepted = (with_changes(&accepted.0, &changes, &report.suspicious), settings.unwrap_or(accepted.1));
+        if report.suspicious.is_empty() {
             return;
         }
-        let (parts_held, whole, kinds, against) = Default::default();
-        let begin = Quarantined { parts: parts_held, whole, kinds, since: now, due, against, is_new: false };
-        let held = subscription.held.get_or_insert(begin);
-        held.kinds.extend(verdict.kinds);
-        for (id, mut part) in parts.into_iter().filter(|(id, _)| verdict.doubtful.contains(id)) {
-            part.sticky |= verdict.sticky.contains(&id);
-            held.parts.insert(id, part);
+        let (no_changes, list_settings, kinds, displaced_owner) = Default::default();
+        let new_quarantine = Quarantine {
+            changes: no_changes,
+            list_settings,
+            kinds,
+            since: now,
+            refetch_at,
+            displaced_owner,
+            is_new: false,
+        };
+        let quarantine = subscription.quarantine.get_or_insert(new_quarantine);
+        quarantine.kinds.extend(report.kinds);
+        for (id, mut change) in changes.into_iter().filter(|(id, _)| report.suspicious.contains(id)) {
+            change.awaits_confirmation |= report.awaits_confirmation.contains(&id);
+            quarantine.changes.insert(id, change);
         }
     }
 
-    /// Lets pass what is no longer suspicious, then brings what is served up to date.
-    fn settle(&mut self, cluster: &str) {
+    /// Releases changes that are no longer suspicious, then updates the published cluster.
+    fn reconcile(&mut self, cluster: &str) {
         if !self.clusters.contains_key(cluster) {
             return;
         }
         loop {
             let ranks: Vec<usize> = self.clusters[cluster].subscriptions.keys().copied().collect();
-            let passed =
-                ranks.iter().filter(|rank| self.second(cluster, **rank) || self.again(cluster, **rank));
-            // Not `any`: each is asked in each round.
-            if passed.count() == 0 {
+            let released = ranks
+                .iter()
+                .filter(|rank| self.release_agreed(cluster, **rank) || self.recheck(cluster, **rank));
+            // Not `any`, so that each subscription is checked in each round.
+            if released.count() == 0 {
                 break;
             }
         }
         let state = self.clusters.get_mut(cluster).expect("the cluster");
-        let held = state.subscriptions.values_mut().filter_map(|f| f.held.as_mut());
-        held.for_each(|held| held.is_new = false);
-        self.serve(cluster);
+        let quarantines = state.subscriptions.values_mut().filter_map(|s| s.quarantine.as_mut());
+        quarantines.for_each(|quarantine| quarantine.is_new = false);
+        self.publish(cluster);
     }
 
-    fn second(&mut self, cluster: &str, rank: usize) -> bool {
+    fn release_agreed(&mut self, cluster: &str, rank: usize) -> bool {
         let state = self.clusters.get_mut(cluster).expect("the cluster");
         let subscription = &state.subscriptions[&rank];
-        if subscription.held.as_ref().is_none_or(Quarantined::needs_explicit_confirmation) {
+        if subscription.quarantine.as_ref().is_none_or(Quarantine::needs_explicit_confirmation) {
             return false;
         }
-        let places = |map: &Map| map.iter().map(|(id, e)| (id.clone(), e.address)).collect::<Vec<_>>();
-        let wanted = places(&subscription.wanted());
+        let addresses = |map: &Map| map.iter().map(|(id, e)| (id.clone(), e.address)).collect::<Vec<_>>();
+        let own = addresses(&subscription.listing_if_released());
         let mut others = state.subscriptions.iter().filter(|(other, _)| **other != rank);
-        if others.any(|(_, f)| f.good.as_ref().is_some_and(|(other, _)| places(other) == wanted)) {
-            release(state.subscriptions.get_mut(&rank).expect("the feed"));
+        if others.any(|(_, s)| s.accepted.as_ref().is_some_and(|(other, _)| addresses(other) == own)) {
+            release(state.subscriptions.get_mut(&rank).expect("the subscription"));
             return true;
         }
         false
     }
 
-    fn again(&mut self, cluster: &str, rank: usize) -> bool {
+    fn recheck(&mut self, cluster: &str, rank: usize) -> bool {
         let state = &self.clusters[cluster];
         let subscription = &state.subscriptions[&rank];
-        let Some(held) = subscription.held.as_ref().filter(|held| !held.is_new) else { return false };
-        let now_owner = owner(state).map(|(owner, _)| owner);
-        let (mut parts, verdict) = match &subscription.good {
+        let Some(quarantine) = subscription.quarantine.as_ref().filter(|quarantine| !quarantine.is_new)
+        else {
+            return false;
+        };
+        let current_owner = owner(state).map(|(owner, _)| owner);
+        let (mut changes, report) = match &subscription.accepted {
             None => {
-                if held.against.is_none() || held.against == now_owner {
+                if quarantine.displaced_owner.is_none() || quarantine.displaced_owner == current_owner {
                     return false;
                 }
-                let list = with(&Map::new(), &held.parts, &BTreeSet::new());
-                let parts = self.difference(rank, cluster, &list);
-                let verdict = self.validate(cluster, rank, &parts, false);
-                (parts, verdict)
+                let list = with_changes(&Map::new(), &quarantine.changes, &BTreeSet::new());
+                let changes = self.difference(rank, cluster, &list);
+                let report = self.validate(cluster, rank, &changes, false);
+                (changes, report)
             }
-            Some(_) if held.whole.is_some() && held.parts.values().any(|part| part.sticky) => return false,
-            Some(_) => (held.parts.clone(), self.validate(cluster, rank, &held.parts, false)),
+            Some(_)
+                if quarantine.list_settings.is_some()
+                    && quarantine.changes.values().any(|change| change.awaits_confirmation) =>
+            {
+                return false;
+            }
+            Some(_) => (quarantine.changes.clone(), self.validate(cluster, rank, &quarantine.changes, false)),
         };
         let subscription = self.subscription(cluster, rank);
-        let held = subscription.held.as_mut().expect("held");
-        held.against = now_owner.filter(|_| subscription.good.is_none());
-        parts.iter_mut().for_each(|(id, part)| part.sticky |= verdict.sticky.contains(id));
-        held.parts = parts;
-        if !verdict.kinds.is_empty() {
-            held.kinds = verdict.kinds.clone();
+        let quarantine = subscription.quarantine.as_mut().expect("a quarantine");
+        quarantine.displaced_owner = current_owner.filter(|_| subscription.accepted.is_none());
+        changes
+            .iter_mut()
+            .for_each(|(id, change)| change.awaits_confirmation |= report.awaits_confirmation.contains(id));
+        quarantine.changes = changes;
+        if !report.kinds.is_empty() {
+            quarantine.kinds = report.kinds.clone();
         }
-        if held.whole.is_some() {
-            if verdict.kinds.is_empty() {
+        if quarantine.list_settings.is_some() {
+            if report.kinds.is_empty() {
                 release(subscription);
             }
-            return verdict.kinds.is_empty();
+            return report.kinds.is_empty();
         }
-        let stays = |(id, part): (&String, &Part)| part.sticky || verdict.doubtful.contains(id);
-        let passing: Vec<String> =
-            held.parts.iter().filter(|p| !stays(*p)).map(|(id, _)| id.clone()).collect();
-        let good = subscription.good.as_mut().expect("accepted content");
-        for id in &passing {
-            let part = held.parts.remove(id).expect("a part");
-            good.0.remove(id);
-            good.0.extend(part.want.map(|e| (id.clone(), e)));
+        let stays =
+            |(id, change): (&String, &Change)| change.awaits_confirmation || report.suspicious.contains(id);
+        let cleared: Vec<String> =
+            quarantine.changes.iter().filter(|p| !stays(*p)).map(|(id, _)| id.clone()).collect();
+        let accepted = subscription.accepted.as_mut().expect("accepted content");
+        for id in &cleared {
+            let change = quarantine.changes.remove(id).expect("a change");
+            accepted.0.remove(id);
+            accepted.0.extend(change.new_endpoint.map(|e| (id.clone(), e)));
         }
-        let is_over = held.parts.is_empty();
-        if is_over {
-            subscription.held = None;
+        let is_emptied = quarantine.changes.is_empty();
+        if is_emptied {
+            subscription.quarantine = None;
         }
-        is_over || !passing.is_empty()
+        is_emptied || !cleared.is_empty()
     }
 
-    fn serve(&mut self, cluster: &str) {
+    fn publish(&mut self, cluster: &str) {
         let now = self.now;
         let state = self.clusters.get_mut(cluster).expect("the cluster");
         let Some((owner, own)) = owner(state) else {
-            if state.served.take().is_some() {
-                (state.left, state.left_at) = Default::default();
+            if state.published.take().is_some() {
+                (state.recently_removed, state.removed_at) = Default::default();
             }
             return;
         };
-        let shall: Map = own
+        let target: Map = own
             .iter()
             .map(|(id, e)| (id.clone(), with_reported_state(&state.subscriptions, owner, e)))
             .collect();
-        let settings = state.subscriptions[&owner].good.as_ref().expect("the owner's").1;
-        let before = state.served.take().map_or(Map::new(), |served| served.endpoints);
+        let settings = state.subscriptions[&owner].accepted.as_ref().expect("the owner's").1;
+        let before = state.published.take().map_or(Map::new(), |published| published.endpoints);
         for (id, e) in &before {
-            if !shall.contains_key(id) {
-                state.left.insert(id.clone(), e.clone());
-                state.left_at.insert(id.clone(), now);
+            if !target.contains_key(id) {
+                state.recently_removed.insert(id.clone(), e.clone());
+                state.removed_at.insert(id.clone(), now);
                 self.effects.removed.insert((cluster.to_owned(), id.clone()));
             }
         }
-        let within = self.policy.returns_within.as_nanos() as Nanos;
-        for (id, new) in &shall {
+        let window = self.policy.returns_within.as_nanos() as Nanos;
+        for (id, new) in &target {
             if before.get(id) == Some(new) {
                 continue;
             }
-            let away = state.left_at.remove(id).map(|at| now - at).filter(|away| *away <= within);
-            let left = state.left.remove(id).filter(|_| away.is_some());
-            let arrival = match before.get(id).or(left.as_ref()) {
+            let away = state.removed_at.remove(id).map(|at| now - at).filter(|away| *away <= window);
+            let recently_removed = state.recently_removed.remove(id).filter(|_| away.is_some());
+            let arrival = match before.get(id).or(recently_removed.as_ref()) {
                 None => Arrival::New,
                 Some(old) if new.started.is_some() && new.started != old.started => Arrival::Restarted,
                 Some(old) if new.address != old.address => Arrival::Moved { from: old.address },
@@ -501,22 +543,38 @@
             };
             self.effects.upserted.insert((cluster.to_owned(), id.clone()), arrival);
         }
-        state.served = Some(Served { owner, endpoints: shall, settings });
+        state.published = Some(Published { owner, endpoints: target, settings });
     }
 }
 
 fn owner(state: &Cluster) -> Option<(usize, &Map)> {
-    state.subscriptions.iter().find_map(|(rank, subscription)| Some((*rank, &subscription.good.as_ref()?.0)))
+    state
+        .subscriptions
+        .iter()
+        .find_map(|(rank, subscription)| Some((*rank, &subscription.accepted.as_ref()?.0)))
 }
 
-fn part(subscription: &Subscription, id: &str, want: Option<&Endpoint>, now: Nanos) -> Part {
-    let held = subscription.held.as_ref().and_then(|held| held.parts.get(id));
-    let same = held.filter(|part| part.want.as_ref().map(|e| e.address) == want.map(|e| e.address));
-    Part { want: want.cloned(), since: same.map_or(now, |part| part.since), sticky: false }
+fn endpoint_change(
+    subscription: &Subscription,
+    id: &str,
+    new_endpoint: Option<&Endpoint>,
+    now: Nanos,
+) -> Change {
+    let quarantine = subscription.quarantine.as_ref().and_then(|quarantine| quarantine.changes.get(id));
+    let same = quarantine
+        .filter(|change| change.new_endpoint.as_ref().map(|e| e.address) == new_endpoint.map(|e| e.address));
+    Change {
+        new_endpoint: new_endpoint.cloned(),
+        since: same.map_or(now, |change| change.since),
+        awaits_confirmation: false,
+    }
 }
 
 fn release(subscription: &mut Subscription) {
-    let held = subscription.held.take().expect("held");
-    let (own, settings) = subscription.good.take().unwrap_or_default();
-    subscription.good = Some((with(&own, &held.parts, &BTreeSet::new()), held.whole.unwrap_or(settings)));
+    let quarantine = subscription.quarantine.take().expect("a quarantine");
+    let (own, settings) = subscription.accepted.take().unwrap_or_default();
+    subscription.accepted = Some((
+        with_changes(&own, &quarantine.changes, &BTreeSet::new()),
+        quarantine.list_settings.unwrap_or(settings),
+    ));
 }
--- a/crates/membership/tests/reference/model/validation.rs
+++ b/crates/membership/tests/reference/model/validation.rs
@@ -1,13 +1,13 @@
-//! The plain model's view of what is suspicious about a change.
+//! The reference model's validation of changes.
 
-use super::{Map, Model, Part, Subscription, WORDS, name, with};
+use super::{Change, EXPLICIT_KINDS, Map, Model, Subscription, name, with_changes};
 use olivecart_membership::{Endpoint, State};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
 pub(super) struct Report {
-    pub doubtful: BTreeSet<String>,
-    pub sticky: BTreeSet<String>,
+    pub suspicious: BTreeSet<String>,
+    pub awaits_confirmation: BTreeSet<String>,
     pub kinds: BTreeSet<&'static str>,
 }
 
@@ -20,123 +20,134 @@
         &self,
         cluster: &str,
         rank: usize,
-        parts: &BTreeMap<String, Part>,
+        changes: &BTreeMap<String, Change>,
         is_reported: bool,
     ) -> Report {
         let subscriptions = &self.clusters[cluster].subscriptions;
-        let own = subscriptions[&rank].good.as_ref().map(|(own, _)| own);
-        let other = self.other(cluster, rank);
+        let own = subscriptions[&rank].accepted.as_ref().map(|(own, _)| own);
+        let other = self.displaced_listing(cluster, rank);
         let empty = Map::new();
         let base = own.or(other.as_ref()).unwrap_or(&empty);
         let start = own.unwrap_or(&empty);
-        // With regard to what anybody else says of the endpoints.
-        let seen = |map: &Map| -> Map {
+        // Applies the states that other sources report.
+        let with_states = |map: &Map| -> Map {
             map.iter().map(|(id, e)| (id.clone(), with_reported_state(subscriptions, rank, e))).collect()
         };
-        let settled = |part: &Part| is_reported && self.now - part.since >= self.hold();
+        let is_confirmed =
+            |change: &Change| is_reported && self.now - change.since >= self.quarantine_period();
         let mut report = Report::default();
-        nothing_left(own.is_none(), start, &seen, base, parts, &mut report);
-        let before = seen(base);
+        find_loss_of_service(own.is_none(), start, &with_states, base, changes, &mut report);
+        let before = with_states(base);
         let is_ready = |id: &String| before.get(id).is_some_and(|e| e.state == State::Ready);
         let ready = before.keys().filter(|id| is_ready(id)).count();
-        let gone = parts.iter().filter(|(id, part)| part.want.is_none() && is_ready(id) && !settled(part));
-        let gone: Vec<&String> = gone.map(|(id, _)| id).collect();
-        if gone.len() >= 2 && gone.len() as f64 > self.policy.most_gone * ready as f64 {
-            report.kinds.insert(if gone.len() == ready { "all gone" } else { "many gone" });
-            report.doubtful.extend(gone.iter().map(|id| id.to_string()));
-            report.sticky.extend(gone.iter().map(|id| id.to_string()));
+        let removed = changes
+            .iter()
+            .filter(|(id, change)| change.new_endpoint.is_none() && is_ready(id) && !is_confirmed(change));
+        let removed: Vec<&String> = removed.map(|(id, _)| id).collect();
+        if removed.len() >= 2 && removed.len() as f64 > self.policy.most_gone * ready as f64 {
+            report.kinds.insert(if removed.len() == ready { "all removed" } else { "many removed" });
+            report.suspicious.extend(removed.iter().map(|id| id.to_string()));
+            report.awaits_confirmation.extend(removed.iter().map(|id| id.to_string()));
         }
-        let moved = parts.iter().filter(|(id, part)| {
-            let Some((from, want)) = ready_address(&before, id).zip(part.want.as_ref()) else { return false };
-            let restarted = want.started.is_some() && want.started != before[*id].started;
-            want.state == State::Ready && want.address != Some(from) && !restarted && !settled(part)
+        let moved = changes.iter().filter(|(id, change)| {
+            let Some((from, new_endpoint)) = ready_address(&before, id).zip(change.new_endpoint.as_ref())
+            else {
+                return false;
+            };
+            let restarted = new_endpoint.started.is_some() && new_endpoint.started != before[*id].started;
+            new_endpoint.state == State::Ready
+                && new_endpoint.address != Some(from)
+                && !restarted
+                && !is_confirmed(change)
         });
         let moved: Vec<String> = moved.map(|(id, _)| id.clone()).collect();
-        let moved: Vec<String> = moved.into_iter().filter(|id| !report.doubtful.contains(id)).collect();
+        let moved: Vec<String> = moved.into_iter().filter(|id| !report.suspicious.contains(id)).collect();
         if !moved.is_empty() {
             report.kinds.insert("moved");
-            report.doubtful.extend(moved);
+            report.suspicious.extend(moved);
         }
-        let after = with(start, parts, &report.doubtful);
-        let mut twice = Vec::new();
-        for (id, part) in parts.iter().filter(|(id, _)| !report.doubtful.contains(*id)) {
+        let after = with_changes(start, changes, &report.suspicious);
+        let mut duplicates = Vec::new();
+        for (id, change) in changes.iter().filter(|(id, _)| !report.suspicious.contains(*id)) {
             let Some(address) = ready_address(&after, id).filter(|a| ready_address(start, id) != Some(*a))
             else {
                 continue;
             };
             let others =
                 after.keys().filter(|other| *other != id && ready_address(&after, other) == Some(address));
-            if others.count() > 0 && !settled(part) {
-                twice.push(id.clone());
+            if others.count() > 0 && !is_confirmed(change) {
+                duplicates.push(id.clone());
             }
         }
-        if !twice.is_empty() {
-            report.kinds.insert("address twice");
-            report.doubtful.extend(twice);
+        if !duplicates.is_empty() {
+            report.kinds.insert("duplicate address");
+            report.suspicious.extend(duplicates);
         }
-        if !report.kinds.is_empty() && !WORDS.iter().any(|kind| report.kinds.contains(kind)) {
-            nothing_left(own.is_none(), start, &seen, base, parts, &mut report);
+        if !report.kinds.is_empty() && !EXPLICIT_KINDS.iter().any(|kind| report.kinds.contains(kind)) {
+            find_loss_of_service(own.is_none(), start, &with_states, base, changes, &mut report);
         }
         report
     }
 }
 
-fn nothing_left(
+fn find_loss_of_service(
     is_first: bool,
     start: &Map,
-    seen: &dyn Fn(&Map) -> Map,
+    with_states: &dyn Fn(&Map) -> Map,
     base: &Map,
-    parts: &BTreeMap<String, Part>,
+    changes: &BTreeMap<String, Change>,
     report: &mut Report,
 ) {
-    let after = seen(&with(start, parts, &report.doubtful));
-    let before = seen(base);
+    let after = with_states(&with_changes(start, changes, &report.suspicious));
+    let before = with_states(base);
     if after.values().any(Endpoint::takes_requests) {
         return;
     }
-    let weightless = |id: &String| after.get(id).is_some_and(|e| e.state == State::Ready);
-    let passing = || parts.keys().filter(|id| !report.doubtful.contains(*id));
-    let loses = |id: &&String| {
-        before.get(*id).is_some_and(Endpoint::takes_requests) && (!after.contains_key(*id) || weightless(id))
+    let is_ready_after = |id: &String| after.get(id).is_some_and(|e| e.state == State::Ready);
+    let unsuspicious = || changes.keys().filter(|id| !report.suspicious.contains(*id));
+    let is_loss = |id: &&String| {
+        before.get(*id).is_some_and(Endpoint::takes_requests)
+            && (!after.contains_key(*id) || is_ready_after(id))
     };
-    let lost: BTreeSet<String> = passing()
-        .filter(|id| loses(id) || after.is_empty() || start.is_empty() && weightless(id))
+    let lost: BTreeSet<String> = unsuspicious()
+        .filter(|id| is_loss(id) || after.is_empty() || start.is_empty() && is_ready_after(id))
         .cloned()
         .collect();
-    let any_ready = after.values().any(|e| e.state == State::Ready);
-    let any_loss = passing().any(|id| loses(&id));
+    let has_ready = after.values().any(|e| e.state == State::Ready);
+    let has_loss = unsuspicious().any(|id| is_loss(&id));
     let kind = if after.is_empty() && (is_first || !start.is_empty()) {
         "no endpoints"
-    } else if any_ready && (any_loss || start.is_empty()) {
+    } else if has_ready && (has_loss || start.is_empty()) {
         "all zero"
-    } else if any_loss {
-        "nothing left"
+    } else if has_loss {
+        "no serving endpoint"
     } else {
         return;
     };
     report.kinds.insert(kind);
     if lost.len() >= 2 {
-        report.sticky.extend(lost.iter().cloned());
+        report.awaits_confirmation.extend(lost.iter().cloned());
     }
-    report.doubtful.extend(lost);
+    report.suspicious.extend(lost);
 }
 
-/// An endpoint in the most cautious state that anybody else, or what is held, says it is in.
+/// Returns an endpoint in the most cautious state that other sources or quarantined changes report.
 pub(super) fn with_reported_state(
     subscriptions: &BTreeMap<usize, Subscription>,
     listed_by: usize,
     own: &Endpoint,
 ) -> Endpoint {
     let id = name(own);
-    let reports = subscriptions.iter().flat_map(|(rank, f)| {
-        let good = f.good.as_ref().filter(|_| *rank != listed_by).and_then(|(map, _)| map.get(&id));
-        let held = f.held.as_ref().and_then(|h| h.parts.get(&id)).and_then(|p| p.want.as_ref());
-        good.into_iter().chain(held)
+    let reports = subscriptions.iter().flat_map(|(rank, s)| {
+        let accepted = s.accepted.as_ref().filter(|_| *rank != listed_by).and_then(|(map, _)| map.get(&id));
+        let quarantined =
+            s.quarantine.as_ref().and_then(|h| h.changes.get(&id)).and_then(|p| p.new_endpoint.as_ref());
+        accepted.into_iter().chain(quarantined)
     });
-    let counts = |report: &&Endpoint| match (report.started, own.started) {
+    let is_current = |report: &&Endpoint| match (report.started, own.started) {
         (Some(reported), Some(own)) => reported >= own,
         _ => true,
     };
-    let state = reports.filter(counts).map(|e| e.state).max().unwrap_or(own.state).max(own.state);
+    let state = reports.filter(is_current).map(|e| e.state).max().unwrap_or(own.state).max(own.state);
     Endpoint { state, ..own.clone() }
 }
--- a/crates/membership/tests/watch.rs
+++ b/crates/membership/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Watched files on a real file system: what the catalog and the operator are told, in order.
+//! Watched files on a real file system: the events for the catalog and the notices for operators, in order.
 #![cfg(feature = "sources")]
 
 use olivecart_membership::source::{
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{Receiver, Sender, channel, unbounded_channel};
 
-/// Longer than anything takes on any machine.
-const NEVER: Duration = Duration::from_secs(60);
-/// Longer than a test: what is seen is seen by events.
-const SELDOM: Duration = Duration::from_secs(3600);
+/// The time limit for events that must occur.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(60);
+/// A polling interval that does not pass during a test, so that changes are detected only by events.
+const NO_POLLING: Duration = Duration::from_secs(3600);
 
 struct Watched {
     directory: tempfile::TempDir,
@@ -45,26 +45,27 @@
         self.directory.path().join(name)
     }
 
-    /// The next thing that the catalog is told: clusters by name with their endpoints, or how it is silent.
+    /// Returns the next event for the catalog: the clusters with their endpoints, the kind of silence or
+    /// `reconnected`.
     async fn next(&mut self) -> String {
         let received =
-            tokio::time::timeout(NEVER, self.events.recv()).await.expect("in time").expect("it runs");
+            tokio::time::timeout(EVENT_TIMEOUT, self.events.recv()).await.expect("in time").expect("it runs");
         match received.event {
             Event::Update { update: EndpointUpdate::FullSnapshot(clusters), .. } => {
-                let said = |c: &olivecart_membership::Cluster| {
+                let describe = |c: &olivecart_membership::Cluster| {
                     let ids: Vec<_> = c.listed().iter().map(|e| e.name.as_str().to_owned()).collect();
                     format!("{}={}", c.name, ids.join(","))
                 };
-                clusters.iter().map(said).collect::<Vec<_>>().join(" ")
+                clusters.iter().map(describe).collect::<Vec<_>>().join(" ")
             }
             Event::Silent { silence, .. } => silence.to_string(),
-            Event::Reconnected { .. } => "back".into(),
+            Event::Reconnected { .. } => "reconnected".into(),
             other => panic!("{other:?}"),
         }
     }
 
     async fn next_notice(&mut self) -> String {
-        let notice = tokio::time::timeout(NEVER, self.notices.recv()).await.expect("in time");
+        let notice = tokio::time::timeout(EVENT_TIMEOUT, self.notices.recv()).await.expect("in time");
         notice.expect("it runs").to_string()
     }
 }
@@ -81,26 +82,27 @@
     text + "[end]\n"
 }
 
-fn put(path: &Path, text: &str) {
-    let beside = path.with_extension("beside");
-    fs::write(&beside, text).expect("written");
-    fs::rename(beside, path).expect("renamed");
+/// Replaces a file atomically by a rename.
+fn replace(path: &Path, text: &str) {
+    let temporary = path.with_extension("temporary");
+    fs::write(&temporary, text).expect("written");
+    fs::rename(temporary, path).expect("renamed");
 }
 
 #[tokio::test]
 async fn malformed_or_missing_file_keeps_last_good_content() {
-    let mut watched = Watched::new("fleet.toml", Kind::File, SELDOM);
+    let mut watched = Watched::new("fleet.toml", Kind::File, NO_POLLING);
     let path = watched.path("fleet.toml");
-    assert_eq!(watched.next().await, "lost", "not there yet");
-    put(&path, &text("cart=a,b"));
+    assert_eq!(watched.next().await, "lost", "the file does not exist yet");
+    replace(&path, &text("cart=a,b"));
     assert_eq!(watched.next().await, "cart=a,b");
-    fs::write(&path, &text("cart=a,c")[..39]).expect("torn");
+    fs::write(&path, &text("cart=a,c")[..39]).expect("truncated");
     assert_eq!(watched.next().await, "quiet");
     fs::write(&path, text("cart=a,b")).expect("in place");
     assert_eq!(
         watched.next().await,
-        "back",
-        "what it said before is no news, or it would confirm what is held"
+        "reconnected",
+        "content that was reported before is no update, which would confirm quarantined changes"
     );
     fs::remove_file(&path).expect("removed");
     assert_eq!(watched.next().await, "lost");
@@ -108,9 +110,10 @@
     assert_eq!(watched.next().await, "quiet");
     fs::remove_dir(&path).expect("removed");
     assert_eq!(watched.next().await, "lost");
-    put(&path, &text("cart=c"));
+    replace(&path, &text("cart=c"));
     assert_eq!(watched.next().await, "cart=c");
-    for expected in ["No such file", "good again", "no [end]", "good again", "No such file", "is a directory"]
+    for expected in
+        ["No such file", "valid again", "no [end]", "valid again", "No such file", "is a directory"]
     {
         let notice = watched.next_notice().await;
         assert!(notice.contains(expected), "{expected}: {notice}");
@@ -119,9 +122,9 @@
 
 #[tokio::test]
 async fn refetch_request_reports_unchanged_content() {
-    let mut watched = Watched::new("fleet.toml", Kind::File, SELDOM);
+    let mut watched = Watched::new("fleet.toml", Kind::File, NO_POLLING);
     assert_eq!(watched.next().await, "lost");
-    put(&watched.path("fleet.toml"), &text("cart=a"));
+    replace(&watched.path("fleet.toml"), &text("cart=a"));
     assert_eq!(watched.next().await, "cart=a");
     watched.refetch_requests.send(RefetchRequest { cluster: "cart".into() }).await.expect("it runs");
     assert_eq!(watched.next().await, "cart=a");
@@ -129,19 +132,19 @@
 
 #[tokio::test]
 async fn change_without_file_system_event_is_found_by_polling() {
-    // The file is a link to elsewhere: events are only about the directory that the link is in.
-    let elsewhere = tempfile::tempdir().expect("a directory");
-    let target = elsewhere.path().join("target.toml");
-    put(&target, &text("cart=a"));
+    // The file is a link to another directory, while events only concern the directory of the link.
+    let other_directory = tempfile::tempdir().expect("a directory");
+    let target = other_directory.path().join("target.toml");
+    replace(&target, &text("cart=a"));
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("fleet.toml");
     std::os::unix::fs::symlink(&target, &path).expect("a link");
     let mut watched = Watched::at(directory, path, Kind::File, Duration::from_millis(5));
     assert_eq!(watched.next().await, "cart=a");
     for id in ["b", "c", "d"] {
-        // Of the same length, and soon after: only reading tells them apart. Put there whole: a look between the
-        // two halves of a write would find it torn, and say so.
-        put(&target, &text(&format!("cart={id}")));
+        // The length is the same and the change is recent, so it can only be detected by reading. The file is
+        // replaced atomically, since an observation during a write would report a truncated file.
+        replace(&target, &text(&format!("cart={id}")));
         assert_eq!(watched.next().await, format!("cart={id}"));
     }
 }
@@ -151,27 +154,27 @@
     let mut watched = Watched::new("fleet.d", Kind::Directory, Duration::from_millis(50));
     assert_eq!(watched.next().await, "lost");
     let directory = watched.path("fleet.d");
-    let make = |directory: &Path| {
-        let beside = directory.with_extension("beside");
-        fs::create_dir(&beside).expect("a directory");
-        put(&beside.join("b.toml"), &text("book=a"));
-        fs::write(beside.join(".hidden.toml"), "no good").expect("written");
-        fs::write(beside.join("notes.txt"), "no good").expect("written");
-        fs::rename(beside, directory).expect("renamed");
+    let create = |directory: &Path| {
+        let temporary = directory.with_extension("temporary");
+        fs::create_dir(&temporary).expect("a directory");
+        replace(&temporary.join("b.toml"), &text("book=a"));
+        fs::write(temporary.join(".hidden.toml"), "invalid").expect("written");
+        fs::write(temporary.join("notes.txt"), "invalid").expect("written");
+        fs::rename(temporary, directory).expect("renamed");
     };
-    make(&directory);
+    create(&directory);
     assert_eq!(watched.next().await, "book=a");
-    put(&directory.join("a.toml"), &text("cart=a"));
+    replace(&directory.join("a.toml"), &text("cart=a"));
     assert_eq!(watched.next().await, "book=a cart=a");
-    put(&directory.join("c.toml"), &text("cart=b"));
+    replace(&directory.join("c.toml"), &text("cart=b"));
     assert_eq!(watched.next().await, "quiet", "a cluster in two files");
     fs::remove_file(directory.join("c.toml")).expect("removed");
-    assert_eq!(watched.next().await, "back");
+    assert_eq!(watched.next().await, "reconnected");
     fs::rename(&directory, watched.path("old")).expect("moved away");
     assert_eq!(watched.next().await, "lost");
-    make(&directory);
+    create(&directory);
     assert_eq!(watched.next().await, "book=a");
-    put(&directory.join("d.toml"), &text("cart=d"));
+    replace(&directory.join("d.toml"), &text("cart=d"));
     assert_eq!(watched.next().await, "book=a cart=d", "the new directory is watched");
 }
 
@@ -180,8 +183,8 @@
     let (event_sender, events) = channel(EVENT_QUEUE_CAPACITY);
     let (_refetch_requests, refetch_receiver) = channel(REFETCH_QUEUE_CAPACITY);
     let path = PathBuf::from("/nowhere/fleet.toml");
-    let watch = Watch { source: "files".into(), path, kind: Kind::File, poll: SELDOM };
+    let watch = Watch { source: "files".into(), path, kind: Kind::File, poll: NO_POLLING };
     let task = tokio::spawn(run(watch, parse_documented, event_sender, refetch_receiver, |_| {}));
     drop(events);
-    tokio::time::timeout(NEVER, task).await.expect("it ends").expect("without a panic");
+    tokio::time::timeout(EVENT_TIMEOUT, task).await.expect("it ends").expect("without a panic");
 }
--- a/crates/membership/tests/xds/faults.rs
+++ b/crates/membership/tests/xds/faults.rs
@@ -142,7 +142,7 @@
     assert!(harness.send_response(Cluster, "2", vec![own("b")], &[]).iter().all(|line| !line.contains('!')));
     let large = vec![resource("b", "2", super::harness::own("b", &["a", "b", "c", "d"]))];
     let lines = harness.send_response(Cluster, "2", large, &[]);
-    let reason = "load_assignment.endpoints: it would have more than 3 endpoints (max_endpoints)";
+    let reason = "load_assignment.endpoints: the cluster would have more than 3 endpoints (max_endpoints)";
     assert!(lines[0].ends_with(reason), "{lines:?}");
     // After a burst, two hundred small ones a second, and fewer large ones.
     assert!(harness.session.next_read_at() <= harness.now);
--- a/crates/membership/tests/xds/resource.rs
+++ b/crates/membership/tests/xds/resource.rs
@@ -122,7 +122,7 @@
         ),
         (
             last(&|e| socket(e).address = "0.0.0.0".into()),
-            ".endpoint.address: address 0.0.0.0:80: no endpoint can be reached there",
+            ".endpoint.address: address 0.0.0.0:80 must be a unicast address with a port other than 0",
         ),
         (
             last(&|e| host(e).address = pipe.clone()),
@@ -238,11 +238,11 @@
         ),
         (
             told(Cluster { connect_timeout: Some(Duration { seconds: 0, nanos: 0 }), ..eds.clone() }),
-            "connect_timeout: connect_timeout must be over 0 and at most 1h",
+            "connect_timeout: connect_timeout must be greater than 0 and at most 1h",
         ),
         (
             told(Cluster { connect_timeout: Some(Duration { seconds: -1, nanos: 0 }), ..eds.clone() }),
-            "connect_timeout: it must be over 0 and at most 1h",
+            "connect_timeout: it must be greater than 0 and at most 1h",
         ),
         (
             told(Cluster { circuit_breakers: Some(breakers), ..eds.clone() }),
@@ -253,6 +253,6 @@
     }
     assert_eq!(
         told(eds_cluster("a b")),
-        "Cluster \"a b\": name: its name holds a blank or control character"
+        "Cluster \"a b\": name: the name contains whitespace or a control character"
     );
 }
--- a/crates/proxy/src/cluster_config/tests.rs
+++ b/crates/proxy/src/cluster_config/tests.rs
@@ -95,7 +95,7 @@
         ),
         ("version = 1", "", "ops.toml:1:1: missing field `version`"),
         ("default =", "defualt =", "ops.toml:2:1: defualt: unknown field `defualt`, expected one of"),
-        ("\"cart\"\n\n", "\"my cart\"\n\n", "ops.toml:2:11: default: its name holds a blank"),
+        ("\"cart\"\n\n", "\"my cart\"\n\n", "ops.toml:2:11: default: the name contains whitespace"),
         ("\"500ms\"", "\"soon\"", "ops.toml:7:8: sources[0].poll: \"soon\" is not a length of time"),
         ("\"500ms\"", "\"1ms\"", "ops.toml:7:8: sources[0].poll: \"1ms\" is not in the range of this key"),
         ("\"500ms\"", "500", "ops.toml:7:8: sources[0].poll: invalid type: integer `500`"),
@@ -150,7 +150,7 @@
             "class = \"book\"\npath = \"/book\"",
             "rules[1]: fits exactly the same",
         ),
-        ("\"1s\"", "\"1h\"", "catalog.hold: policy of the catalog: hold must be 0 s to 10 min"),
+        ("\"1s\"", "\"1h\"", "catalog.hold: catalog policy: hold must be 0 s to 10 min"),
     ] {
         assert_eq!(WHOLE.matches(right).count(), 1, "{right}");
         let said = read(&WHOLE.replace(right, wrong)).expect_err(wrong).to_string();
--- a/crates/proxy/tests/clusters.rs
+++ b/crates/proxy/tests/clusters.rs
@@ -36,8 +36,8 @@
          a send 200 | registry
          c expect 200 | registry
          disk list fleet.toml cart=d book=e
-         proxy expect log changed: fleet said so
-         proxy expect log changed: fleet said so
+         proxy expect log changed: update from fleet
+         proxy expect log changed: update from fleet
          c send GET /1
          d expect GET /1
          d send 200 | cart
@@ -164,7 +164,7 @@
         (
             vec![diff, &old, &gone],
             1,
-            "would be held back: diff: cluster cart: held: all 3 ready endpoints gone",
+            "would be held back: diff: cluster cart: quarantined: all 3 ready endpoints removed",
         ),
         (vec![diff, &old, &torn], 2, "no [end] as the last line"),
     ] {
@@ -294,10 +294,10 @@
          proxy expect log quiet for
          proxy expect log cart: from fleet, 2 ready, 0 draining
          disk list fleet.toml cart=a,b book=e
-         proxy expect log all 2 ready endpoints gone at once
+         proxy expect log all 2 ready endpoints removed at once
          proxy send USR1
          proxy expect log cart: from fleet, 2 ready
-         proxy expect log all 2 ready endpoints gone at once, d-0 first; asked again in
+         proxy expect log all 2 ready endpoints removed at once, starting with d-0; asking again in
          c send GET /1
          e expect GET /1
          e send 200 | 1
@@ -305,7 +305,7 @@
          disk list fleet.toml cart=d,e book=e
          proxy expect log withdrawn
          disk remove fleet.toml
-         proxy expect log cannot be read, the last good one stands
+         proxy expect log cannot be read; the last valid content stays in use
          c send GET /2
          e expect GET /2
          e send 200 | 2
--- a/crates/proxy/tests/xds.rs
+++ b/crates/proxy/tests/xds.rs
@@ -169,11 +169,11 @@
              c send GET /1
              c expect 200 | first
              disk raw fleet.yaml {}
-             proxy expect log refused, the last good one stands
+             proxy expect log rejected; the last valid content stays in use
              c send GET /2
              c expect 200 | first
              disk raw fleet.yaml {}...\\n
-             proxy expect log good again
+             proxy expect log valid again
              proxy expect log cluster changed
              c send GET /3
              c expect 200 | second",
