--- a/crates/membership/src/catalog/quarantine.rs
+++ b/crates/membership/src/catalog/quarantine.rs
@@ -108,7 +108,8 @@
         self.release(rank, Cause::Confirmed(ConfirmationSource::ExplicitCommand), effects)
     }
 
-    /// Handles a full snapshot that does not contain this cluster, and quarantines the removal as `anomaly`.
+    /// Handles a full snapshot without this cluster: quarantines the removal as `anomaly` until it is
+    /// confirmed.
     pub fn mark_missing(&mut self, context: &UpdateContext, rank: Rank, anomaly: Anomaly) -> UpdateEffects {
         let Some(subscription) = self.subscriptions.get_mut(&rank) else { return UpdateEffects::default() };
         let refetch_at = context.now.saturating_add(context.policy.refetch_interval().as_nanos() as Nanos);
--- a/crates/membership/src/catalog/timers.rs
+++ b/crates/membership/src/catalog/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of the catalog. They hold deadlines only; the caller of the catalog waits for them.
+//! The timers of the catalog. They only store deadlines; the caller of the catalog waits for them.
 
 use super::source::Rank;
 use crate::names::ClusterName;
--- a/crates/membership/src/catalog/validator.rs
+++ b/crates/membership/src/catalog/validator.rs
@@ -63,7 +63,7 @@
         self.find_moved(&mut report);
         self.find_duplicate_addresses(&mut report);
         if !report.is_clear() && !report.anomalies.iter().any(Anomaly::needs_explicit_confirmation) {
-            // Without the suspicious changes, no serving endpoint may remain after all.
+            // The unsuspicious changes alone may take the last serving endpoint out of service.
             self.find_loss_of_service(&mut report);
         }
         report
@@ -87,8 +87,8 @@
         endpoint.state == State::Ready && self.overlay.state(endpoint) == State::Ready
     }
 
-    /// Counts the endpoints of a listing by their effective states, but by their listed ones if
-    /// `is_excluded`.
+    /// Counts the endpoints of a listing by their effective states. Endpoints for which `is_excluded` returns
+    /// `true` are counted by their listed states.
     fn counts(
         &self,
         listing: Option<&Listing>,
--- a/crates/membership/src/watch/file_watcher.rs
+++ b/crates/membership/src/watch/file_watcher.rs
@@ -34,7 +34,7 @@
 
 impl FileWatcher {
     /// Creates a watcher that notifies `changed` of each event that may concern the watched file. The notice,
-    /// if any, tells why events are unavailable.
+    /// if any, contains the reason why events are unavailable.
     pub fn new(watch: &Watch, changed: Arc<Notify>) -> (FileWatcher, Option<Notice>) {
         let (directory, file_name) = match watch.kind {
             Kind::Directory => (watch.path.clone(), None),
