--- a/crates/proxy/src/cluster_config/tests.rs
+++ b/crates/proxy/src/cluster_config/tests.rs
@@ -96,7 +96,7 @@
         ),
         ("version = 1", "", "ops.toml:1:1: missing field `version`"),
         ("default =", "defualt =", "ops.toml:2:1: defualt: unknown field `defualt`, expected one of"),
-        ("\"cart\"\n\n", "\"my cart\"\n\n", "ops.toml:2:11: default: its name holds a blank"),
+        ("\"cart\"\n\n", "\"my cart\"\n\n", "ops.toml:2:11: default: the name contains whitespace"),
         ("\"500ms\"", "\"soon\"", "ops.toml:7:8: sources[0].poll: \"soon\" is not a duration such as"),
         (
             "\"500ms\"",
@@ -159,7 +159,7 @@
             "class = \"book\"\npath = \"/book\"",
             "rules[1]: matches exactly the same requests as the rule on line 25",
         ),
-        ("\"1s\"", "\"1h\"", "catalog.hold: policy of the catalog: hold must be 0 s to 10 min"),
+        ("\"1s\"", "\"1h\"", "catalog.hold: catalog policy: hold must be 0 s to 10 min"),
     ] {
         assert_eq!(VALID.matches(valid).count(), 1, "{valid}");
         let error = read(&VALID.replace(valid, invalid)).expect_err(invalid).to_string();
