--- a/crates/membership/benches/xds.rs
+++ b/crates/membership/benches/xds.rs
@@ -8,7 +8,7 @@
 use envoy_types::pb::google::protobuf::UInt32Value;
 use envoy_types::util::pack_any;
 use olivecart_lab::control_plane::{eds_cluster, endpoints};
-use olivecart_membership::xds::resource::{Kind, assignment};
+use olivecart_membership::xds::resource::{Kind, parse_assignment};
 use olivecart_membership::xds::session::{Config, Input, Node, Output, Response, Session};
 use olivecart_membership::{Catalog, Nanos, Policy};
 use prost::Message;
@@ -111,7 +111,7 @@
         b.iter(|| black_box(ClusterLoadAssignment::decode(&*bytes).map(|list| list.endpoints.len())));
     });
     group.bench_function("of that: conversion", |b| {
-        b.iter(|| black_box(assignment(&first).map(|list| list.endpoints.len())));
+        b.iter(|| black_box(parse_assignment(&first).map(|list| list.endpoints.len())));
     });
     group.finish();
     criterion.final_summary();
--- a/crates/membership/src/xds/file/mod.rs
+++ b/crates/membership/src/xds/file/mod.rs
@@ -35,7 +35,7 @@
 pub use problem::{Diagnostic, DiagnosticKind, Diagnostics};
 
 use crate::endpoint::{Cluster, Endpoint, Endpoints};
-use crate::xds::resource::{BadResource, ClusterResource, Kind, Origin, assignment, cluster};
+use crate::xds::resource::{ClusterResource, InvalidResource, Kind, Origin, parse_assignment, parse_cluster};
 use fields::Reader;
 use messages::type_of;
 use std::collections::BTreeMap;
@@ -121,7 +121,7 @@
                 None => self.problem(node.place, field, DiagnosticKind::Nothing),
             };
         }
-        match Kind::of(&type_url) {
+        match Kind::from_type_url(&type_url) {
             Some(kind) => self.take(kind, node, field, found),
             None => self.problem(node.place, field, DiagnosticKind::Type(type_url)),
         }
@@ -131,11 +131,11 @@
         let (place, before) = (node.place, self.problems.len());
         let result = match kind {
             Kind::Cluster => self.cluster(node, field).map(|message| {
-                let resource = cluster(&message)?;
+                let resource = parse_cluster(&message)?;
                 Ok((resource.name.as_str().to_owned(), Either::Cluster(resource)))
             }),
             Kind::Assignment => self.assignment(node, field).map(|message| {
-                let list = assignment(&message)?;
+                let list = parse_assignment(&message)?;
                 Ok((list.name, Either::List(list.endpoints)))
             }),
         };
@@ -157,7 +157,7 @@
     }
 
     /// Takes the faults of a resource back to their places.
-    fn bad(&mut self, node: &Node, field: &str, bad: BadResource) {
+    fn bad(&mut self, node: &Node, field: &str, bad: InvalidResource) {
         for fault in bad.fields {
             let place = node.find(&fault.field).place;
             self.problem(place, &fields::below(field, &fault.field), DiagnosticKind::Resource(fault.problem));
--- a/crates/membership/src/xds/resource/address.rs
+++ b/crates/membership/src/xds/resource/address.rs
@@ -1,58 +1,64 @@
-//! The address of an endpoint.
+//! Reads the address of an endpoint.
 
-use super::problem::{BadField, Problem};
-use envoy_types::pb::envoy::config::core::v3::address::Address as Form;
+use super::problem::{InvalidField, Problem};
+use envoy_types::pb::envoy::config::core::v3::address::Address as AddressKind;
 use envoy_types::pb::envoy::config::core::v3::socket_address::{PortSpecifier, Protocol};
 use envoy_types::pb::envoy::config::core::v3::{Address, SocketAddress};
 use std::net::{IpAddr, SocketAddr};
 
-/// A socket address over TCP, by number; the fault names the field below the address. Nothing here resolves names or
-/// speaks over pipes.
-pub(super) fn socket_address(address: Option<&Address>) -> Result<SocketAddr, BadField> {
-    let only = |found: &str| {
-        let instead = "give a socket_address";
-        fault("", Problem::Unsupported { found: found.to_owned(), instead })
+/// Reads a TCP socket address with a numeric IP address. The field in an error is relative to the address.
+/// Host names and Unix domain sockets are not supported.
+pub(super) fn socket_address(address: Option<&Address>) -> Result<SocketAddr, InvalidField> {
+    let unsupported_kind = |found: &str| {
+        let hint = "use socket_address";
+        field_error("", Problem::Unsupported { found: found.to_owned(), hint })
     };
     match address.map(|address| address.address.as_ref()) {
-        None | Some(None) => Err(fault("", Problem::Missing(""))),
-        Some(Some(Form::SocketAddress(socket))) => by_number(socket),
-        Some(Some(Form::Pipe(_))) => Err(only("a pipe")),
-        Some(Some(Form::EnvoyInternalAddress(_))) => Err(only("an internal listener")),
+        None | Some(None) => Err(field_error("", Problem::Missing(""))),
+        Some(Some(AddressKind::SocketAddress(socket))) => ip_socket_address(socket),
+        Some(Some(AddressKind::Pipe(_))) => Err(unsupported_kind("a pipe")),
+        Some(Some(AddressKind::EnvoyInternalAddress(_))) => Err(unsupported_kind("an internal listener")),
     }
 }
 
-fn by_number(socket: &SocketAddress) -> Result<SocketAddr, BadField> {
-    let unsupported = |found: String, instead| Problem::Unsupported { found, instead };
+fn ip_socket_address(socket: &SocketAddress) -> Result<SocketAddr, InvalidField> {
+    let unsupported = |found: String, hint| Problem::Unsupported { found, hint };
     if socket.protocol != Protocol::Tcp as i32 {
         let found = match socket.protocol() {
             Protocol::Udp => "UDP".to_owned(),
             _ => format!("protocol {}", socket.protocol),
         };
-        return Err(fault(".socket_address.protocol", unsupported(found, "requests go over TCP")));
+        return Err(field_error(
+            ".socket_address.protocol",
+            unsupported(found, "requests are sent over TCP"),
+        ));
     }
     if !socket.resolver_name.is_empty() {
         let found = format!("resolver {:?}", socket.resolver_name);
-        return Err(fault(".socket_address.resolver_name", unsupported(found, "give an IP address")));
+        return Err(field_error(".socket_address.resolver_name", unsupported(found, "use an IP address")));
     }
     let ip: IpAddr = socket.address.parse().map_err(|_| {
-        let found = format!("{:?}, which is no IP address,", socket.address);
-        fault(".socket_address.address", unsupported(found, "names are not resolved here"))
+        let found = format!("host name {:?}", socket.address);
+        field_error(
+            ".socket_address.address",
+            unsupported(found, "use an IP address, names are not resolved"),
+        )
     })?;
     let port = match &socket.port_specifier {
         Some(PortSpecifier::PortValue(port)) => u16::try_from(*port).map_err(|_| {
             let found = format!("port {port}");
-            fault(".socket_address.port_value", unsupported(found, "a port is from 1 to 65535"))
+            field_error(".socket_address.port_value", unsupported(found, "a port must be from 1 to 65535"))
         })?,
         Some(PortSpecifier::NamedPort(name)) => {
             let found = format!("the named port {name:?}");
-            return Err(fault(".socket_address.named_port", unsupported(found, "give a port_value")));
+            return Err(field_error(".socket_address.named_port", unsupported(found, "use port_value")));
         }
-        None => return Err(fault(".socket_address.port_value", Problem::Missing(""))),
+        None => return Err(field_error(".socket_address.port_value", Problem::Missing(""))),
     };
     Ok(SocketAddr::new(ip, port))
 }
 
-/// What is wrong with a field below the address.
-fn fault(field: &str, problem: Problem) -> BadField {
-    BadField { field: field.to_owned(), problem }
+/// Returns an error about a field below the address.
+fn field_error(field: &str, problem: Problem) -> InvalidField {
+    InvalidField { field: field.to_owned(), problem }
 }
--- a/crates/membership/src/xds/resource/assignment.rs
+++ b/crates/membership/src/xds/resource/assignment.rs
@@ -1,8 +1,8 @@
-//! The endpoints of a cluster.
+//! Reads the endpoints of a cluster.
 
 use super::Kind;
-use super::endpoint::{Kinds, Place, endpoint};
-use super::problem::{BadField, BadResource, Problem};
+use super::endpoint::{LocalityAttributes, MachineKinds, parse_endpoint};
+use super::problem::{InvalidField, InvalidResource, Problem};
 use crate::endpoint::Endpoint;
 use crate::invalid::Invalid;
 use crate::names::Label;
@@ -14,79 +14,81 @@
 /// The endpoints of a cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
-    /// The name under which they are asked for.
+    /// The resource name.
     pub name: String,
-    /// All of them, in the order of the message.
+    /// The endpoints in the order of the message.
     pub endpoints: Vec<Endpoint>,
-    /// Fields that are set and ignored.
+    /// Fields that are set but ignored.
     pub ignored: Vec<&'static str>,
 }
 
-/// The endpoints of a cluster.
+/// Reads the endpoints of a cluster.
 ///
-/// The weight of an endpoint is its own, 1 where none is given. Where its locality has one, the endpoints of
-/// the locality share that in the ratio of their own: weight = locality weight * own weight / sum of all own
-/// weights of the locality, whatever their health. Control planes that write the sum of the own weights as
-/// the locality's get the own weights back.
+/// An endpoint without a weight has weight 1. If its locality has a weight, that weight is distributed to the
+/// endpoints: weight = locality weight * own weight / sum of all own weights of the locality, whatever their
+/// health. If the locality weight is the sum of the own weights, the weights stay as they are.
 ///
 /// # Errors
-/// All fields that are wrong. What the list would be without them is a guess.
-pub fn assignment(message: &ClusterLoadAssignment) -> Result<Assignment, BadResource> {
+/// Returns all invalid fields. The resource is not used without them, since what the control plane meant
+/// would be a guess.
+pub fn parse_assignment(message: &ClusterLoadAssignment) -> Result<Assignment, InvalidResource> {
     let name = message.cluster_name.clone();
-    let mut faults = Vec::new();
+    let mut invalid_fields = Vec::new();
     if name.is_empty() {
-        faults.push(BadField { field: "cluster_name".into(), problem: Problem::Missing("") });
+        invalid_fields.push(InvalidField { field: "cluster_name".into(), problem: Problem::Missing("") });
     }
-    let endpoints = endpoints(message, "", &mut faults);
-    match BadResource::of(Kind::Assignment, &name, faults) {
-        Some(bad) => Err(bad),
-        None => Ok(Assignment { name, endpoints, ignored: ignored(message) }),
+    let endpoints = parse_endpoints(message, "", &mut invalid_fields);
+    match InvalidResource::from_fields(Kind::Assignment, &name, invalid_fields) {
+        Some(invalid) => Err(invalid),
+        None => Ok(Assignment { name, endpoints, ignored: ignored_fields(message) }),
     }
 }
 
-/// The endpoints of a message whose fields lie below `above`.
-pub(super) fn endpoints(
+/// Reads the endpoints of a message. Field paths in errors begin with `prefix`.
+pub(super) fn parse_endpoints(
     message: &ClusterLoadAssignment,
-    above: &str,
-    faults: &mut Vec<BadField>,
+    prefix: &str,
+    invalid_fields: &mut Vec<InvalidField>,
 ) -> Vec<Endpoint> {
     let count = message.endpoints.iter().map(|locality| locality.lb_endpoints.len()).sum();
     let (mut list, mut places): (Vec<Endpoint>, _) = (Vec::with_capacity(count), Vec::with_capacity(count));
-    let mut kinds = Kinds::new();
-    for (at, locality) in message.endpoints.iter().enumerate() {
+    let mut kinds = MachineKinds::new();
+    for (index, locality) in message.endpoints.iter().enumerate() {
         let from = list.len();
-        let mut fault = |field: &str, problem| {
-            faults.push(BadField { field: format!("{above}endpoints[{at}]{field}"), problem });
+        let mut add_error = |field: &str, problem| {
+            invalid_fields
+                .push(InvalidField { field: format!("{prefix}endpoints[{index}]{field}"), problem });
         };
         if let Some(LbConfig::LedsClusterLocalityConfig(_)) = locality.lb_config {
-            let instead = "put the endpoints in their place";
-            let problem = Problem::Unsupported { found: "locality endpoint discovery".into(), instead };
-            fault(".leds_cluster_locality_config", problem);
+            let hint = "set lb_endpoints";
+            let problem = Problem::Unsupported { found: "locality endpoint discovery".into(), hint };
+            add_error(".leds_cluster_locality_config", problem);
         }
         if locality.priority > Endpoint::MAX_PRIORITY {
-            fault(".priority", Invalid::Priority { priority: locality.priority }.into());
+            add_error(".priority", Invalid::Priority { priority: locality.priority }.into());
             continue;
         }
-        let place = Place { zone: zone(locality.locality.as_ref()), priority: locality.priority };
-        for (inner, message) in locality.lb_endpoints.iter().enumerate() {
-            match endpoint(message, &place, &mut kinds) {
+        let attributes =
+            LocalityAttributes { zone: zone(locality.locality.as_ref()), priority: locality.priority };
+        for (position, message) in locality.lb_endpoints.iter().enumerate() {
+            match parse_endpoint(message, &attributes, &mut kinds) {
                 Ok(endpoint) => {
                     list.push(endpoint);
-                    places.push((at, inner));
+                    places.push((index, position));
                 }
-                Err(BadField { field, problem }) => {
-                    fault(&format!(".lb_endpoints[{inner}]{field}"), problem);
+                Err(InvalidField { field, problem }) => {
+                    add_error(&format!(".lb_endpoints[{position}]{field}"), problem);
                 }
             }
         }
-        share(locality, &mut list[from..]);
+        distribute_weight(locality, &mut list[from..]);
     }
-    find_twice(&list, &places, above, faults);
+    find_duplicate_ids(&list, &places, prefix, invalid_fields);
     list
 }
 
-/// The zone of a locality: its `zone`, or its `region` where there is none, so that a fleet described by
-/// regions alone still has failure domains.
+/// Returns the zone of a locality: its `zone`, or its `region` if no zone is set, so that a fleet described
+/// only by regions still has failure domains.
 fn zone(locality: Option<&Locality>) -> Label {
     let Some(locality) = locality else { return Label::default() };
     match locality.zone.as_str() {
@@ -95,8 +97,8 @@
     }
 }
 
-/// Shares the locality's weight, if it has one, out to its endpoints.
-fn share(locality: &LocalityLbEndpoints, endpoints: &mut [Endpoint]) {
+/// Distributes the weight of a locality, if it has one, to its endpoints.
+fn distribute_weight(locality: &LocalityLbEndpoints, endpoints: &mut [Endpoint]) {
     let Some(weight) = &locality.load_balancing_weight else { return };
     let sum: f64 = endpoints.iter().map(|endpoint| endpoint.weight).sum();
     if sum > 0.0 {
@@ -104,21 +106,27 @@
     }
 }
 
-fn find_twice(list: &[Endpoint], places: &[(usize, usize)], above: &str, faults: &mut Vec<BadField>) {
+fn find_duplicate_ids(
+    list: &[Endpoint],
+    places: &[(usize, usize)],
+    prefix: &str,
+    invalid_fields: &mut Vec<InvalidField>,
+) {
     let mut known = FxHashMap::with_capacity_and_hasher(list.len(), Default::default());
     for (endpoint, place) in list.iter().zip(places) {
-        let Some((locality, inner)) = known.insert(endpoint.name.as_str(), *place) else { continue };
-        let field = |(locality, inner)| format!("{above}endpoints[{locality}].lb_endpoints[{inner}]");
-        let (id, other) = (endpoint.name.to_string(), field((locality, inner)));
-        faults.push(BadField { field: field(*place), problem: Problem::IdTwice { id, other } });
+        let Some((locality, position)) = known.insert(endpoint.name.as_str(), *place) else { continue };
+        let field = |(locality, position)| format!("{prefix}endpoints[{locality}].lb_endpoints[{position}]");
+        let (id, other) = (endpoint.name.to_string(), field((locality, position)));
+        invalid_fields
+            .push(InvalidField { field: field(*place), problem: Problem::DuplicateId { id, other } });
     }
 }
 
-/// Fields that are set and ignored.
-pub(super) fn ignored(message: &ClusterLoadAssignment) -> Vec<&'static str> {
+/// Returns the fields that are set but ignored.
+pub(super) fn ignored_fields(message: &ClusterLoadAssignment) -> Vec<&'static str> {
     let policy = message.policy.as_ref();
     let hosts = message.endpoints.iter().flat_map(|locality| &locality.lb_endpoints);
-    let has_more = hosts.filter_map(|e| e.host_identifier.as_ref()).any(|host| {
+    let has_additional_addresses = hosts.filter_map(|e| e.host_identifier.as_ref()).any(|host| {
         use envoy_types::pb::envoy::config::endpoint::v3::lb_endpoint::HostIdentifier;
         matches!(host, HostIdentifier::Endpoint(host) if !host.additional_addresses.is_empty())
     });
@@ -127,7 +135,7 @@
         ("policy.overprovisioning_factor", policy.is_some_and(|p| p.overprovisioning_factor.is_some())),
         ("policy.endpoint_stale_after", policy.is_some_and(|p| p.endpoint_stale_after.is_some())),
         ("policy.weighted_priority_health", policy.is_some_and(|p| p.weighted_priority_health)),
-        ("endpoint.additional_addresses", has_more),
+        ("endpoint.additional_addresses", has_additional_addresses),
     ];
     set.into_iter().filter(|(_, is_set)| *is_set).map(|(field, _)| field).collect()
 }
--- a/crates/membership/src/xds/resource/cluster.rs
+++ b/crates/membership/src/xds/resource/cluster.rs
@@ -1,8 +1,8 @@
-//! A cluster.
+//! Reads a cluster.
 
-use super::assignment::{endpoints, ignored as ignored_of_endpoints};
-use super::problem::{BadField, BadResource, Problem};
-use super::{Kind, duration};
+use super::assignment::{ignored_fields as ignored_assignment_fields, parse_endpoints};
+use super::problem::{InvalidField, InvalidResource, Problem};
+use super::{Kind, to_std_duration};
 use crate::endpoint::{ClusterSettings, Endpoint};
 use crate::invalid::Invalid;
 use crate::names::{ClusterName, fault_of};
@@ -15,144 +15,152 @@
 use envoy_types::pb::envoy::config::core::v3::config_source::ConfigSourceSpecifier;
 use envoy_types::pb::envoy::config::core::v3::transport_socket::ConfigType;
 
-/// A cluster as a resource describes it.
+/// A cluster that was read from a resource.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterResource {
-    /// Its name.
+    /// The cluster name.
     pub name: ClusterName,
-    /// Limits that come with it.
+    /// The limits that the resource sets.
     pub settings: ClusterSettings,
-    /// Where its endpoints come from.
+    /// The source of its endpoints.
     pub origin: Origin,
-    /// Fields that are set and ignored.
+    /// Fields that are set but ignored.
     pub ignored: Vec<&'static str>,
 }
 
-/// Where the endpoints of a cluster come from.
+/// The source of the endpoints of a cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Origin {
-    /// From endpoint discovery, under this name.
+    /// Endpoint discovery (EDS).
     Discovery {
-        /// The name.
+        /// The name of the endpoint resource.
         service: String,
     },
-    /// From the cluster itself.
+    /// The cluster resource itself.
     Static(Vec<Endpoint>),
 }
 
-const RAW: &str = "type.googleapis.com/envoy.extensions.transport_sockets.raw_buffer.v3.RawBuffer";
-const THRESHOLDS: &str = "circuit_breakers.thresholds";
+const RAW_BUFFER_TYPE_URL: &str =
+    "type.googleapis.com/envoy.extensions.transport_sockets.raw_buffer.v3.RawBuffer";
+const THRESHOLDS_FIELD: &str = "circuit_breakers.thresholds";
 
-/// A cluster.
+/// Reads a cluster.
 ///
 /// # Errors
-/// All fields that are wrong.
-pub fn cluster(message: &Cluster) -> Result<ClusterResource, BadResource> {
-    let mut reader = Reader { faults: Vec::new() };
+/// Returns all invalid fields.
+pub fn parse_cluster(message: &Cluster) -> Result<ClusterResource, InvalidResource> {
+    let mut parser = ClusterParser { invalid_fields: Vec::new() };
     if let Some(fault) = fault_of(&message.name) {
-        reader.fault("name", Invalid::ClusterName { fault }.into());
+        parser.add_error("name", Invalid::ClusterName { fault }.into());
     }
-    let origin = reader.origin(message);
-    reader.transport(message);
-    let settings = reader.settings(message);
-    match BadResource::of(Kind::Cluster, &message.name, reader.faults) {
-        Some(bad) => Err(bad),
+    let origin = parser.read_origin(message);
+    parser.check_transport(message);
+    let settings = parser.read_settings(message);
+    match InvalidResource::from_fields(Kind::Cluster, &message.name, parser.invalid_fields) {
+        Some(invalid) => Err(invalid),
         None => {
-            let (name, ignored) = (message.name.as_str().into(), ignored(message));
+            let (name, ignored) = (message.name.as_str().into(), ignored_fields(message));
             Ok(ClusterResource { name, settings, origin, ignored })
         }
     }
 }
 
-struct Reader {
-    faults: Vec<BadField>,
+struct ClusterParser {
+    invalid_fields: Vec<InvalidField>,
 }
 
-impl Reader {
-    fn fault(&mut self, field: impl Into<String>, problem: Problem) {
-        self.faults.push(BadField { field: field.into(), problem });
+impl ClusterParser {
+    fn add_error(&mut self, field: impl Into<String>, problem: Problem) {
+        self.invalid_fields.push(InvalidField { field: field.into(), problem });
     }
 
-    fn unsupported(&mut self, field: &str, found: impl Into<String>, instead: &'static str) {
-        self.fault(field, Problem::Unsupported { found: found.into(), instead });
+    fn add_unsupported(&mut self, field: &str, found: impl Into<String>, hint: &'static str) {
+        self.add_error(field, Problem::Unsupported { found: found.into(), hint });
     }
 
-    fn origin(&mut self, message: &Cluster) -> Origin {
-        let known = "known are EDS and STATIC";
-        let nothing = Origin::Static(Vec::new());
+    fn read_origin(&mut self, message: &Cluster) -> Origin {
+        let hint = "supported are EDS and STATIC";
+        let no_endpoints = Origin::Static(Vec::new());
         let kind = match &message.cluster_discovery_type {
-            None => DiscoveryType::Static, // the default of the format
+            None => DiscoveryType::Static, // the protobuf default
             Some(ClusterDiscoveryType::ClusterType(custom)) => {
-                self.unsupported("cluster_type", format!("cluster type {:?}", custom.name), known);
-                return nothing;
+                self.add_unsupported("cluster_type", format!("cluster type {:?}", custom.name), hint);
+                return no_endpoints;
             }
             Some(ClusterDiscoveryType::Type(number)) => match DiscoveryType::try_from(*number) {
                 Ok(kind) => kind,
                 Err(_) => {
-                    self.unsupported("type", format!("type {number}"), known);
-                    return nothing;
+                    self.add_unsupported("type", format!("type {number}"), hint);
+                    return no_endpoints;
                 }
             },
         };
         match kind {
-            DiscoveryType::Eds => self.discovery(message),
+            DiscoveryType::Eds => self.read_discovery(message),
             DiscoveryType::Static => match &message.load_assignment {
-                Some(list) => Origin::Static(endpoints(list, "load_assignment.", &mut self.faults)),
+                Some(list) => {
+                    Origin::Static(parse_endpoints(list, "load_assignment.", &mut self.invalid_fields))
+                }
                 None => {
-                    self.fault("load_assignment", Problem::Missing(" where the type is STATIC"));
-                    nothing
+                    self.add_error("load_assignment", Problem::Missing(" if the type is STATIC"));
+                    no_endpoints
                 }
             },
             other => {
-                self.unsupported("type", other.as_str_name(), known);
-                nothing
+                self.add_unsupported("type", other.as_str_name(), hint);
+                no_endpoints
             }
         }
     }
 
-    fn discovery(&mut self, message: &Cluster) -> Origin {
+    fn read_discovery(&mut self, message: &Cluster) -> Origin {
         let EdsClusterConfig { eds_config, service_name } =
             message.eds_cluster_config.clone().unwrap_or_default();
         match eds_config.and_then(|config| config.config_source_specifier) {
             None | Some(ConfigSourceSpecifier::Ads(_) | ConfigSourceSpecifier::Self_(_)) => {}
             Some(_) => {
-                let instead = "endpoints come over the aggregated stream: give `ads`";
-                self.unsupported("eds_cluster_config.eds_config", "another source of endpoints", instead);
+                let hint = "endpoints are received on the aggregated stream: set `ads`";
+                self.add_unsupported(
+                    "eds_cluster_config.eds_config",
+                    "a config source other than `ads` or `self`",
+                    hint,
+                );
             }
         }
         let service = if service_name.is_empty() { message.name.clone() } else { service_name };
         Origin::Discovery { service }
     }
 
-    /// Danger: requests that shall be encrypted must not go out in plain text because their transport was
-    /// passed over.
-    fn transport(&mut self, message: &Cluster) {
-        let instead = "requests go out in plain text here: leave it out or give raw_buffer";
+    /// Rejects every transport other than plain text. If the field were ignored, requests that the control
+    /// plane wants encrypted would be sent in plain text.
+    fn check_transport(&mut self, message: &Cluster) {
+        let hint = "requests are sent in plain text: remove the field or use raw_buffer";
         if !message.transport_socket_matches.is_empty() || message.transport_socket_matcher.is_some() {
-            self.unsupported("transport_socket_matches", "a choice of transports", instead);
+            self.add_unsupported("transport_socket_matches", "a selection of transports", hint);
         }
         let Some(socket) = &message.transport_socket else { return };
         let is_raw = match &socket.config_type {
-            Some(ConfigType::TypedConfig(any)) => any.type_url == RAW,
+            Some(ConfigType::TypedConfig(any)) => any.type_url == RAW_BUFFER_TYPE_URL,
             None => socket.name == "envoy.transport_sockets.raw_buffer",
         };
         if !is_raw {
-            self.unsupported("transport_socket", format!("transport {:?}", socket.name), instead);
+            self.add_unsupported("transport_socket", format!("transport {:?}", socket.name), hint);
         }
     }
 
-    fn settings(&mut self, message: &Cluster) -> ClusterSettings {
+    fn read_settings(&mut self, message: &Cluster) -> ClusterSettings {
         let mut settings = ClusterSettings::default();
         if let Some(time) = &message.connect_timeout {
-            settings.connect_timeout = duration(time);
+            settings.connect_timeout = to_std_duration(time);
             if settings.connect_timeout.is_none() {
-                let problem = Invalid::Setting { key: "it", requirement: "be over 0 and at most 1h" };
-                self.fault("connect_timeout", problem.into());
+                let problem =
+                    Invalid::Setting { key: "connect_timeout", requirement: "be over 0 and at most 1h" };
+                self.add_error("connect_timeout", problem.into());
             }
         }
-        let mut place = String::new();
-        if let Some((at, limits)) = message.circuit_breakers.as_ref().and_then(default_limits) {
-            place = format!("{THRESHOLDS}[{at}].");
+        let mut prefix = String::new();
+        if let Some((index, limits)) = message.circuit_breakers.as_ref().and_then(default_limits) {
+            prefix = format!("{THRESHOLDS_FIELD}[{index}].");
             settings.max_connections = limits.max_connections.map(|n| n.value);
             settings.max_pending_requests = limits.max_pending_requests.map(|n| n.value);
             settings.max_requests = limits.max_requests.map(|n| n.value);
@@ -160,22 +168,23 @@
         }
         if let Err(fault) = settings.check() {
             let key = fault.key().unwrap_or_default();
-            let place = if key == "connect_timeout" { "" } else { &*place };
-            self.fault(format!("{place}{key}"), fault.into());
+            let prefix = if key == "connect_timeout" { "" } else { &*prefix };
+            self.add_error(format!("{prefix}{key}"), fault.into());
         }
         settings
     }
 }
 
-/// The limits of ordinary requests. There is one class of requests here; limits for another are ignored.
+/// Returns the limits of the DEFAULT routing priority. Other priorities are ignored, since the proxy has no
+/// priority routing.
 fn default_limits(breakers: &CircuitBreakers) -> Option<(usize, &Thresholds)> {
     let is_default = |(_, limits): &(usize, &Thresholds)| limits.priority == RoutingPriority::Default as i32;
     breakers.thresholds.iter().enumerate().find(is_default)
 }
 
-/// Fields that are set and ignored, as [`TABLE`](super::TABLE) lists them.
-#[allow(deprecated)] // what is old in the format is ignored by name, too
-fn ignored(message: &Cluster) -> Vec<&'static str> {
+/// Returns the fields that are set but ignored, under their names in [`FIELD_SUPPORT`](super::FIELD_SUPPORT).
+#[allow(deprecated)] // deprecated fields are reported as well
+fn ignored_fields(message: &Cluster) -> Vec<&'static str> {
     let breakers = message.circuit_breakers.as_ref();
     let limits = |is: fn(&Thresholds) -> bool| breakers.is_some_and(|b| b.thresholds.iter().any(is));
     let set = [
@@ -203,6 +212,6 @@
         ("lrs_server", message.lrs_server.is_some()),
     ];
     let mut ignored: Vec<&str> = set.into_iter().filter(|(_, set)| *set).map(|(field, _)| field).collect();
-    ignored.extend(message.load_assignment.iter().flat_map(ignored_of_endpoints));
+    ignored.extend(message.load_assignment.iter().flat_map(ignored_assignment_fields));
     ignored
 }
--- a/crates/membership/src/xds/resource/mod.rs
+++ b/crates/membership/src/xds/resource/mod.rs
@@ -1,8 +1,8 @@
-//! Resources of xDS to clusters and endpoints.
+//! Converts xDS resources into clusters and endpoints.
 //!
-//! What of them is honoured, refused and ignored is in [`TABLE`]. What would change where requests go, or how
-//! they travel, and is not understood here, is refused by name of resource and field; what only tunes a
-//! balancer is ignored and said once.
+//! [`FIELD_SUPPORT`] lists the fields that are honoured, refused and ignored. A resource is refused, with the
+//! name of the field, if an unsupported field would change where requests are sent or over which transport.
+//! Fields that only tune a load balancer are ignored and logged once.
 
 mod address;
 mod assignment;
@@ -11,16 +11,16 @@
 mod problem;
 mod table;
 
-pub use assignment::{Assignment, assignment};
-pub use cluster::{ClusterResource, Origin, cluster};
-pub use problem::{BadField, BadResource, Problem};
-pub use table::{FieldSupport, Row, TABLE, markdown};
+pub use assignment::{Assignment, parse_assignment};
+pub use cluster::{ClusterResource, Origin, parse_cluster};
+pub use problem::{InvalidField, InvalidResource, Problem};
+pub use table::{FIELD_SUPPORT, FieldRow, FieldSupport, markdown};
 
 use envoy_types::pb::google::protobuf::Duration as ProtoDuration;
 use std::fmt;
 use std::time::Duration;
 
-/// The kinds of resources that are asked for.
+/// The resource types that the proxy subscribes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// `envoy.config.cluster.v3.Cluster` (CDS).
@@ -30,10 +30,10 @@
 }
 
 impl Kind {
-    /// All kinds, in the order in which they are asked for: clusters before their endpoints.
+    /// All resource types in subscription order: clusters before their endpoints.
     pub const ALL: [Kind; 2] = [Kind::Cluster, Kind::Assignment];
 
-    /// The type URL.
+    /// Returns the type URL of this resource type.
     pub fn type_url(self) -> &'static str {
         match self {
             Kind::Cluster => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -41,14 +41,14 @@
         }
     }
 
-    /// The kind of a type URL.
-    pub fn of(type_url: &str) -> Option<Kind> {
+    /// Returns the resource type with this type URL.
+    pub fn from_type_url(type_url: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.type_url() == type_url)
     }
 }
 
 impl fmt::Display for Kind {
-    /// The short name of its discovery service.
+    /// Writes the abbreviation of the discovery service.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             Kind::Cluster => "CDS",
@@ -57,7 +57,7 @@
     }
 }
 
-/// A length of time; none if it is negative.
-pub(super) fn duration(time: &ProtoDuration) -> Option<Duration> {
+/// Converts a protobuf duration. Returns `None` if it is negative or out of range.
+pub(super) fn to_std_duration(time: &ProtoDuration) -> Option<Duration> {
     Some(Duration::new(u64::try_from(time.seconds).ok()?, u32::try_from(time.nanos).ok()?))
 }
--- a/crates/membership/src/xds/resource/problem.rs
+++ b/crates/membership/src/xds/resource/problem.rs
@@ -1,120 +1,124 @@
-//! What is wrong with a resource, in words that a person can act on.
+//! Errors in a resource, with messages for operators.
 
 use super::Kind;
 use crate::invalid::Invalid;
 use std::fmt;
 
-/// A resource that is rejected, and why.
+/// A rejected resource and the reasons.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BadResource {
-    /// What it is.
+pub struct InvalidResource {
+    /// The resource type.
     pub kind: Kind,
-    /// Its name; empty if it cannot be known.
+    /// The resource name; empty if it is unknown.
     pub name: String,
-    /// What is wrong, at least one thing; at most [`BadResource::MOST_FIELDS`] by name.
-    pub fields: Vec<BadField>,
-    /// How much more is wrong.
-    pub more: usize,
+    /// The invalid fields: at least one, at most [`InvalidResource::MAX_LISTED_FIELDS`].
+    pub fields: Vec<InvalidField>,
+    /// The number of invalid fields that `fields` leaves out.
+    pub omitted: usize,
 }
 
-/// One thing that is wrong with a resource.
+/// An invalid field of a resource.
 #[derive(Clone, Debug, PartialEq)]
-pub struct BadField {
-    /// The field, such as `endpoints[0].lb_endpoints[3].endpoint.address`; empty if it is the whole.
+pub struct InvalidField {
+    /// The field path, such as `endpoints[0].lb_endpoints[3].endpoint.address`; empty for the whole resource.
     pub field: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub problem: Problem,
 }
 
-/// What can be wrong with a field.
+/// The reason why a field is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Problem {
-    /// The bytes are not such a message.
+    /// The bytes do not decode as the expected message.
     #[error("cannot be decoded: {0}")]
     Unreadable(String),
-    /// The resource is of another type than its response.
-    #[error("is a {found:?}, not a {wanted:?}")]
-    Type {
-        /// Its type URL.
+    /// The type of the resource differs from that of the response.
+    #[error("type is {found:?}, expected {expected:?}")]
+    TypeMismatch {
+        /// The type URL of the resource.
         found: String,
         /// The type URL of the response.
-        wanted: &'static str,
+        expected: &'static str,
     },
-    /// The resource is listed under another name than its own.
-    #[error("is named {inner:?} inside and {outer:?} outside")]
-    Name {
-        /// In the resource.
+    /// The name of the resource differs from the name in its wrapper.
+    #[error("resource name {inner:?} differs from wrapper name {outer:?}")]
+    NameMismatch {
+        /// The name in the resource.
         inner: String,
-        /// In its wrapper.
+        /// The name in its wrapper.
         outer: String,
     },
-    /// The resource comes twice in one response.
-    #[error("comes twice in one response")]
-    Twice,
-    /// A field that is needed is not set.
+    /// A response contains the resource more than once.
+    #[error("duplicate resource in one response")]
+    Duplicate,
+    /// A required field is not set.
     #[error("must be set{0}")]
     Missing(&'static str),
-    /// Something that is not supported here.
-    #[error("{found} is not supported; {instead}")]
+    /// The value is not supported.
+    #[error("{found} is not supported; {hint}")]
     Unsupported {
-        /// What was found.
+        /// The value that was found.
         found: String,
-        /// What is.
-        instead: &'static str,
+        /// What is supported, or how to correct the field.
+        hint: &'static str,
     },
-    /// Something that can mean nothing.
+    /// The value is invalid.
     #[error("{0}")]
     Invalid(#[from] Invalid),
-    /// Two endpoints of one id.
-    #[error("id {id:?} is also that of {other}; set metadata `olivecart`: `id` where hostnames are shared")]
-    IdTwice {
-        /// The id.
+    /// Two endpoints have the same id.
+    #[error("{other} has the same id {id:?}; set `id` in metadata `olivecart` if hostnames are not unique")]
+    DuplicateId {
+        /// The duplicate id.
         id: String,
-        /// The field of the other one.
+        /// The field path of the other endpoint.
         other: String,
     },
-    /// More resources than are kept.
-    #[error("there would be more than {0} resources of this kind")]
+    /// The limit on the number of resources is exceeded.
+    #[error("limit of {0} resources of this type exceeded")]
     TooMany(usize),
 }
 
-impl BadResource {
-    /// Most fields that are named.
-    pub const MOST_FIELDS: usize = 16;
+impl InvalidResource {
+    /// The maximum number of invalid fields in a report.
+    pub const MAX_LISTED_FIELDS: usize = 16;
 
-    /// A resource with one thing wrong.
-    pub fn one(kind: Kind, name: &str, field: &str, problem: Problem) -> BadResource {
-        let fields = vec![BadField { field: field.to_owned(), problem }];
-        BadResource { kind, name: name.to_owned(), fields, more: 0 }
+    /// Returns a report about a single invalid field.
+    pub fn single(kind: Kind, name: &str, field: &str, problem: Problem) -> InvalidResource {
+        let fields = vec![InvalidField { field: field.to_owned(), problem }];
+        InvalidResource { kind, name: name.to_owned(), fields, omitted: 0 }
     }
 
-    /// None if nothing is wrong.
-    pub(super) fn of(kind: Kind, name: &str, mut fields: Vec<BadField>) -> Option<BadResource> {
-        let more = fields.len().saturating_sub(BadResource::MOST_FIELDS);
-        fields.truncate(BadResource::MOST_FIELDS);
-        (!fields.is_empty()).then(|| BadResource { kind, name: name.to_owned(), fields, more })
+    /// Returns a report about the invalid fields, or `None` if there are none.
+    pub(super) fn from_fields(
+        kind: Kind,
+        name: &str,
+        mut fields: Vec<InvalidField>,
+    ) -> Option<InvalidResource> {
+        let omitted = fields.len().saturating_sub(InvalidResource::MAX_LISTED_FIELDS);
+        fields.truncate(InvalidResource::MAX_LISTED_FIELDS);
+        (!fields.is_empty()).then(|| InvalidResource { kind, name: name.to_owned(), fields, omitted })
     }
 }
 
-impl fmt::Display for BadResource {
+impl fmt::Display for InvalidResource {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let what = match self.kind {
+        let message_name = match self.kind {
             Kind::Cluster => "Cluster",
             Kind::Assignment => "ClusterLoadAssignment",
         };
-        // Quoted, since the name itself may be what is wrong.
-        write!(f, "{what} {:?}: ", self.name)?;
-        for (at, bad) in self.fields.iter().enumerate() {
-            write!(f, "{}{bad}", if at == 0 { "" } else { "; " })?;
+        // Quoted, since the name itself may be invalid.
+        write!(f, "{message_name} {:?}: ", self.name)?;
+        for (index, field) in self.fields.iter().enumerate() {
+            write!(f, "{}{field}", if index == 0 { "" } else { "; " })?;
         }
-        match self.more {
+        match self.omitted {
             0 => Ok(()),
-            more => write!(f, "; and {more} more"),
+            omitted => write!(f, "; and {omitted} others"),
         }
     }
 }
 
-impl fmt::Display for BadField {
+impl fmt::Display for InvalidField {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.field.as_str() {
             "" => write!(f, "{}", self.problem),
@@ -123,4 +127,4 @@
     }
 }
 
-impl std::error::Error for BadResource {}
+impl std::error::Error for InvalidResource {}
--- a/crates/membership/src/xds/session/message.rs
+++ b/crates/membership/src/xds/session/message.rs
@@ -1,7 +1,8 @@
 //! Responses of both variants as one thing.
 
 use crate::xds::resource::{
-    Assignment, BadResource, ClusterResource, Kind, Problem, assignment, cluster, duration,
+    Assignment, ClusterResource, InvalidResource, Kind, Problem, parse_assignment, parse_cluster,
+    to_std_duration,
 };
 use envoy_types::pb::envoy::config::cluster::v3::Cluster;
 use envoy_types::pb::envoy::config::endpoint::v3::ClusterLoadAssignment;
@@ -118,7 +119,7 @@
 impl From<Resource> for RawResource {
     fn from(resource: Resource) -> RawResource {
         let Resource { name, version, ttl, resource: body, .. } = resource;
-        let ttl = ttl.as_ref().and_then(duration).filter(|ttl| !ttl.is_zero());
+        let ttl = ttl.as_ref().and_then(to_std_duration).filter(|ttl| !ttl.is_zero());
         RawResource { name, version, ttl, body, fault: None }
     }
 }
@@ -142,9 +143,9 @@
         }
     }
 
-    fn read(self, kind: Kind) -> Result<ReceivedResource, BadResource> {
+    fn read(self, kind: Kind) -> Result<ReceivedResource, InvalidResource> {
         let RawResource { name, version, ttl, body, fault } = self;
-        let invalid = |problem| BadResource::one(kind, &name, "", problem);
+        let invalid = |problem| InvalidResource::single(kind, &name, "", problem);
         if let Some(fault) = fault {
             return Err(invalid(Problem::Unreadable(fault)));
         }
@@ -155,22 +156,22 @@
             };
         };
         if body.type_url != kind.type_url() {
-            return Err(invalid(Problem::Type { found: body.type_url, wanted: kind.type_url() }));
+            return Err(invalid(Problem::TypeMismatch { found: body.type_url, expected: kind.type_url() }));
         }
         let unreadable = |fault: prost::DecodeError| invalid(Problem::Unreadable(fault.to_string()));
         let (inner, what) = match kind {
             Kind::Cluster => {
-                let found = cluster(&Cluster::decode(&*body.value).map_err(unreadable)?)?;
+                let found = parse_cluster(&Cluster::decode(&*body.value).map_err(unreadable)?)?;
                 (found.name.as_str().to_owned(), ResourceContent::Cluster(found))
             }
             Kind::Assignment => {
                 let message = ClusterLoadAssignment::decode(&*body.value).map_err(unreadable)?;
-                let found = assignment(&message)?;
+                let found = parse_assignment(&message)?;
                 (found.name.clone(), ResourceContent::Assignment(found))
             }
         };
         if !name.is_empty() && name != inner {
-            return Err(invalid(Problem::Name { inner, outer: name.clone() }));
+            return Err(invalid(Problem::NameMismatch { inner, outer: name.clone() }));
         }
         Ok(ReceivedResource { name: inner, version, ttl, what })
     }
@@ -179,7 +180,7 @@
 impl ResponseBatch {
     /// The resources that can be used, and what is wrong with the others. Of those that come twice none can:
     /// which one counts is a guess.
-    pub fn read(&mut self, kind: Kind) -> (Vec<ReceivedResource>, Vec<BadResource>) {
+    pub fn read(&mut self, kind: Kind) -> (Vec<ReceivedResource>, Vec<InvalidResource>) {
         let (mut valid, mut invalid) = (Vec::new(), Vec::new());
         let (mut names, mut twice) = (BTreeSet::new(), BTreeSet::new());
         for (at, item) in std::mem::take(&mut self.items).into_iter().enumerate() {
@@ -199,7 +200,7 @@
             }
         }
         valid.retain(|resource| !twice.contains(&resource.name));
-        invalid.extend(twice.iter().map(|name| BadResource::one(kind, name, "", Problem::Twice)));
+        invalid.extend(twice.iter().map(|name| InvalidResource::single(kind, name, "", Problem::Duplicate)));
         (valid, invalid)
     }
 }
--- a/crates/membership/src/xds/session/notice.rs
+++ b/crates/membership/src/xds/session/notice.rs
@@ -1,7 +1,7 @@
 //! Notices of the session for the log: what happened, in words. The session makes them; whoever runs it logs them.
 
 use crate::names::ClusterName;
-use crate::xds::resource::{BadResource, Kind};
+use crate::xds::resource::{InvalidResource, Kind};
 use olivecart_decisions::Nanos;
 use std::fmt;
 
@@ -45,7 +45,7 @@
         /// The version of the response.
         version: String,
         /// Which, and why; at least one.
-        resources: Vec<BadResource>,
+        resources: Vec<InvalidResource>,
         /// The rest of the response was taken in.
         rest_holds: bool,
     },
@@ -179,7 +179,7 @@
 }
 
 /// Why resources are rejected, at a length that a log and a control plane can take.
-pub(super) struct RejectionReasons<'a>(pub &'a [BadResource]);
+pub(super) struct RejectionReasons<'a>(pub &'a [InvalidResource]);
 
 impl RejectionReasons<'_> {
     /// Most resources that are named.
--- a/crates/membership/src/xds/session/receive.rs
+++ b/crates/membership/src/xds/session/receive.rs
@@ -10,7 +10,7 @@
 use super::timers::Timer;
 use crate::invalid::Invalid;
 use crate::names::{ClusterName, Version};
-use crate::xds::resource::{BadResource, ClusterResource, Kind, Origin, Problem};
+use crate::xds::resource::{ClusterResource, InvalidResource, Kind, Origin, Problem};
 use std::collections::BTreeSet;
 
 impl Session {
@@ -19,7 +19,7 @@
         self.last_response_at = self.now;
         self.report_reconnected(out);
         let mut batch = ResponseBatch::from(response);
-        let Some(kind) = Kind::of(&batch.type_url) else {
+        let Some(kind) = Kind::from_type_url(&batch.type_url) else {
             return out.push(Output::Log(SessionNotice::UnknownType { type_url: batch.type_url }));
         };
         if !self.subscription(kind).accept_nonce(&batch.nonce) {
@@ -61,7 +61,7 @@
     }
 
     /// Turns away clusters beyond the limit. Danger: a control plane can send more names than memory holds.
-    fn limit(&self, valid: &mut Vec<ReceivedResource>, invalid: &mut Vec<BadResource>) {
+    fn limit(&self, valid: &mut Vec<ReceivedResource>, invalid: &mut Vec<InvalidResource>) {
         let most = self.config.max_clusters;
         let mut count = match self.config.variant {
             Variant::StateOfTheWorld => 0,
@@ -73,13 +73,18 @@
             if is_kept || count <= most {
                 return true;
             }
-            invalid.push(BadResource::one(Kind::Cluster, &resource.name, "", Problem::TooMany(most)));
+            invalid.push(InvalidResource::single(Kind::Cluster, &resource.name, "", Problem::TooMany(most)));
             false
         });
     }
 
     /// Turns away lists beyond the limit.
-    fn limit_endpoints(&self, kind: Kind, valid: &mut Vec<ReceivedResource>, invalid: &mut Vec<BadResource>) {
+    fn limit_endpoints(
+        &self,
+        kind: Kind,
+        valid: &mut Vec<ReceivedResource>,
+        invalid: &mut Vec<InvalidResource>,
+    ) {
         let most = self.config.max_endpoints;
         valid.retain(|resource| {
             let (field, count) = match &resource.what {
@@ -91,13 +96,13 @@
             };
             if count > most {
                 let problem = Invalid::TooManyEndpoints { most }.into();
-                invalid.push(BadResource::one(kind, &resource.name, field, problem));
+                invalid.push(InvalidResource::single(kind, &resource.name, field, problem));
             }
             count <= most
         });
     }
 
-    fn reject(&mut self, kind: Kind, version: String, invalid: Vec<BadResource>, out: &mut Vec<Output>) {
+    fn reject(&mut self, kind: Kind, version: String, invalid: Vec<InvalidResource>, out: &mut Vec<Output>) {
         let subscription = self.subscription(kind);
         let message = RejectionReasons(&invalid).to_string();
         match subscription.reject(message) {
--- a/crates/membership/tests/xds/faults.rs
+++ b/crates/membership/tests/xds/faults.rs
@@ -133,9 +133,7 @@
     let own = |name: &str| resource(name, "1", own(name, &["a"]));
     let lines = harness.send_response(Cluster, "1", vec![own("a"), own("b"), own("c")], &[]);
     assert!(
-        lines
-            .iter()
-            .any(|line| line.ends_with("!Cluster \"c\": there would be more than 2 resources of this kind"))
+        lines.iter().any(|line| line.ends_with("!Cluster \"c\": limit of 2 resources of this type exceeded"))
     );
     assert_eq!(harness.serves(), "a: a, b: a");
     // What is known is taken at the limit.
--- a/crates/membership/tests/xds/file.rs
+++ b/crates/membership/tests/xds/file.rs
@@ -91,7 +91,7 @@
         (
             "type: EDS",
             "type: STRICT_DNS",
-            "f:5:9: resources[0].type: STRICT_DNS is not supported; known are EDS and STATIC",
+            "f:5:9: resources[0].type: STRICT_DNS is not supported; supported are EDS and STATIC",
         ),
         ("type: EDS", "type: DNS", "f:5:9: resources[0].type: \"DNS\" is not a cluster type such as EDS"),
         (
@@ -107,7 +107,7 @@
         (
             "10.0.0.1",
             "cart.local",
-            "f:16:71: resources[1].endpoints[0].lb_endpoints[0].endpoint.address.socket_address.address: \"cart.local\", which is no IP address, is not supported; names are not resolved here",
+            "f:16:71: resources[1].endpoints[0].lb_endpoints[0].endpoint.address.socket_address.address: host name \"cart.local\" is not supported; use an IP address, names are not resolved",
         ),
         (
             "priority: 1",
--- a/crates/membership/tests/xds/harness.rs
+++ b/crates/membership/tests/xds/harness.rs
@@ -202,7 +202,7 @@
 }
 
 fn kind_of(type_url: &str) -> String {
-    Kind::of(type_url).map_or_else(|| type_url.to_owned(), |kind| kind.to_string())
+    Kind::from_type_url(type_url).map_or_else(|| type_url.to_owned(), |kind| kind.to_string())
 }
 
 /// `CDS v=1 n=n1 [names]`, `EDS n=n1 +[on] -[off] {cart=1}`, and `!reason` of a refusal, and `node`.
--- a/crates/membership/tests/xds/session.rs
+++ b/crates/membership/tests/xds/session.rs
@@ -66,7 +66,7 @@
         vec![resource("", "", cluster("tea")), resource("", "", bad("x"))],
         &[],
     );
-    let reason = "Cluster \"x\": load_assignment: must be set where the type is STATIC";
+    let reason = "Cluster \"x\": load_assignment: must be set if the type is STATIC";
     assert_eq!(lines, [format!("send CDS v=1 n=n3 [] !{reason}"), "log refused".into()]);
     assert_eq!(harness.serves(), "cart: a");
     // The next good one holds again, and an accepted one is told as before.
@@ -81,7 +81,7 @@
     let mut all: Vec<_> = (0..999).map(|i| resource(&name(i), "2", own(&name(i), &["a"]))).collect();
     all.push(resource("cart", "2", bad("cart")));
     let lines = harness.send_response(Cluster, "2", all, &[]);
-    let reason = "Cluster \"cart\": load_assignment: must be set where the type is STATIC";
+    let reason = "Cluster \"cart\": load_assignment: must be set if the type is STATIC";
     assert_eq!(lines.last().map(String::as_str), Some("log refused"));
     assert_eq!(lines[lines.len() - 2], format!("send CDS n=n3 +[] -[] {{}} !{reason}"));
     assert_eq!(harness.catalog.clusters().count(), 1000);
--- a/crates/membership/tests/xds/transport.rs
+++ b/crates/membership/tests/xds/transport.rs
@@ -137,7 +137,7 @@
             let mut proxy = Proxy::start(&plane, variant, MEBI);
             proxy.until_serves(&["a"]).await;
             plane.send(Kind::Cds, "77", vec![("x".into(), bad("x"))], &[]);
-            let reason = "error=\"Cluster \\\"x\\\": load_assignment: must be set where the type is STATIC\"";
+            let reason = "error=\"Cluster \\\"x\\\": load_assignment: must be set if the type is STATIC\"";
             let (line, _) = plane.journal().wait_for(0, &["< CDS", reason]).await;
             // A nonce that has been is not answered; what comes after it is.
             plane.repeat(Kind::Eds);
