--- a/crates/membership/src/xds/file/problem.rs
+++ b/crates/membership/src/xds/file/problem.rs
@@ -1,89 +1,89 @@
-//! What is wrong with a file, and where.
+//! Problems in a file and their positions.
 
 use crate::xds::resource::Problem;
 use std::fmt;
 
-/// One thing about a file, and its place.
+/// A problem in a file, or a field without effect, and its position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
-    /// The file.
+    /// The file name.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
     /// The column in characters, from 1.
     pub column: usize,
-    /// The field, such as `static_resources.clusters[0].type`; empty if it is the whole file.
+    /// The field path, such as `static_resources.clusters[0].type`; empty for the whole file.
     pub field: String,
-    /// What is the kind.
+    /// The kind of problem.
     pub kind: DiagnosticKind,
 }
 
-/// What can be the kind with a file.
+/// The kinds of problems in a file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum DiagnosticKind {
-    /// It is not YAML (of which JSON is a part).
-    #[error("cannot be read: {0}")]
+    /// The file is not valid YAML, of which JSON is a subset.
+    #[error("invalid YAML or JSON: {0}")]
     Syntax(String),
-    /// The end mark of YAML is not the last thing in it.
-    #[error("no `...` as the last line: the file may be torn off, so nothing of it is taken")]
-    Torn,
-    /// It goes beyond what is read.
+    /// The last line of a YAML file is not the document end mark.
+    #[error("the last line is not `...`: the file is rejected because it may be truncated")]
+    Truncated,
+    /// The file uses an unsupported feature or exceeds a limit.
     #[error("{0}")]
-    Beyond(&'static str),
-    /// A field comes twice, perhaps in both spellings.
-    #[error("the field comes twice")]
-    FieldTwice,
-    /// A field is not known, and is close to one that is.
-    #[error("unknown field; is {0:?} meant?")]
-    Misspelt(&'static str),
-    /// A value of another type or form.
-    #[error("{found} is not {wanted}")]
-    Value {
-        /// What would be right.
-        wanted: &'static str,
-        /// What is there.
+    Unsupported(&'static str),
+    /// A field is set more than once, possibly in both spellings.
+    #[error("duplicate field")]
+    DuplicateField,
+    /// A field is unknown and its name is similar to a known one.
+    #[error("unknown field; did you mean {0:?}?")]
+    UnknownField(&'static str),
+    /// A value has the wrong type or form.
+    #[error("{found} is not {expected}")]
+    WrongType {
+        /// The type or form that the field requires.
+        expected: &'static str,
+        /// The value in the file.
         found: String,
     },
-    /// A resource cannot be used.
+    /// A resource is invalid.
     #[error("{0}")]
     Resource(Problem),
-    /// There is no resource.
-    #[error("neither `resources` nor `static_resources.clusters` lists anything")]
-    Nothing,
-    /// A resource that is no cluster and no list of endpoints.
-    #[error("a resource of type {0:?} is not read; known are Cluster and ClusterLoadAssignment")]
-    Type(String),
-    /// Two resources have one name.
-    #[error("{name:?} is also in line {line}")]
-    Twice {
-        /// The name.
+    /// The file contains no resources.
+    #[error("no resources in `resources` or `static_resources.clusters`")]
+    NoResources,
+    /// A resource is neither a `Cluster` nor a `ClusterLoadAssignment`.
+    #[error("resource type {0:?} is not supported; supported are Cluster and ClusterLoadAssignment")]
+    UnsupportedType(String),
+    /// Two resources of the same type have the same name.
+    #[error("resource {name:?} is already defined in line {line}")]
+    DuplicateResource {
+        /// The resource name.
         name: String,
-        /// Where it stands too.
+        /// The line of the other resource.
         line: usize,
     },
-    /// A cluster's endpoints are missing.
-    #[error("the endpoints of the cluster, {0:?}, are not in this file")]
+    /// The endpoints of an EDS cluster are not in the file.
+    #[error("the endpoints {0:?} of the cluster are not in this file")]
     NoEndpoints(String),
-    /// A list has no endpoints.
-    #[error("no endpoint is listed")]
+    /// A cluster has no endpoints.
+    #[error("the cluster has no endpoints")]
     EmptyList,
-    /// No ready endpoint has a weight.
-    #[error("all weights are zero, so that nothing would be served")]
+    /// All ready endpoints have weight zero.
+    #[error("all ready endpoints have weight 0 and would get no requests")]
     AllWeightsZero,
-    /// Endpoints belong to no cluster.
-    #[error("no cluster in this file has its endpoints under {0:?}")]
+    /// No cluster uses the endpoints.
+    #[error("no cluster in this file uses the endpoints {0:?}")]
     NoCluster(String),
-    /// A field does nothing here.
-    #[error("does nothing here")]
+    /// A field has no effect.
+    #[error("the field is ignored")]
     Ignored,
 }
 
-/// All that is wrong with a file, at least one thing, in the order of the text.
+/// The problems in a file, in file order. Contains at least one.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub struct Diagnostics(pub(super) Vec<Diagnostic>);
 
 impl Diagnostics {
-    /// The problems.
+    /// Returns the problems.
     pub fn diagnostics(&self) -> &[Diagnostic] {
         &self.0
     }
@@ -102,8 +102,8 @@
 
 impl fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (at, diagnostic) in self.0.iter().enumerate() {
-            write!(f, "{}{diagnostic}", if at == 0 { "" } else { "\n" })?;
+        for (index, diagnostic) in self.0.iter().enumerate() {
+            write!(f, "{}{diagnostic}", if index == 0 { "" } else { "\n" })?;
         }
         Ok(())
     }
--- a/crates/membership/src/xds/file/tree.rs
+++ b/crates/membership/src/xds/file/tree.rs
@@ -1,4 +1,4 @@
-//! YAML as a tree whose nodes know their places. JSON is read as the part of YAML that it is.
+//! Parses YAML into a tree of nodes with their positions. JSON is parsed as a subset of YAML.
 
 use super::problem::DiagnosticKind;
 use rustc_hash::FxHashSet;
@@ -7,17 +7,17 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A place in a text: line and column, from 1.
+/// A position in a file: line and column, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct Position {
     pub line: usize,
     pub column: usize,
 }
 
-/// A value and where it begins.
+/// A value and the position where it begins.
 #[derive(Clone, Debug)]
 pub(super) struct Node {
-    pub place: Place,
+    pub position: Position,
     pub value: Value,
 }
 
@@ -25,7 +25,7 @@
 pub(super) enum Value {
     Null,
     Bool(bool),
-    /// A number as it is written.
+    /// A number as written in the file.
     Number(String),
     Text(String),
     List(Vec<Node>),
@@ -34,78 +34,81 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
-    pub place: Place,
-    /// As it is written.
+    pub position: Position,
+    /// The key as written in the file.
     pub name: String,
     pub node: Node,
 }
 
-pub(super) type Unreadable = (Place, DiagnosticKind);
+pub(super) type TreeError = (Position, DiagnosticKind);
 
-/// Danger: a text of brackets alone would overflow the stack of whoever walks the tree.
-const DEEPEST: usize = 64;
-/// Danger: aliases of aliases grow without limit from a few lines.
-const MOST_FROM_ALIASES: usize = 100_000;
+/// The maximum nesting depth. Without this limit, a file of opening brackets would overflow the stack when
+/// the tree is walked.
+const MAX_DEPTH: usize = 64;
+/// The maximum number of nodes that aliases add. Without this limit, nested aliases of a few lines would
+/// expand exponentially.
+const MAX_ALIASED_NODES: usize = 100_000;
 
-impl From<Marker> for Place {
-    fn from(mark: Marker) -> Place {
-        Place { line: mark.line(), column: mark.col() + 1 }
+impl From<Marker> for Position {
+    fn from(mark: Marker) -> Position {
+        Position { line: mark.line(), column: mark.col() + 1 }
     }
 }
 
-/// A list or a table that is not closed yet.
-struct Open {
-    place: Place,
+/// A list or table that is not closed yet.
+struct OpenCollection {
+    position: Position,
     anchor: usize,
     items: Vec<Node>,
     table: Option<Table>,
 }
 
-/// The entries of a table, and the key whose value comes next.
+/// The entries of a table, and the key whose value follows.
 #[derive(Default)]
 struct Table {
-    key: Option<(Place, String)>,
+    key: Option<(Position, String)>,
     entries: Vec<Entry>,
     names: FxHashSet<String>,
 }
 
 struct Builder {
-    open: Vec<Open>,
+    open: Vec<OpenCollection>,
     anchors: BTreeMap<usize, Rc<Node>>,
-    from_aliases: usize,
+    aliased_nodes: usize,
     root: Option<Node>,
 }
 
 impl Node {
-    /// Reads a text.
-    pub fn read(text: &str) -> Result<Node, Unreadable> {
-        let end = || Place { line: text.lines().count().max(1), column: 1 };
-        // JSON tells by its closing brace that it is whole. Danger: YAML that is torn off, even in the middle
-        // of a port, is often shorter YAML.
+    /// Parses a file.
+    pub fn parse(text: &str) -> Result<Node, TreeError> {
+        let end_of_file = || Position { line: text.lines().count().max(1), column: 1 };
+        // The closing brace shows that JSON is complete. Truncated YAML, even cut off in the middle of a port
+        // number, is often valid YAML, so the document end mark is required.
         let is_json = text.trim_start().starts_with('{');
         if !is_json && text.trim_end().lines().next_back() != Some("...") {
-            return Err((end(), DiagnosticKind::Torn));
+            return Err((end_of_file(), DiagnosticKind::Truncated));
         }
-        let mut builder = Builder { open: Vec::new(), anchors: BTreeMap::new(), from_aliases: 0, root: None };
+        let mut builder =
+            Builder { open: Vec::new(), anchors: BTreeMap::new(), aliased_nodes: 0, root: None };
         for event in Parser::new_from_str(text) {
             let (event, span) = event.map_err(|error| {
-                (Place::from(*error.marker()), DiagnosticKind::Syntax(error.info().to_owned()))
+                (Position::from(*error.marker()), DiagnosticKind::Syntax(error.info().to_owned()))
             })?;
-            builder.take(event, span.start.into())?;
+            builder.handle_event(event, span.start.into())?;
         }
-        builder.root.ok_or_else(|| (end(), DiagnosticKind::Syntax("the text is blank".into())))
+        builder.root.ok_or_else(|| (end_of_file(), DiagnosticKind::Syntax("the file is empty".into())))
     }
 
-    /// The deepest node on the way to a field such as `endpoints[0].priority`.
+    /// Returns the node of a field such as `endpoints[0].priority`, or its nearest existing ancestor.
     pub fn find(&self, field: &str) -> &Node {
         let mut node = self;
-        let steps = field.split(['.', '[', ']']).filter(|step| !step.is_empty());
-        for step in steps {
+        let segments = field.split(['.', '[', ']']).filter(|segment| !segment.is_empty());
+        for segment in segments {
             let next = match &node.value {
                 Value::Table(entries) => {
-                    entries.iter().find(|entry| snake(&entry.name) == step).map(|entry| &entry.node)
+                    entries.iter().find(|entry| snake_case(&entry.name) == segment).map(|entry| &entry.node)
                 }
-                Value::List(items) => step.parse().ok().and_then(|at: usize| items.get(at)),
+                Value::List(items) => segment.parse().ok().and_then(|index: usize| items.get(index)),
                 _ => None,
             };
             match next {
@@ -116,42 +119,50 @@
         node
     }
 
-    fn size(&self) -> usize {
+    fn node_count(&self) -> usize {
         1 + match &self.value {
-            Value::List(items) => items.iter().map(Node::size).sum(),
-            Value::Table(entries) => entries.iter().map(|entry| entry.node.size()).sum(),
+            Value::List(items) => items.iter().map(Node::node_count).sum(),
+            Value::Table(entries) => entries.iter().map(|entry| entry.node.node_count()).sum(),
             _ => 0,
         }
     }
 }
 
 impl Builder {
-    fn take(&mut self, event: Event, place: Place) -> Result<(), Unreadable> {
+    fn handle_event(&mut self, event: Event, position: Position) -> Result<(), TreeError> {
         match event {
-            Event::SequenceStart(anchor, _) => self.begin(place, anchor, None),
-            Event::MappingStart(anchor, _) => self.begin(place, anchor, Some(Table::default())),
+            Event::SequenceStart(anchor, _) => self.open_collection(position, anchor, None),
+            Event::MappingStart(anchor, _) => self.open_collection(position, anchor, Some(Table::default())),
             Event::SequenceEnd | Event::MappingEnd => {
-                let Some(Open { place, anchor, items, table }) = self.open.pop() else { return Ok(()) };
+                let Some(OpenCollection { position, anchor, items, table }) = self.open.pop() else {
+                    return Ok(());
+                };
                 let value = match table {
                     Some(table) => Value::Table(table.entries),
                     None => Value::List(items),
                 };
-                self.put(Node { place, value }, anchor)
+                self.add_node(Node { position, value }, anchor)
             }
             Event::Scalar(text, style, anchor, tag) => {
-                let value = scalar(text, style, tag.as_deref());
-                self.put(Node { place, value }, anchor)
+                let value = scalar_value(text, style, tag.as_deref());
+                self.add_node(Node { position, value }, anchor)
             }
             Event::Alias(anchor) => {
                 let Some(node) = self.anchors.get(&anchor) else {
-                    return Err((place, DiagnosticKind::Syntax("an alias of what is not complete".into())));
+                    return Err((
+                        position,
+                        DiagnosticKind::Syntax("an alias refers to an incomplete value".into()),
+                    ));
                 };
-                self.from_aliases += node.size();
-                if self.from_aliases > MOST_FROM_ALIASES {
-                    return Err((place, DiagnosticKind::Beyond("aliases amount to more than 100000 values")));
+                self.aliased_nodes += node.node_count();
+                if self.aliased_nodes > MAX_ALIASED_NODES {
+                    return Err((
+                        position,
+                        DiagnosticKind::Unsupported("aliases expand to more than 100000 values"),
+                    ));
                 }
                 let node = Node::clone(node);
-                self.put(node, 0)
+                self.add_node(node, 0)
             }
             Event::Nothing
             | Event::StreamStart
@@ -161,21 +172,29 @@
         }
     }
 
-    fn begin(&mut self, place: Place, anchor: usize, table: Option<Table>) -> Result<(), Unreadable> {
-        if self.open.len() >= DEEPEST {
-            return Err((place, DiagnosticKind::Beyond("nested deeper than 64 levels")));
+    fn open_collection(
+        &mut self,
+        position: Position,
+        anchor: usize,
+        table: Option<Table>,
+    ) -> Result<(), TreeError> {
+        if self.open.len() >= MAX_DEPTH {
+            return Err((position, DiagnosticKind::Unsupported("nesting is deeper than 64 levels")));
         }
-        self.open.push(Open { place, anchor, items: Vec::new(), table });
+        self.open.push(OpenCollection { position, anchor, items: Vec::new(), table });
         Ok(())
     }
 
-    fn put(&mut self, node: Node, anchor: usize) -> Result<(), Unreadable> {
+    fn add_node(&mut self, node: Node, anchor: usize) -> Result<(), TreeError> {
         if anchor != 0 {
             self.anchors.insert(anchor, Rc::new(node.clone()));
         }
         let Some(open) = self.open.last_mut() else {
             if self.root.is_some() {
-                return Err((node.place, DiagnosticKind::Beyond("only one document is read")));
+                return Err((
+                    node.position,
+                    DiagnosticKind::Unsupported("only one YAML document is supported"),
+                ));
             }
             self.root = Some(node);
             return Ok(());
@@ -183,33 +202,34 @@
         match &mut open.table {
             None => open.items.push(node),
             Some(table) => match table.key.take() {
-                None => table.key = Some((node.place, key_of(node)?)),
-                Some((place, name)) if !table.names.insert(name.clone()) => {
-                    return Err((place, DiagnosticKind::FieldTwice));
+                None => table.key = Some((node.position, mapping_key(node)?)),
+                Some((position, name)) if !table.names.insert(name.clone()) => {
+                    return Err((position, DiagnosticKind::DuplicateField));
                 }
-                Some((place, name)) => table.entries.push(Entry { place, name, node }),
+                Some((position, name)) => table.entries.push(Entry { position, name, node }),
             },
         }
         Ok(())
     }
 }
 
-fn key_of(node: Node) -> Result<String, Unreadable> {
+fn mapping_key(node: Node) -> Result<String, TreeError> {
     match node.value {
-        Value::Text(text) if text == "<<" => {
-            Err((node.place, DiagnosticKind::Beyond("merge keys are not read; write the fields out")))
-        }
+        Value::Text(text) if text == "<<" => Err((
+            node.position,
+            DiagnosticKind::Unsupported("merge keys are not supported; write out the fields"),
+        )),
         Value::Text(text) => Ok(text),
         Value::Number(text) => Ok(text),
         Value::Bool(is) => Ok(is.to_string()),
         Value::Null | Value::List(_) | Value::Table(_) => {
-            Err((node.place, DiagnosticKind::Beyond("a key must be a text")))
+            Err((node.position, DiagnosticKind::Unsupported("a key must be a string")))
         }
     }
 }
 
-/// The name of a field as the format defines it; files may write it in camel case as well.
-pub(super) fn snake(name: &str) -> String {
+/// Returns the protobuf name of a field, which files may also write in camel case.
+pub(super) fn snake_case(name: &str) -> String {
     let mut text = String::with_capacity(name.len() + 4);
     for c in name.chars() {
         if c.is_ascii_uppercase() {
@@ -220,10 +240,10 @@
     text
 }
 
-/// A scalar by the core schema of YAML 1.2.
-fn scalar(text: Cow<str>, style: ScalarStyle, tag: Option<&Tag>) -> Value {
-    let is_text = tag.is_some_and(|tag| tag.suffix == "str" || tag.handle == "!");
-    if style != ScalarStyle::Plain || is_text {
+/// Reads a scalar according to the YAML 1.2 core schema.
+fn scalar_value(text: Cow<str>, style: ScalarStyle, tag: Option<&Tag>) -> Value {
+    let is_string = tag.is_some_and(|tag| tag.suffix == "str" || tag.handle == "!");
+    if style != ScalarStyle::Plain || is_string {
         return Value::Text(text.into_owned());
     }
     match &*text {
