--- a/crates/membership/src/xds/resource/assignment.rs
+++ b/crates/membership/src/xds/resource/assignment.rs
@@ -51,7 +51,8 @@
     invalid_fields: &mut Vec<InvalidField>,
 ) -> Vec<Endpoint> {
     let count = message.endpoints.iter().map(|locality| locality.lb_endpoints.len()).sum();
-    let (mut list, mut places): (Vec<Endpoint>, _) = (Vec::with_capacity(count), Vec::with_capacity(count));
+    let (mut list, mut positions): (Vec<Endpoint>, _) =
+        (Vec::with_capacity(count), Vec::with_capacity(count));
     let mut kinds = MachineKinds::new();
     for (index, locality) in message.endpoints.iter().enumerate() {
         let from = list.len();
@@ -74,7 +75,7 @@
             match parse_endpoint(message, &attributes, &mut kinds) {
                 Ok(endpoint) => {
                     list.push(endpoint);
-                    places.push((index, position));
+                    positions.push((index, position));
                 }
                 Err(InvalidField { field, problem }) => {
                     add_error(&format!(".lb_endpoints[{position}]{field}"), problem);
@@ -83,7 +84,7 @@
         }
         distribute_weight(locality, &mut list[from..]);
     }
-    find_duplicate_ids(&list, &places, prefix, invalid_fields);
+    find_duplicate_ids(&list, &positions, prefix, invalid_fields);
     list
 }
 
@@ -108,17 +109,17 @@
 
 fn find_duplicate_ids(
     list: &[Endpoint],
-    places: &[(usize, usize)],
+    positions: &[(usize, usize)],
     prefix: &str,
     invalid_fields: &mut Vec<InvalidField>,
 ) {
     let mut known = FxHashMap::with_capacity_and_hasher(list.len(), Default::default());
-    for (endpoint, place) in list.iter().zip(places) {
-        let Some((locality, position)) = known.insert(endpoint.name.as_str(), *place) else { continue };
-        let field = |(locality, position)| format!("{prefix}endpoints[{locality}].lb_endpoints[{position}]");
-        let (id, other) = (endpoint.name.to_string(), field((locality, position)));
+    for (endpoint, position) in list.iter().zip(positions) {
+        let Some((locality, index)) = known.insert(endpoint.name.as_str(), *position) else { continue };
+        let field = |(locality, index)| format!("{prefix}endpoints[{locality}].lb_endpoints[{index}]");
+        let (id, other) = (endpoint.name.to_string(), field((locality, index)));
         invalid_fields
-            .push(InvalidField { field: field(*place), problem: Problem::DuplicateId { id, other } });
+            .push(InvalidField { field: field(*position), problem: Problem::DuplicateId { id, other } });
     }
 }
 
--- a/crates/membership/src/xds/session/mod.rs
+++ b/crates/membership/src/xds/session/mod.rs
@@ -22,8 +22,8 @@
 //!   explicitly.
 //! - **Endpoints that are removed** or expire while their cluster exists are published as an empty list,
 //!   which the catalog quarantines until it is confirmed.
-//! - **A time to live** ends only if the control plane sent other responses meanwhile. If it is silent, its
-//!   clusters become stale and nothing is removed.
+//! - **A resource expires** after its time to live only if the control plane sent other responses meanwhile.
+//!   If the control plane is silent, its clusters become stale and nothing is removed.
 
 mod cluster_store;
 mod config;
--- a/crates/membership/tests/xds/random.rs
+++ b/crates/membership/tests/xds/random.rs
@@ -2,7 +2,9 @@
 //! the catalog matches the control plane.
 
 use super::harness::*;
-use olivecart_lab::control_plane::{Heard, Kind as Served, Resources, Said, Session as ControlPlaneSession};
+use olivecart_lab::control_plane::{
+    Heard, Kind as ResourceKind, Resources, Said, Session as ControlPlaneSession,
+};
 use olivecart_membership::xds::session::{Input, Output, Request, Response, Session, Variant};
 use olivecart_membership::{Catalog, Event, Nanos, Policy};
 use proptest::prelude::*;
@@ -22,10 +24,10 @@
     Deliver,
     /// Delivers one pending message, if there is one.
     DeliverOne,
-    Lose,
+    LoseStream,
     /// The control plane restarts and numbers its versions from a smaller start.
     Restart,
-    Repeat(bool),
+    RepeatResponse(bool),
     /// A response that must not change the served endpoints.
     InvalidCluster(usize),
     InvalidEndpoints(usize),
@@ -42,9 +44,9 @@
         6 => (cluster.clone(), 1_u8..64).prop_map(|(at, bits)| Step::SetEndpoints(at, bits)),
         6 => Just(Step::Deliver),
         6 => Just(Step::DeliverOne),
-        2 => Just(Step::Lose),
+        2 => Just(Step::LoseStream),
         1 => Just(Step::Restart),
-        1 => any::<bool>().prop_map(Step::Repeat),
+        1 => any::<bool>().prop_map(Step::RepeatResponse),
         1 => cluster.clone().prop_map(Step::InvalidCluster),
         1 => cluster.clone().prop_map(Step::InvalidEndpoints),
         1 => cluster.prop_map(Step::NoEndpoints),
@@ -128,7 +130,7 @@
         }
     }
 
-    fn send_raw(&mut self, kind: Served, all: Vec<(String, envoy_types::pb::google::protobuf::Any)>) {
+    fn send_raw(&mut self, kind: ResourceKind, all: Vec<(String, envoy_types::pb::google::protobuf::Any)>) {
         let Some(plane_session) = &mut self.plane_session else { return };
         self.responses.extend(plane_session.raw(kind, "raw", all, &[]));
     }
@@ -193,7 +195,7 @@
             }
             Step::RemoveCluster(at) => {
                 clusters.remove(CLUSTERS[at]);
-                simulation.plane.remove(Served::Cds, CLUSTERS[at]);
+                simulation.plane.remove(ResourceKind::Cds, CLUSTERS[at]);
             }
             Step::SetEndpoints(at, bits) => {
                 let ids = ids(bits);
@@ -206,7 +208,7 @@
                 simulation.push();
                 simulation.deliver_one();
             }
-            Step::Lose => simulation.lose_stream(),
+            Step::LoseStream => simulation.lose_stream(),
             Step::Restart => {
                 // Smaller version numbers than before, but none that was used, since no client could
                 // distinguish content under the same version.
@@ -222,23 +224,22 @@
                 simulation.plane = plane;
                 simulation.lose_stream();
             }
-            Step::Repeat(of_clusters) => {
-                let kind = if of_clusters { Served::Cds } else { Served::Eds };
+            Step::RepeatResponse(of_clusters) => {
+                let kind = if of_clusters { ResourceKind::Cds } else { ResourceKind::Eds };
                 let repeated =
                     simulation.plane_session.as_ref().and_then(|plane_session| plane_session.repeat(kind));
                 simulation.responses.extend(repeated);
             }
-            Step::InvalidCluster(at) => {
-                simulation.send_raw(Served::Cds, vec![(CLUSTERS[at].into(), invalid_cluster(CLUSTERS[at]))])
-            }
+            Step::InvalidCluster(at) => simulation
+                .send_raw(ResourceKind::Cds, vec![(CLUSTERS[at].into(), invalid_cluster(CLUSTERS[at]))]),
             Step::InvalidEndpoints(at) => {
                 let name = CLUSTERS[at];
-                simulation.send_raw(Served::Eds, vec![(name.into(), eds(name, &["1", "1"]))]);
+                simulation.send_raw(ResourceKind::Eds, vec![(name.into(), eds(name, &["1", "1"]))]);
             }
             Step::NoEndpoints(at) => {
-                simulation.send_raw(Served::Eds, vec![(CLUSTERS[at].into(), eds(CLUSTERS[at], &[]))]);
+                simulation.send_raw(ResourceKind::Eds, vec![(CLUSTERS[at].into(), eds(CLUSTERS[at], &[]))]);
             }
-            Step::NoClusters => simulation.send_raw(Served::Cds, Vec::new()),
+            Step::NoClusters => simulation.send_raw(ResourceKind::Cds, Vec::new()),
             Step::Wait(ms) => simulation.wait(ms.into()),
         }
         let after = simulation.served_endpoints();
