--- a/crates/membership/tests/xds/file.rs
+++ b/crates/membership/tests/xds/file.rs
@@ -47,7 +47,7 @@
 fn yaml_and_json_in_both_spellings_give_the_same_clusters() {
     let yaml = parse("a.yaml", YAML).expect("valid file");
     assert_eq!(parse("a.json", JSON).map(|parsed| parsed.clusters), Ok(yaml.clusters.clone()));
-    let [cart] = &yaml.clusters[..] else { panic!("one cluster") };
+    let [cart] = &yaml.clusters[..] else { panic!("expected one cluster") };
     let expected_settings = ClusterSettings {
         connect_timeout: Some(std::time::Duration::from_millis(250)),
         max_connections: Some(100),
@@ -55,7 +55,7 @@
         ..ClusterSettings::default()
     };
     assert_eq!((cart.name.as_str(), cart.settings), ("cart", expected_settings));
-    let [c1, c2] = cart.listed() else { panic!("two endpoints") };
+    let [c1, c2] = cart.listed() else { panic!("expected two endpoints") };
     assert_eq!((c1.name.as_str(), c1.state, c1.zone.as_str(), c1.priority), ("c1", State::Draining, "a", 1));
     assert_eq!((c2.name.as_str(), c2.weight, c2.started), ("c2", 3.0, Some(7_000_000)));
     let ignored: Vec<String> = yaml.ignored.iter().map(ToString::to_string).collect();
--- a/crates/membership/tests/xds/harness.rs
+++ b/crates/membership/tests/xds/harness.rs
@@ -70,7 +70,7 @@
 
 impl SessionHarness {
     pub fn new(config: Config) -> SessionHarness {
-        let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("the default policy");
+        let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("default policy is valid");
         let session = Session::new(config);
         SessionHarness { session, catalog, now: 0, requests: Vec::new(), nonce: 0 }
     }
--- a/crates/membership/tests/xds/resource.rs
+++ b/crates/membership/tests/xds/resource.rs
@@ -29,7 +29,7 @@
 }
 
 fn socket(endpoint: &mut LbEndpoint) -> &mut envoy_types::pb::envoy::config::core::v3::SocketAddress {
-    match &mut host(endpoint).address.as_mut().expect("an address").address {
+    match &mut host(endpoint).address.as_mut().expect("endpoint has an address").address {
         Some(AddressKind::SocketAddress(socket)) => socket,
         _ => panic!("expected a socket address"),
     }
--- a/crates/membership/tests/xds/session.rs
+++ b/crates/membership/tests/xds/session.rs
@@ -199,7 +199,7 @@
         for _ in 0..40 {
             assert_eq!(harness.handle(Input::Tick), ["connect"]);
             harness.handle(Input::Lost { why: "refused".into() });
-            let at = harness.session.deadline().expect("another attempt");
+            let at = harness.session.deadline().expect("connect timer is set");
             waits.push((at - harness.now) / MS);
             harness.now = at;
         }
@@ -286,7 +286,7 @@
     };
     let update = vec![resource("cart", "2", envoy_types::util::pack_any(cluster))];
     assert_eq!(harness.send_response(Cluster, "2", update, &[])[0], "notify 2 settings cart");
-    let cart = harness.catalog.cluster(&"cart".into()).expect("it serves");
+    let cart = harness.catalog.cluster(&"cart".into()).expect("cluster is served");
     assert_eq!(cart.settings.connect_timeout, Some(std::time::Duration::from_millis(250)));
     assert_eq!(cart.endpoints().len(), 1);
 }
--- a/crates/membership/tests/xds/transport.rs
+++ b/crates/membership/tests/xds/transport.rs
@@ -34,7 +34,7 @@
         let task = tokio::spawn(run(target, config, event_sender, refetch_receiver, move |notice| {
             log.lock().expect("no panic").push(notice.to_string());
         }));
-        let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("the default policy");
+        let catalog = Catalog::new(Policy::default(), ["xds".into()]).expect("default policy is valid");
         Proxy { catalog, events, refetch_requests, task, start: Instant::now(), notices }
     }
 
@@ -75,7 +75,7 @@
 
 /// Runs a test on one thread, as the proxy does, with a timeout far above what a test needs.
 fn run_on_one_thread(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime starts");
     runtime.block_on(async {
         tokio::time::timeout(Duration::from_secs(60), test).await.expect("test finishes within the timeout");
     });
@@ -85,7 +85,7 @@
 fn lost_stream_is_resumed() {
     run_on_one_thread(async {
         for variant in BOTH {
-            let plane = ControlPlane::start(serving(&["a", "b"])).await.expect("a port");
+            let plane = ControlPlane::start(serving(&["a", "b"])).await.expect("control plane listens");
             let mut proxy = Proxy::start(&plane, variant, MIB);
             proxy.wait_until_served(&["a", "b"]).await;
             let expected = match variant {
@@ -119,12 +119,12 @@
             let mut resources = Resources::starting_at(100);
             resources.set_cluster("cart");
             set_endpoints(&mut resources, &["a", "b"]);
-            let plane = ControlPlane::start(resources).await.expect("a port");
+            let plane = ControlPlane::start(resources).await.expect("control plane listens");
             let mut proxy = Proxy::start(&plane, variant, MIB);
             proxy.wait_until_served(&["a", "b"]).await;
             plane.restart(serving(&["b", "c"]));
             proxy.wait_until_served(&["b", "c"]).await;
-            let cart = proxy.catalog.cluster(&"cart".into()).expect("it serves");
+            let cart = proxy.catalog.cluster(&"cart".into()).expect("cluster is served");
             assert_eq!(cart.version.as_str(), "2");
         }
     });
@@ -134,7 +134,7 @@
 fn rejection_reaches_the_control_plane_with_its_reason() {
     run_on_one_thread(async {
         for variant in BOTH {
-            let plane = ControlPlane::start(serving(&["a"])).await.expect("a port");
+            let plane = ControlPlane::start(serving(&["a"])).await.expect("control plane listens");
             let mut proxy = Proxy::start(&plane, variant, MIB);
             proxy.wait_until_served(&["a"]).await;
             plane.send(Kind::Cds, "77", vec![("x".into(), invalid_cluster("x"))], &[]);
@@ -162,7 +162,7 @@
 #[test]
 fn refetch_request_is_sent_on_the_stream() {
     run_on_one_thread(async {
-        let plane = ControlPlane::start(serving(&["a"])).await.expect("a port");
+        let plane = ControlPlane::start(serving(&["a"])).await.expect("control plane listens");
         let mut proxy = Proxy::start(&plane, Variant::Incremental, MIB);
         proxy.wait_until_served(&["a"]).await;
         let (line, _) = plane.journal().wait_for(0, &["1 < EDS nonce=\"2\""]).await;
@@ -180,7 +180,7 @@
 #[test]
 fn oversized_message_ends_only_the_stream() {
     run_on_one_thread(async {
-        let plane = ControlPlane::start(serving(&["a"])).await.expect("a port");
+        let plane = ControlPlane::start(serving(&["a"])).await.expect("control plane listens");
         let mut proxy = Proxy::start(&plane, Variant::Incremental, 4096);
         proxy.wait_until_served(&["a"]).await;
         let ids: Vec<String> = (0..200).map(|i| format!("endpoint-{i:03}")).collect();
@@ -200,7 +200,7 @@
 #[test]
 fn flood_of_responses_waits_at_the_control_plane() {
     run_on_one_thread(async {
-        let plane = ControlPlane::start(serving(&["a"])).await.expect("a port");
+        let plane = ControlPlane::start(serving(&["a"])).await.expect("control plane listens");
         let mut proxy = Proxy::start(&plane, Variant::Incremental, 4 * MIB);
         proxy.wait_until_served(&["a"]).await;
         // Responses of 1 MiB each. The events are not received, so the source must stop reading.
@@ -220,7 +220,7 @@
         // Once the events are received again, reading continues: a burst of 20, then one response per 150 ms.
         let (mut events, begin) = (0, Instant::now());
         while events < 36 {
-            let SourceEvent { event, .. } = proxy.events.recv().await.expect("the source goes on");
+            let SourceEvent { event, .. } = proxy.events.recv().await.expect("source is running");
             events += u32::from(matches!(event, Event::Update { .. }));
         }
         assert!(begin.elapsed() > Duration::from_millis(150) * (36 - 21 - EVENT_QUEUE_CAPACITY as u32 - 2));
