--- a/crates/lab/src/control_plane/journal.rs
+++ b/crates/lab/src/control_plane/journal.rs
@@ -1,4 +1,4 @@
-//! What went over the streams of a control plane, one line each.
+//! A journal of the requests and responses on a control plane's streams.
 
 use super::resources::Kind;
 use super::session::{Heard, Said};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::watch;
 
-/// What went over the streams of a control plane, one line each:
+/// The requests and responses on a control plane's streams, one line each:
 ///
 /// ```text
 /// 1 opened
@@ -32,13 +32,13 @@
 }
 
 impl Journal {
-    /// All lines so far.
+    /// Returns all lines so far.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The first line from number `from` on (of 0) that holds all of `parts`, once there is one, and its
-    /// number. Waits as long as it takes: whoever must not wait for ever sets a time-out around it.
+    /// Waits for a line that contains all of `parts`, and returns its number and text. Lines are numbered
+    /// from 0; those before `from` are ignored. Waits without limit; the caller sets a timeout.
     pub async fn wait_for(&self, from: usize, parts: &[&str]) -> (usize, String) {
         let mut count = self.count.subscribe();
         loop {
--- a/crates/lab/src/control_plane/mod.rs
+++ b/crates/lab/src/control_plane/mod.rs
@@ -1,11 +1,11 @@
-//! A scripted control plane on loopback that speaks xDS over the aggregated stream, both variants.
+//! A stand-in for an xDS control plane: listens on loopback and serves the aggregated stream in both
+//! variants.
 //!
-//! It serves a set of resources as the protocol says, to any number of streams, and does on demand what it
-//! should not: drop streams, repeat nonces, send stale versions, send what cannot be used, flood, restart
-//! with versions that begin again. Each request and response becomes one line of a journal, for assertions.
+//! It serves a set of resources to any number of streams as the protocol requires. On demand it misbehaves:
+//! it drops streams, repeats nonces, sends stale versions or invalid resources, floods streams, or restarts
+//! with versions that begin again. Tests check the journal, which has one line per request and response.
 //!
-//! [`Session`] is one stream's side of the protocol without I/O, so that a conversation can be played with it
-//! in virtual time.
+//! [`Session`] is the server side of one stream without I/O, so that it can be used in virtual time.
 
 mod journal;
 mod resources;
--- a/crates/lab/src/control_plane/resources.rs
+++ b/crates/lab/src/control_plane/resources.rs
@@ -1,4 +1,4 @@
-//! What a control plane serves: resources by kind and name, each with the version in which it last changed.
+//! The resources of a control plane by kind and name, each with the version in which it last changed.
 
 use envoy_types::pb::envoy::config::cluster::v3::Cluster;
 use envoy_types::pb::envoy::config::cluster::v3::cluster::{ClusterDiscoveryType, DiscoveryType};
@@ -16,17 +16,17 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The kinds of resources that are served.
+/// A kind of xDS resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     /// Clusters.
     Cds,
-    /// Their endpoints.
+    /// The endpoints of clusters.
     Eds,
 }
 
 impl Kind {
-    /// The type URL.
+    /// Returns the type URL.
     pub fn type_url(self) -> &'static str {
         match self {
             Kind::Cds => "type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The kind of a type URL.
+    /// Returns the kind with a type URL, or `None` if it is not served.
     pub fn of(type_url: &str) -> Option<Kind> {
         [Kind::Cds, Kind::Eds].into_iter().find(|kind| kind.type_url() == type_url)
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// What a control plane serves.
+/// The resources of a control plane.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Resources {
     version: u64,
@@ -59,18 +59,18 @@
 /// The resources of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Served {
-    /// When any of them last changed.
+    /// The version in which any of the resources last changed.
     pub version: u64,
     pub all: BTreeMap<String, (u64, Any)>,
 }
 
 impl Resources {
-    /// Resources whose versions begin behind this number.
+    /// Creates an empty set; the first change gets the version after `version`.
     pub fn starting_at(version: u64) -> Resources {
         Resources { version, kinds: BTreeMap::new() }
     }
 
-    /// Sets a resource, of whatever content.
+    /// Sets a resource. Its content is not checked.
     pub fn set(&mut self, kind: Kind, name: &str, resource: Any) {
         self.version += 1;
         let served = self.kinds.entry(kind).or_default();
@@ -107,7 +107,8 @@
         served.all.remove(name);
     }
 
-    /// Gives all resources new versions, as a control plane does that does not compare.
+    /// Gives all resources a new version without a change, as a control plane does that does not compare
+    /// contents.
     pub fn touch(&mut self) {
         self.version += 1;
         for served in self.kinds.values_mut() {
@@ -121,13 +122,13 @@
     }
 }
 
-/// A cluster whose endpoints are discovered under its name.
+/// Returns a cluster whose endpoints are discovered under its name.
 pub fn eds_cluster(name: &str) -> Cluster {
     let kind = ClusterDiscoveryType::Type(DiscoveryType::Eds as i32);
     Cluster { name: name.to_owned(), cluster_discovery_type: Some(kind), ..Cluster::default() }
 }
 
-/// The endpoints of a cluster in one locality, each an id, as its host name, and an address.
+/// Returns the endpoints of a cluster in one locality. Each has an id, used as host name, and an address.
 pub fn endpoints(name: &str, list: &[(&str, SocketAddr)]) -> ClusterLoadAssignment {
     let lb_endpoints = list.iter().map(|(id, address)| endpoint(id, *address)).collect();
     let locality = LocalityLbEndpoints { lb_endpoints, ..LocalityLbEndpoints::default() };
--- a/crates/lab/src/control_plane/server.rs
+++ b/crates/lab/src/control_plane/server.rs
@@ -1,4 +1,4 @@
-//! The control plane on a socket.
+//! Serves the control plane on a socket.
 
 use super::journal::Journal;
 use super::resources::{Kind, Resources};
@@ -23,16 +23,16 @@
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Request, Response, Status, Streaming};
 
-/// What all streams are told to do besides serving.
+/// A command to all streams to misbehave.
 #[derive(Clone, Debug)]
 enum Order {
     /// Send the last response of a kind again, with its nonce.
     Repeat(Kind),
-    /// Send resources of whatever content.
+    /// Send unchecked resources.
     Raw(Arc<Raw>),
 }
 
-/// Resources of whatever content under a version, to be sent so many times.
+/// Unchecked resources with a version, and how many times to send them.
 #[derive(Debug)]
 struct Raw {
     kind: Kind,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A control plane on loopback. It ends when it is dropped.
+/// A control plane on loopback. Dropping it stops it.
 #[derive(Debug)]
 pub struct ControlPlane {
     address: SocketAddr,
@@ -66,16 +66,16 @@
     connections: Mutex<JoinSet<()>>,
 }
 
-/// Responses of one stream that wait to be sent.
+/// The capacity of a stream's queue of responses.
 const RESPONSES: usize = 4;
-/// Orders that wait for a stream.
+/// The capacity of a stream's queue of orders.
 const ORDERS: usize = 64;
 
 impl ControlPlane {
     /// Starts a control plane on a free port of loopback.
     ///
     /// # Errors
-    /// The port cannot be had.
+    /// The listener cannot be created.
     pub async fn start(resources: Resources) -> std::io::Result<ControlPlane> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -90,12 +90,12 @@
         Ok(ControlPlane { address, shared, accepting })
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What went over the streams.
+    /// Returns the journal of all streams.
     pub fn journal(&self) -> &Journal {
         &self.shared.journal
     }
@@ -110,7 +110,7 @@
         self.shared.connections().abort_all();
     }
 
-    /// Breaks all connections and serves other resources, as a control plane does that has lost its state.
+    /// Breaks all connections and serves other resources, as after a restart with loss of state.
     pub fn restart(&self, resources: Resources) {
         self.shared.resources.send_replace(resources);
         self.drop_streams();
@@ -121,19 +121,19 @@
         self.order(Order::Repeat(kind));
     }
 
-    /// Sends resources of whatever content, under whatever version, on all streams.
+    /// Sends unchecked resources with any version on all streams.
     pub fn send(&self, kind: Kind, version: &str, all: Vec<(String, Any)>, removed: &[&str]) {
         self.flood(kind, version, all, removed, 1);
     }
 
-    /// The same, so many times without waiting for an answer.
+    /// Sends unchecked resources a number of times without waiting for a response of the client.
     pub fn flood(&self, kind: Kind, version: &str, all: Vec<(String, Any)>, removed: &[&str], times: usize) {
         let removed = removed.iter().map(|name| (*name).to_owned()).collect();
         self.order(Order::Raw(Arc::new(Raw { kind, version: version.to_owned(), all, removed, times })));
     }
 
     fn order(&self, order: Order) {
-        // Without a stream there is nobody to carry it out.
+        // An error means that there is no stream.
         let _ = self.shared.orders.send(order);
     }
 }
@@ -159,7 +159,7 @@
         while connections.try_join_next().is_some() {}
         connections.spawn(async move {
             let server = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
-            // What a client does to its connection is the client's affair.
+            // Connection errors are caused by the client under test and are ignored.
             let _ = server.serve_connection(TokioIo::new(socket), service).await;
         });
     }
@@ -170,7 +170,7 @@
 type Answers<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
 impl Service {
-    /// Serves one stream; it ends with its connection.
+    /// Serves one stream until its connection ends.
     fn serve(&self, requests: impl Stream<Item = Heard> + Send + Unpin + 'static) -> ReceiverStream<Said> {
         let (sender, responses) = mpsc::channel(RESPONSES);
         let stream = self.0.streams.fetch_add(1, Ordering::Relaxed) + 1;
@@ -240,7 +240,7 @@
                 Err(_) => break,
             }
         }
-        // One by one, as each is sent: all of a flood at once may be more than memory holds.
+        // Responses are created one at a time, because a whole flood may not fit into memory.
         let times = flood.as_ref().map_or(0, |raw| raw.times);
         let flood = (0..times).filter_map(|_| flood.as_ref()?.response(&mut session));
         for said in said.into_iter().chain(flood) {
--- a/crates/lab/src/control_plane/session.rs
+++ b/crates/lab/src/control_plane/session.rs
@@ -1,4 +1,4 @@
-//! One stream's side of the protocol, without I/O.
+//! The server side of one xDS stream, without I/O.
 
 use super::resources::{Kind, Resources, Served};
 use envoy_types::pb::envoy::service::discovery::v3::{
@@ -25,23 +25,23 @@
     Delta(DeltaDiscoveryResponse),
 }
 
-/// One stream: what was asked for over it, and what was sent.
+/// The state of one stream: its subscriptions and what was sent.
 #[derive(Debug, Default)]
 pub struct Session {
     nonces: u64,
     kinds: BTreeMap<Kind, Asked>,
 }
 
-/// What was asked for of one kind, and what was sent.
+/// The subscription of a stream to one kind of resource, and what was sent.
 #[derive(Debug, Default)]
 struct Asked {
     is_delta: bool,
-    /// All are asked for, not some by name.
+    /// A wildcard subscription to all resources.
     is_all: bool,
     names: BTreeSet<String>,
-    /// The version of the kind that was sent last.
+    /// The last version of the kind that was sent.
     version: Option<u64>,
-    /// The versions that the client has, as written.
+    /// The resource versions that the client has, as sent.
     sent: BTreeMap<String, String>,
     nonce: String,
     last: Option<Said>,
@@ -54,7 +54,7 @@
 }
 
 impl Session {
-    /// Answers a request.
+    /// Handles a request and returns the responses to it.
     pub fn hear(&mut self, request: &Heard, resources: &Resources) -> Vec<Said> {
         let type_url = match request {
             Heard::World(request) => &request.type_url,
@@ -70,7 +70,7 @@
             Heard::Delta(request) => delta_wants(asked, is_first, request),
         };
         match wanted {
-            // Before anything was set, a control plane has nothing to say.
+            // A control plane does not respond for a kind before its first resource is set.
             Some(names) if served.is_some() => {
                 self.answer(kind, served.unwrap_or(&nothing), &names).into_iter().collect()
             }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// What has changed since it was sent.
+    /// Returns the responses for changes since the last response.
     pub fn push(&mut self, resources: &Resources) -> Vec<Said> {
         let mut said = Vec::new();
         for kind in [Kind::Cds, Kind::Eds] {
@@ -90,12 +90,12 @@
         said
     }
 
-    /// The last response of a kind once more, with its nonce: what no control plane should do.
+    /// Returns the last response of a kind again with its old nonce, which violates the protocol.
     pub fn repeat(&self, kind: Kind) -> Option<Said> {
         self.kinds.get(&kind)?.last.clone()
     }
 
-    /// A response with whatever resources and version, each with its name, if the kind was asked for.
+    /// Returns a response with unchecked named resources and any version, if the client subscribed to the kind.
     pub fn raw(
         &mut self,
         kind: Kind,
@@ -131,7 +131,7 @@
                 ..DiscoveryResponse::default()
             })
         };
-        // So that the next push tells what is true.
+        // Makes the next push send the actual resources again.
         asked.version = None;
         asked.sent.values_mut().for_each(String::clear);
         Some(said)
@@ -142,7 +142,7 @@
         self.nonces.to_string()
     }
 
-    /// What differs from what was sent, and in any case what is named.
+    /// Returns a response with the resources that differ from those sent, and always those in `named`.
     fn answer(&mut self, kind: Kind, served: &Served, named: &BTreeSet<String>) -> Option<Said> {
         let nonce = self.next_nonce();
         let asked = self.kinds.get_mut(&kind)?;
@@ -193,7 +193,8 @@
     }
 }
 
-/// Takes in a request, and tells whether an answer is due, with the names that must be in it.
+/// Updates a subscription by a request. Returns the names that the response has to include, or `None` if no
+/// response is due.
 fn world_wants(
     asked: &mut Asked,
     is_first: bool,
@@ -206,7 +207,7 @@
         asked.names = names;
         let is_current = served.is_some_and(|s| s.version.to_string() == request.version_info);
         if let Some(served) = served.filter(|_| is_current) {
-            // The client has it all.
+            // The client already has all resources.
             asked.version = Some(served.version);
             let has = served.all.iter().map(|(name, (version, _))| (name.clone(), version.to_string()));
             asked.sent = has.collect();
@@ -215,14 +216,15 @@
         return Some(BTreeSet::new());
     }
     if request.response_nonce != asked.nonce {
-        return None; // stale: a newer response is on its way
+        return None; // stale: a newer response was sent
     }
     let new: BTreeSet<String> = names.difference(&asked.names).cloned().collect();
     asked.names = names;
     (!new.is_empty()).then_some(new)
 }
 
-/// Takes in a request, and tells whether an answer is due, with the names that must be in it.
+/// Updates a subscription by a request. Returns the names that the response has to include, or `None` if no
+/// response is due.
 fn delta_wants(
     asked: &mut Asked,
     is_first: bool,
--- a/crates/lab/src/sidecars/fleet.rs
+++ b/crates/lab/src/sidecars/fleet.rs
@@ -1,5 +1,5 @@
-//! The servers: who lives when. A server that is replaced dies without a word while the control plane is away,
-//! and another one under another id has come at another address shortly before.
+//! The servers and their lifetimes. A replaced server dies silently while the control plane is down; shortly
+//! before, its replacement starts with another id and another address.
 
 use super::{GOES, Plan};
 use crate::control_plane::Resources;
@@ -14,31 +14,31 @@
     pub id: String,
     /// Its cluster.
     pub cluster: u32,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
-    /// When it comes.
+    /// When it starts.
     pub born: Nanos,
-    /// When it goes.
+    /// When it dies.
     pub dies: Nanos,
 }
 
-/// All servers that there will ever be.
+/// All servers of a run, including replacements.
 #[derive(Debug)]
 pub struct Fleet {
-    /// By number: a cluster's are next to each other.
+    /// The servers by number. Those of a cluster are adjacent.
     pub servers: Vec<Server>,
-    /// By cluster: the number of its first server.
+    /// The number of the first server by cluster.
     pub first: Vec<u32>,
-    /// When the lists change, and with them the generation, from 1; in order.
+    /// When the set of servers changes, in order. Each change begins a new generation, counted from 1.
     pub changes: Vec<Nanos>,
     clusters: u32,
 }
 
-/// A new server is there so long before the old one goes.
+/// How long a replacement runs before the old server dies.
 const OVERLAP: Nanos = 500_000_000;
 
 impl Fleet {
-    /// The fleet of a plan.
+    /// Creates the fleet of a plan.
     pub fn new(plan: &Plan) -> Fleet {
         let outage = plan.outage.as_nanos() as Nanos;
         let (mut servers, mut changes, mut first) = (Vec::new(), Vec::new(), Vec::new());
@@ -49,7 +49,7 @@
                 let draw = mix(mix(plan.seed, u64::from(cluster) + 1), u64::from(at));
                 let is_replaced =
                     (draw >> 11) as f64 / (1u64 << 53) as f64 <= plan.replaced && plan.replaced > 0.0;
-                // In the middle part of the outage: the control plane knows all of it when it returns.
+                // In the middle of the outage, so that the control plane knows all changes when it returns.
                 let dies = GOES + outage / 4 + mix(draw, 7) % (outage / 2);
                 let end = if is_replaced { dies } else { Nanos::MAX };
                 servers.push(server(cluster, format!("{cluster}-{at}"), 0, end));
@@ -70,12 +70,12 @@
         Fleet { servers, first, changes, clusters: plan.clusters }
     }
 
-    /// The server that a cluster's decisions know under this number.
+    /// Returns the server with this endpoint id in a cluster's decisions.
     pub fn server(&self, cluster: u32, endpoint: EndpointId) -> &Server {
         &self.servers[(self.first[cluster as usize] + endpoint.0) as usize]
     }
 
-    /// What a control plane lists at a time, with versions that begin behind a number.
+    /// Returns the control plane's resources at a time; their versions begin after `version`.
     pub fn resources(&self, at: Nanos, version: u64) -> Resources {
         let mut resources = Resources::starting_at(version);
         for cluster in 0..self.clusters {
@@ -85,7 +85,7 @@
         resources
     }
 
-    /// Takes in what has changed between two times.
+    /// Applies the changes between two times to the resources.
     pub fn change(&self, from: Nanos, to: Nanos, resources: &mut Resources) {
         for cluster in 0..self.clusters {
             let mut of_cluster = self.servers.iter().filter(|server| server.cluster == cluster);
@@ -101,7 +101,7 @@
         resources.set_endpoints(&name(cluster), &list);
     }
 
-    /// A number for a set of servers, the sum of one for each: that of those who live at a time.
+    /// Returns the fingerprint of the servers that run at a time: the sum of their [`mark`]s.
     pub fn print(&self, at: Nanos) -> u64 {
         let numbers = 0..self.servers.len() as u32;
         let all = numbers.filter(|number| lives(&self.servers[*number as usize], at));
@@ -109,7 +109,7 @@
     }
 }
 
-/// The number of one server, to be added up.
+/// Returns the contribution of one server to the fingerprint of a set.
 pub fn mark(number: u32) -> u64 {
     mix(number.into(), 0x5EED)
 }
@@ -118,12 +118,12 @@
     Server { id, cluster, address: ([10, 0, 0, 0], 80).into(), born, dies }
 }
 
-/// Whether a server lives.
+/// Returns whether a server runs at a time.
 pub fn lives(server: &Server, at: Nanos) -> bool {
     (server.born..server.dies).contains(&at)
 }
 
-/// The name of a cluster.
+/// Returns the name of a cluster.
 pub fn name(cluster: u32) -> String {
     format!("cluster-{cluster}")
 }
--- a/crates/lab/src/sidecars/mod.rs
+++ b/crates/lab/src/sidecars/mod.rs
@@ -1,8 +1,8 @@
-//! Many sidecars and the control plane that they all listen to, in virtual time: what its restart costs.
+//! Simulates the restart of a control plane with many sidecars in virtual time.
 //!
-//! Each sidecar is the real conversation, the real catalog and the real decisions of each cluster; the control
-//! plane is the stand-in's side of the protocol behind a queue of finite speed. Servers answer whatever they
-//! are sent while they live: overload is the model's ([`crate::model`]) subject, not this one's.
+//! Each sidecar runs the real xDS session, the real catalog and the real decisions of each cluster. The
+//! control plane is the stand-in's session behind a queue with a limited service rate. Servers answer every
+//! request while they run; overload is simulated in [`crate::model`] and not here.
 
 mod fleet;
 mod plane;
@@ -23,32 +23,32 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What is played.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Sidecars; at least one.
+    /// The number of sidecars; at least one.
     pub sidecars: u32,
-    /// Clusters; at least one. All sidecars call all.
+    /// The number of clusters; at least one. Every sidecar calls all clusters.
     pub clusters: u32,
-    /// Endpoints of each; at least two.
+    /// The number of endpoints of each cluster; at least two.
     pub endpoints: u32,
-    /// Requests a second of each sidecar.
+    /// Requests per second of each sidecar.
     pub rate: f64,
     /// The variant of the protocol.
     pub variant: Variant,
-    /// For how long the control plane is away; from 10 s of the run on.
+    /// The length of the control plane's outage, which begins 10 s after the start of the run.
     pub outage: Duration,
-    /// Part of the endpoints that are replaced while it is away; in [0, 1].
+    /// The share of endpoints that are replaced during the outage; in [0, 1].
     pub replaced: f64,
-    /// Connections a second that the control plane can take. With each comes all that its sidecar asks for.
+    /// Connections per second that the control plane can accept.
     pub accepts: f64,
-    /// Connections that may wait at the control plane; it refuses more.
+    /// The largest number of connections that wait at the control plane. Further ones are refused.
     pub backlog: usize,
-    /// The largest wait before another attempt.
+    /// The largest reconnect backoff.
     pub backoff: Duration,
-    /// All sidecars draw their waits from one seed: what happens without jitter of one's own.
+    /// All sidecars draw their backoff from the same seed, as if their jitter were not independent.
     pub one_seed: bool,
-    /// Feeds all chance.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
@@ -71,27 +71,27 @@
     }
 }
 
-/// A plan that cannot be played.
+/// A plan with a value out of range.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{key} {must}")]
 pub struct BadPlan {
-    /// Which key.
+    /// The key.
     pub key: &'static str,
-    /// What it must be.
+    /// The requirement on its value.
     pub must: &'static str,
 }
 
-/// When the control plane goes.
+/// When the outage of the control plane begins, in nanoseconds.
 const GOES: Nanos = 10_000_000_000;
-/// The run lasts so long after the control plane's return.
+/// How long the run lasts after the control plane's return, in nanoseconds.
 const AFTER: Nanos = 60_000_000_000;
-/// Least time that anything takes from one to another.
+/// The network latency between two nodes, in nanoseconds.
 const LATENCY: Nanos = 500_000;
-/// Most events that may wait: some GiB.
+/// The largest number of pending events; they take some GiB.
 const MOST_EVENTS: u64 = 20_000_000;
 
 impl Plan {
-    /// Whether it can be played.
+    /// Checks that all values are in range.
     ///
     /// # Errors
     /// The first key that is out of its range.
@@ -133,16 +133,16 @@
     }
 }
 
-/// Requests of a stretch of time.
+/// Request counts of one phase of the run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Requests {
-    /// Taken.
+    /// Requests that arrived.
     pub taken: u64,
-    /// Answered.
+    /// Requests that were answered.
     pub answered: u64,
-    /// Refused or failed.
+    /// Requests that were shed or failed.
     pub lost: u64,
-    /// Attempts beyond the first.
+    /// Attempts after the first of a request.
     pub again: u64,
 }
 
@@ -155,35 +155,36 @@
     }
 }
 
-/// What a run came to. Times are in milliseconds.
+/// The result of a run. Times are in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Outcomes {
-    /// By second of the run: connections that the control plane was asked for.
+    /// Connection attempts at the control plane by second of the run.
     pub dials: Vec<u32>,
-    /// Most of them in 100 ms after its return.
+    /// The largest number of connection attempts in 100 ms after the control plane's return.
     pub most_dials_in_100_ms: u32,
-    /// Those that it refused after its return.
+    /// Connections that the control plane refused after its return.
     pub refused: u64,
-    /// Most that waited at it.
+    /// The largest number of connections that waited at the control plane.
     pub longest_queue: usize,
-    /// From its return until each sidecar held the newest lists: median, 99th percentile, last.
+    /// The time from the control plane's return until a sidecar had the newest endpoints: median, 99th percentile
+    /// and maximum over all sidecars.
     pub newest_ms: [u64; 3],
-    /// Sidecars that never held them.
+    /// Sidecars that never had the newest endpoints.
     pub never: u64,
-    /// Requests before it went, while it was away, and after.
+    /// Requests before, during and after the outage.
     pub requests: [Requests; 3],
-    /// Bytes of resources that it sent after its return.
+    /// Bytes of resources that the control plane sent after its return.
     pub sent_bytes: u64,
-    /// Events played.
+    /// Simulated events.
     pub events: u64,
-    /// The same for the same plan, on any number of threads.
+    /// A digest of the run: equal for equal plans, on any number of threads.
     pub digest: String,
 }
 
-/// Plays a plan.
+/// Runs a plan.
 ///
 /// # Errors
-/// It cannot be played, or came to no end.
+/// The plan is invalid, or the simulation stopped early.
 pub fn play(plan: Plan, threads: usize) -> Result<Outcomes, PlayError> {
     plan.check()?;
     let fleet = Fleet::new(&plan);
@@ -217,13 +218,13 @@
     Ok(all)
 }
 
-/// Why a plan came to nothing.
+/// Why a plan could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum PlayError {
-    /// It cannot be played.
+    /// The plan is invalid.
     #[error(transparent)]
     Plan(#[from] BadPlan),
-    /// It stopped before its end.
+    /// The simulation stopped before its end.
     #[error(transparent)]
     Engine(#[from] EngineError),
 }
@@ -250,32 +251,32 @@
     }
 }
 
-/// What those who take part tell each other and themselves. The control plane is node 0.
+/// Messages between nodes, and timers of a node. The control plane is node 0.
 #[derive(Debug)]
 enum Message {
     // To the control plane.
-    /// A sidecar wants a connection; its number among the sidecar's.
+    /// A sidecar connects: its id and the number of its connection.
     Dial(u32, u32),
-    /// A sidecar speaks on its connection.
+    /// A sidecar sends a request on its connection.
     Request(u32, u32, Box<Heard>),
-    /// It has given up a connection.
+    /// A sidecar closes a connection.
     HangUp(u32, u32),
-    // By the control plane to itself.
+    // Timers of the control plane.
     Worked,
     Goes,
     Returns,
-    /// The servers have changed: to this generation.
+    /// The set of servers changes to this generation.
     Changes(usize),
-    // To a sidecar, about its connection of this number.
+    // To a sidecar, with the number of its connection.
     Accepted(u32),
     Lost(u32),
     Response(u32, Box<Said>),
-    // By a sidecar to itself.
-    /// The conversation or the catalog wants to be woken.
+    // Timers of a sidecar.
+    /// The deadline of the session or the catalog.
     Wake,
-    /// What came may be read.
+    /// The session may read the next response.
     Read,
-    /// A connection takes too long.
+    /// The connect timeout of a connection.
     TooLong(u32),
     Arrival,
     Timer(u32, Timer),
@@ -294,7 +295,7 @@
 }
 
 impl Message {
-    /// A number that tells what happened, for the digest.
+    /// Returns a number that identifies the message, for the digest.
     fn fingerprint(&self) -> u64 {
         match self {
             Message::Dial(from, n) => 1 << 60 | u64::from(*from) << 20 | u64::from(*n),
@@ -321,7 +322,7 @@
 struct World {
     plan: Plan,
     fleet: Fleet,
-    /// What a sidecar holds that holds the newest lists.
+    /// The fingerprint of the newest set of servers.
     newest: u64,
 }
 
@@ -336,7 +337,7 @@
     Sidecar(Box<Sidecar>),
 }
 
-/// What is left of a node.
+/// The output of a node.
 struct Rest {
     node: u32,
     digest: u64,
--- a/crates/lab/src/sidecars/plane.rs
+++ b/crates/lab/src/sidecars/plane.rs
@@ -1,4 +1,4 @@
-//! The control plane: each stream's side of the protocol, behind one queue of finite speed.
+//! The control plane: the server side of each stream, behind one queue with a limited service rate.
 
 use super::{GOES, LATENCY, Message, Plan, World};
 use crate::control_plane::{Heard, Resources, Said, Session};
@@ -6,47 +6,47 @@
 use olivecart_decisions::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time for each byte of resources that is sent: 100 MB a second.
+/// The time to send one byte of resources, in nanoseconds: 100 MB per second.
 const BYTE: Nanos = 10;
-/// Time for each request that is read.
+/// The time to read one request, in nanoseconds.
 const READ: Nanos = 20_000;
 
-/// What it was asked for.
+/// The counters of the control plane.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// By second: connections that it was asked for.
+    /// Connection attempts by second.
     pub dials: Vec<u32>,
-    /// Most of them in 100 ms after its return.
+    /// The largest number of connection attempts in 100 ms after the return.
     pub most_in_100_ms: u32,
-    /// Connections that it refused after its return.
+    /// Connections refused after the return.
     pub refused: u64,
-    /// Most that waited.
+    /// The largest number of waiting connections after the return.
     pub longest_queue: usize,
-    /// Bytes that it sent after its return.
+    /// Bytes of resources sent after the return.
     pub sent_bytes: u64,
 }
 
-/// What it has to do.
+/// A task in the queue of the control plane.
 enum Job {
     Accept(u32, u32),
     Hear(u32, u32, Box<Heard>),
     Push(u32, u32),
 }
 
-/// The control plane.
+/// The state of the control plane.
 pub struct Plane {
     is_up: bool,
     resources: Resources,
-    /// As of when.
+    /// The time up to which changes of the fleet are in `resources`.
     told: Nanos,
-    /// By sidecar: the number of its connection, and the stream.
+    /// The number of the connection and the stream, by sidecar.
     streams: BTreeMap<u32, (u32, Session)>,
     queue: VecDeque<Job>,
-    /// Connections among what waits.
+    /// The number of connections in the queue.
     dialling: usize,
     works: bool,
     tally: Tally,
-    /// Connections asked for in the present 100 ms.
+    /// The current interval of 100 ms and its number of connection attempts.
     burst: (Nanos, u32),
 }
 
@@ -102,7 +102,7 @@
                 self.dialling = 0;
             }
             Message::Returns => {
-                // It has lost its state: its versions begin again.
+                // The restart lost the state, so versions begin again.
                 (self.is_up, self.told) = (true, now);
                 self.resources = world.fleet.resources(now, 0);
             }
@@ -141,7 +141,7 @@
         self.queue.push_back(Job::Accept(from, number));
     }
 
-    /// Does the next thing, and is busy with it for its time.
+    /// Runs the next task, and is busy for as long as the task takes.
     fn work(&mut self, world: &World, now: Nanos, out: &mut Outbox<World>) {
         let Some(job) = self.queue.pop_front() else { return };
         let (from, number, said, mut takes) = match job {
@@ -180,7 +180,7 @@
     }
 }
 
-/// Bytes of resources in a response.
+/// Returns the bytes of resources in a response.
 fn size(said: &Said) -> u64 {
     let bytes: usize = match said {
         Said::World(r) => r.resources.iter().map(|any| any.value.len()).sum(),
--- a/crates/lab/src/sidecars/sidecar.rs
+++ b/crates/lab/src/sidecars/sidecar.rs
@@ -1,4 +1,4 @@
-//! One sidecar: the real conversation and catalog, and the real decisions of each cluster.
+//! One sidecar: the real xDS session, the real catalog, and the real decisions of each cluster.
 
 use super::fleet::{lives, mark, name};
 use super::{Attempt, GOES, LATENCY, Message, Of, Requests, World};
@@ -18,41 +18,41 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A connection that is not established in this time has failed.
+/// The connect timeout, in nanoseconds.
 const CONNECT: Nanos = 5_000_000_000;
-/// Mean time that a server takes for an answer.
+/// The mean service time of a request, in nanoseconds.
 const SERVICE: f64 = 5e6;
-/// Time that a client waits.
+/// The deadline of clients, in nanoseconds.
 const PATIENCE: Nanos = 1_000_000_000;
-/// Sidecars come up within this.
+/// Sidecars start at random times within this many nanoseconds.
 const STARTS: Nanos = 3_000_000_000;
 
-/// A request that is open.
+/// An open request.
 struct Open {
-    /// Before, while the control plane is away, or after.
+    /// The phase of arrival: 0 before the outage of the control plane, 1 during it, 2 after it.
     when: usize,
     deadline: Nanos,
     attempts: u32,
 }
 
-/// A sidecar.
+/// The state of a sidecar.
 pub struct Sidecar {
     id: u32,
     talk: Session,
     catalog: Catalog,
-    /// The number of the connection, and whether it stands.
+    /// The number of the current connection, and whether it is established.
     link: (u32, bool),
-    /// What came and may not be read yet.
+    /// Responses that arrived and that the session's read limit delays.
     unread: VecDeque<Box<Said>>,
     reads: bool,
-    /// When it has asked to be woken.
+    /// The time of the next scheduled wake-up.
     wakes: Nanos,
     clusters: Vec<Balancer>,
-    /// By server's number.
+    /// The numbers of the servers by id.
     known: FxHashMap<String, u32>,
     open: FxHashMap<u64, Open>,
     next: u64,
-    /// The sum of the marks of the servers that it holds.
+    /// The fingerprint of the servers in the catalog: the sum of their marks.
     held: u64,
     newest: Option<Nanos>,
     requests: [Requests; 3],
@@ -72,7 +72,7 @@
             ..Config::new(source.clone(), node)
         };
         let policy = Policy { hold: Duration::ZERO, ..Policy::default() };
-        // The only figure that differs from the defaults is in its range.
+        // Cannot fail: the only setting that differs from the defaults is in its range.
         let catalog = Catalog::new(policy, [source]).unwrap_or_else(|bad| unreachable!("{bad}"));
         let settings = Settings {
             replica_index: id - 1,
@@ -161,13 +161,13 @@
     }
 
     fn lost(&mut self, world: &World, rng: &mut Pcg64Mcg, now: Nanos, why: &str, out: &mut Outbox<World>) {
-        // Whatever still comes on it is of a connection that is gone.
+        // Messages of the lost connection are recognized by the old number and ignored.
         self.link = (self.link.0 + 1, false);
         self.unread.clear();
         self.talk(world, rng, now, Input::Lost { why: why.to_owned() }, out);
     }
 
-    /// Reads what the pace of the conversation allows.
+    /// Reads as many responses as the session's read limit allows.
     fn read(&mut self, world: &World, rng: &mut Pcg64Mcg, now: Nanos, out: &mut Outbox<World>) {
         while !self.unread.is_empty() {
             let at = self.talk.next_read_at();
@@ -210,7 +210,7 @@
         }
     }
 
-    /// The catalog hears of an event, and the decisions of what follows.
+    /// Passes an event to the catalog, and the resulting changes to the decisions.
     fn hear(
         &mut self,
         world: &World,
@@ -279,7 +279,7 @@
         out: &mut Outbox<World>,
     ) {
         let Attempt { request, attempt, endpoint, outcome, sent } = attempt;
-        // One whose request has ended already is told of too.
+        // Attempts whose request has already ended are reported too.
         let over = self.open.get(&request).is_none_or(|open| outcome == Outcome::Ok || now >= open.deadline);
         if over {
             self.end(request, outcome == Outcome::Ok);
@@ -305,7 +305,7 @@
         requests.again += u64::from(open.attempts.saturating_sub(1));
     }
 
-    /// Puts an event to a cluster's decisions and does what they answer.
+    /// Passes an event to a cluster's decisions and carries out the resulting actions.
     fn decide(
         &mut self,
         world: &World,
@@ -353,6 +353,6 @@
     }
 }
 
-/// Both variants, by the names that the command line takes.
+/// The protocol variants by their names on the command line.
 pub const VARIANTS: [(&str, Variant); 2] =
     [("incremental", Variant::Incremental), ("state-of-the-world", Variant::StateOfTheWorld)];
