--- a/crates/config/src/atomic_file.rs
+++ b/crates/config/src/atomic_file.rs
@@ -1,76 +1,77 @@
-//! Replaces a file as a whole: written to a temporary file in the same folder, synced, renamed over the target.
+//! Replaces a file atomically: writes a temporary file in the same folder, syncs it and renames it over the
+//! target.
 //!
-//! A reader finds the old contents or the new ones, never a part, and so does whoever comes after a crash. Called by
-//! `write` and by the command line. It never looks at what it writes, and it never creates folders.
+//! Readers see either the old or the new contents in full, also after a crash. Used by `write` and the
+//! command line. This module does not interpret the contents and does not create folders.
 
 use std::fs::{File, Metadata, OpenOptions};
 use std::io::{self, ErrorKind};
 use std::os::unix::fs::{MetadataExt, OpenOptionsExt, PermissionsExt, fchown};
 use std::path::{Path, PathBuf};
 
-/// Mode of a new file before the umask is applied, as [`File::create`] has it.
+/// The mode of a new file before the umask is applied, the same as with [`File::create`].
 const DEFAULT_MODE: u32 = 0o666;
 
-/// The bits of a mode that are permissions.
+/// The permission bits of a file mode.
 const PERMISSION_BITS: u32 = 0o7777;
 
-/// Symbolic links that are followed from one to the next at most, as many as Linux follows.
+/// The maximum length of a chain of symbolic links, the same as on Linux.
 const MAX_LINKS: usize = 40;
 
-/// A file that could not be replaced.
+/// An error while replacing a file.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {error}", path = .path.display())]
 pub struct ReplaceError {
-    /// The file that was to be replaced.
+    /// The file that could not be replaced.
     pub path: PathBuf,
-    /// Why it was not.
+    /// The cause.
     #[source]
     pub error: io::Error,
 }
 
-/// The system calls that can fail while a file is replaced. [`Disk`] makes them; tests let them fail.
+/// The system calls that replace a file. [`Disk`] is the real implementation; tests use one that fails.
 pub trait FileSystem {
     /// An open file.
     type File;
 
-    /// Creates a file that must not exist yet, with the permissions and the owner of `like` if that is given.
+    /// Creates a file, which must not exist yet, with the permissions and the owner of `like` if it is given.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the system call.
     fn create(&self, path: &Path, like: Option<&Metadata>) -> io::Result<Self::File>;
 
-    /// Writes a part of `bytes`, and says how much of them.
+    /// Writes some or all of `bytes` and returns the number of bytes written.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the system call.
     fn write(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Brings a file's contents to the disk.
+    /// Flushes the contents of a file to the disk.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the system call.
     fn sync(&self, file: &Self::File) -> io::Result<()>;
 
-    /// Gives a file another name, in place of what has that name.
+    /// Renames a file and replaces the file that has the new name.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the system call.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
-    /// Brings the names in a folder to the disk.
+    /// Flushes the entries of a folder to the disk.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the system call.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the system call.
     fn remove(&self, path: &Path) -> io::Result<()>;
 }
 
-/// The file system of the machine.
+/// The file system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Disk;
 
@@ -81,7 +82,7 @@
         let mode = like.map_or(DEFAULT_MODE, |like| like.mode() & PERMISSION_BITS);
         let file = OpenOptions::new().write(true).create_new(true).mode(mode).open(path)?;
         if let Some(like) = like {
-            // Only the superuser may give a file away; for all others the writer becomes its owner.
+            // Only the superuser may change the owner; otherwise the file belongs to the current user.
             let _ = fchown(&file, Some(like.uid()), Some(like.gid()));
             file.set_permissions(PermissionsExt::from_mode(mode))?;
         }
@@ -109,17 +110,18 @@
     }
 }
 
-/// Replaces the contents of a file, or creates it. A symbolic link stays one, and what it points to is replaced; the
-/// permissions of an existing file are kept. What is no regular file (a pipe, a terminal) is written to.
+/// Replaces the contents of a file, or creates it. Follows symbolic links and keeps the permissions of an
+/// existing file. Writes directly to a path that is not a regular file (a pipe, a terminal).
 ///
 /// # Errors
-/// Names the file. Then it holds what it held before, unless only the folder could not be synced: then it holds the new
-/// contents, which may not outlast a crash. No temporary file is left; only a kill can leave one (`.NAME.PID.new`).
+/// Returns the path and the cause. The file then has its old contents, unless only the sync of the folder
+/// failed: then it has the new contents, which may be lost in a crash. Temporary files are removed; only a
+/// killed process can leave one (`.NAME.PID.new`).
 pub fn replace(path: &Path, contents: &[u8]) -> Result<(), ReplaceError> {
     replace_on(&Disk, path, contents)
 }
 
-/// The same on any file system.
+/// Does the same as [`replace`] on a given file system.
 ///
 /// # Errors
 /// See [`replace`].
@@ -127,15 +129,15 @@
     let named = |error| ReplaceError { path: path.to_owned(), error };
     let existing = existing_file(path).map_err(named)?;
     if existing.as_ref().is_some_and(|existing| !existing.is_file()) {
-        // There is nothing to keep whole here, and a pipe or a terminal cannot be replaced.
+        // A pipe or a terminal cannot be replaced by a rename, and has no contents to preserve.
         return std::fs::write(path, contents).map_err(named);
     }
     let target = follow_links(path).map_err(named)?;
     let temporary = temporary_path(&target).map_err(named)?;
-    // Left by an earlier process of the same number that was killed, if it is there at all.
+    // A killed process with the same process ID may have left a temporary file.
     let _ = disk.remove(&temporary);
-    // Danger: until the rename the target must not be touched, and the rename must not come before the sync: after a
-    // crash the name could lead to an empty file.
+    // The target stays untouched until the rename, and the sync comes before the rename: with the reverse
+    // order the target could be an empty file after a crash.
     let renamed = write_synced(disk, &temporary, existing.as_ref(), contents)
         .and_then(|()| uninterrupted(|| disk.rename(&temporary, &target)));
     if let Err(error) = renamed {
@@ -145,7 +147,7 @@
     sync_folder_of(disk, &target).map_err(named)
 }
 
-/// What stands at a path now, at the end of all links; none if nothing does.
+/// Returns the metadata of the file at a path, following links, or `None` if it does not exist.
 fn existing_file(path: &Path) -> io::Result<Option<Metadata>> {
     match std::fs::metadata(path) {
         Ok(metadata) => Ok(Some(metadata)),
@@ -154,7 +156,7 @@
     }
 }
 
-/// The path at the end of symbolic links, whether there is a file or not.
+/// Resolves symbolic links; the target need not exist.
 fn follow_links(path: &Path) -> io::Result<PathBuf> {
     let mut path = path.to_owned();
     for _ in 0..MAX_LINKS {
@@ -171,9 +173,12 @@
     }
 }
 
-/// A name beside the target that no other process uses, and that nobody who reads a folder of `.toml` files takes in.
+/// Returns a hidden path beside the target that no other process uses. It does not end in `.toml`, so that
+/// programs that read all `.toml` files of a folder ignore it.
 fn temporary_path(target: &Path) -> io::Result<PathBuf> {
-    let name = target.file_name().ok_or_else(|| io::Error::new(ErrorKind::InvalidInput, "no file name"))?;
+    let name = target
+        .file_name()
+        .ok_or_else(|| io::Error::new(ErrorKind::InvalidInput, "the path has no file name"))?;
     let name = format!(".{}.{}.new", name.to_string_lossy(), std::process::id());
     Ok(folder_of(target).join(name))
 }
@@ -198,13 +203,13 @@
 
 fn sync_folder_of(disk: &impl FileSystem, target: &Path) -> io::Result<()> {
     match uninterrupted(|| disk.sync_folder(folder_of(target))) {
-        // Some file systems have no way to sync a folder, and say so with EINVAL.
+        // Some file systems cannot sync a folder and return EINVAL.
         Err(error) if error.kind() == ErrorKind::InvalidInput => Ok(()),
         result => result,
     }
 }
 
-/// Makes a system call again for as long as a signal interrupts it.
+/// Repeats a system call while it is interrupted by signals.
 fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
--- a/crates/config/src/check/budget.rs
+++ b/crates/config/src/check/budget.rs
@@ -13,8 +13,8 @@
 pub(crate) const ROUNDING: f64 = 1e-9;
 
 impl Checker<'_> {
-    /// OC0204: more attempts than the budget at some application. The first one along the calls is reported; those
-    /// that it calls get as many because of it.
+    /// OC0204: more attempts than the budget at some application. The first one along the calls is reported;
+    /// those that it calls get as many because of it.
     pub(super) fn check_attempt_budget(&mut self, calls: &Calls) {
         let Some((_, fleet)) = self.fleet() else { return };
         let budget = fleet.budget.attempts.unwrap_or(DEFAULT_ATTEMPT_BUDGET);
--- a/crates/config/src/check/limits.rs
+++ b/crates/config/src/check/limits.rs
@@ -31,7 +31,8 @@
 }
 
 impl Limits {
-    /// Descriptors for all clients, a connection to an endpoint for each request in progress, and the program's own.
+    /// Descriptors for all clients, a connection to an endpoint for each request in progress, and the
+    /// program's own.
     fn needed_descriptors(&self) -> u32 {
         self.client_connections.saturating_add(self.active_requests).saturating_add(OWN_DESCRIPTORS)
     }
--- a/crates/config/src/check/listener.rs
+++ b/crates/config/src/check/listener.rs
@@ -20,8 +20,8 @@
     SocketAddr::new(address.ip().to_canonical(), address.port())
 }
 
-/// Whether two cannot both be bound: one port, and one address or either for all of its kind. A listener for all
-/// of IPv6 takes the port of IPv4 as well, unless the system is set up otherwise.
+/// Whether two cannot both be bound: one port, and one address or either for all of its kind. A listener for
+/// all of IPv6 takes the port of IPv4 as well, unless the system is set up otherwise.
 pub(super) fn collide(first: SocketAddr, second: SocketAddr) -> bool {
     let first = canonical(first);
     let second = canonical(second);
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,8 +1,10 @@
-//! Checks what files come to: what would do harm within one proxy, and between the applications of a fleet. No I/O.
+//! Checks what files come to: what would do harm within one proxy, and between the applications of a fleet.
+//! No I/O.
 //!
-//! Each module of checks has one subject, with one function a rule. A value that many applications inherit is reported
-//! once, at its own location, with the applications that have it. Called by the command line and by the sidecar at its
-//! start; the order of a change (`plan`) uses the rules between two applications ([`pair`]) alone.
+//! Each module of checks has one subject, with one function a rule. A value that many applications inherit is
+//! reported once, at its own location, with the applications that have it. Called by the command line and by
+//! the sidecar at its start; the order of a change (`plan`) uses the rules between two applications
+//! ([`pair`]) alone.
 
 mod addresses;
 mod budget;
@@ -97,8 +99,8 @@
         self.check_quotas();
     }
 
-    /// Whether the form of a file is right. The contents of a malformed file are not checked: they would be checked
-    /// without the value that is at fault.
+    /// Whether the form of a file is right. The contents of a malformed file are not checked: they would be
+    /// checked without the value that is at fault.
     fn is_well_formed(&self, source: usize) -> bool {
         let file = &self.loaded.sources[source].file;
         let locations = self.loaded.findings.iter().flat_map(|finding| &finding.locations);
@@ -123,8 +125,8 @@
         classes.map(move |(index, class)| ClassView { proxy, index, class })
     }
 
-    /// Where a value of a resolved proxy came from. What is built in stands in no file: the proxy's own name stands
-    /// for it then.
+    /// Where a value of a resolved proxy came from. What is built in stands in no file: the proxy's own name
+    /// stands for it then.
     fn location_of(&self, proxy: usize, key: &Key) -> SourceLocation {
         let origins = &self.resolved[proxy].origins;
         let origin = match origins.get(key) {
--- a/crates/config/src/check/pair.rs
+++ b/crates/config/src/check/pair.rs
@@ -1,5 +1,5 @@
-//! The rules between two applications, one calling the other, or both on one machine. Pure: they are applied to
-//! configurations that are in force, and to those in between two.
+//! The rules between two applications, one calling the other, or both on one machine. Pure: they are applied
+//! to configurations that are in force, and to those in between two.
 
 use super::listener::{all_listeners, collide};
 use crate::document::{Key, Span, top};
--- a/crates/config/src/check/retries.rs
+++ b/crates/config/src/check/retries.rs
@@ -21,7 +21,7 @@
     /// OC0101, OC0102: a class is retried where its idempotency does not allow it.
     fn retried_too_freely(&self, view: ClassView) -> Option<Finding> {
         let class = view.class;
-        if class.retry_rule <= class.idempotency.freest_retry_rule() {
+        if class.retry_rule <= class.idempotency.most_permissive_retry_rule() {
             return None;
         }
         let (code, allowed) = match class.idempotency {
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,5 +1,6 @@
-//! What another configuration would change in service: what of it live, what at a restart, and what is dangerous.
-//! Pure; called by the command line, and by `plan` to find the applications that change.
+//! Compares two configurations: which values change, whether each change takes effect live or at a restart,
+//! and which changes are risky during a rollout. No I/O. Used by the command line, and by `plan` to find the
+//! applications that change.
 
 use crate::document::Span;
 use crate::resolve::Resolved;
@@ -12,42 +13,42 @@
 /// When a change takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TakesEffect {
-    /// While the proxy serves.
+    /// While the proxy is running.
     Live,
-    /// When it starts again.
+    /// At the next start of the proxy.
     AtRestart,
 }
 
-/// One value that differs.
+/// A change of one value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
-    /// Its key, with names for indices: `classes[book].deadline`.
+    /// The key, with names instead of indices: `classes[book].deadline`.
     pub key: String,
-    /// Before; none if it is new.
+    /// The old value; `None` if the key is added.
     pub old: Option<String>,
-    /// After; none if it is removed.
+    /// The new value; `None` if the key is removed.
     pub new: Option<String>,
-    /// When it takes effect.
+    /// When the change takes effect.
     pub takes_effect: TakesEffect,
-    /// What may go wrong on the way; empty if nothing is known.
-    pub danger: String,
+    /// The known risk while the change is rolled out; empty if there is none.
+    pub rollout_risk: String,
 }
 
-/// What differs for one application.
+/// The changes of one application.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Difference {
-    /// It is added.
+    /// The application is added.
     Added(String),
-    /// It is removed.
+    /// The application is removed.
     Removed(String),
-    /// Values of it differ.
+    /// Some values of the application change.
     Changed(String, Vec<Edit>),
 }
 
-/// The keys that a proxy applies while it serves; all others wait for a restart.
+/// The keys that a running proxy applies; all others take effect at a restart.
 const LIVE_KEYS: [&str; 2] = ["settings.client_connections", "inbound.max_requests"];
 
-/// What differs between two sets of proxies, by name.
+/// Returns the differences between two sets of proxies, in the order of the application names.
 pub fn diff(old: &[Resolved], new: &[Resolved]) -> Vec<Difference> {
     let old = by_name(old);
     let new = by_name(new);
@@ -71,12 +72,12 @@
     }
 }
 
-/// When a change of a key takes effect.
+/// Returns when a change of a key takes effect.
 pub fn takes_effect(key: &str) -> TakesEffect {
     if LIVE_KEYS.contains(&key) { TakesEffect::Live } else { TakesEffect::AtRestart }
 }
 
-/// The values that differ between two proxies.
+/// Returns the values that differ between two proxies, in the order of their keys.
 pub fn edits(old: &Proxy, new: &Proxy) -> Vec<Edit> {
     let old = flat(old);
     let new = flat(new);
@@ -93,43 +94,46 @@
         old: old.cloned(),
         new: new.cloned(),
         takes_effect: takes_effect(key),
-        danger: danger(key, old, new).to_owned(),
+        rollout_risk: rollout_risk(key, old, new).to_owned(),
     })
 }
 
-/// What is known to go wrong while a change is under way in a fleet; empty if nothing is.
+/// Returns the known risk while a change is rolled out in a fleet, or an empty string.
 #[expect(
     clippy::case_sensitive_file_extension_comparisons,
-    reason = "keys of the format, not names of files"
+    reason = "these are configuration keys, not file names"
 )]
-fn danger(key: &str, old: Option<&String>, new: Option<&String>) -> &'static str {
+fn rollout_risk(key: &str, old: Option<&String>, new: Option<&String>) -> &'static str {
     let change = length_change(old, new);
     let is_removed = new.is_none();
     if key.ends_with(".deadline") && change == Some(Ordering::Less) {
-        "shorter: change those that it calls first, or they work on for a caller that has given up"
+        "the deadline becomes shorter: first change the applications that this one calls; otherwise they \
+            keep working on requests that this one has given up"
     } else if key.ends_with(".deadline") && change == Some(Ordering::Greater) {
-        "longer: change its callers first, or it works on for a caller that has given up"
+        "the deadline becomes longer: first change the callers of this application; otherwise it keeps \
+            working on requests that they have given up"
     } else if key.ends_with(".effect") {
-        "until all know the new effect, one side may repeat what another runs twice"
+        "until every proxy has the new effect, a caller may retry a request that its callee executes twice"
     } else if key.ends_with(".window") && change == Some(Ordering::Greater) {
-        "longer: the endpoints must keep keys for as long first, or repeats run twice"
+        "the window becomes longer: first make the endpoints keep keys that long; otherwise a retried \
+            request may run twice"
     } else if key.starts_with("classes[") && is_removed && key.ends_with(".name") {
-        "gone: requests of this class are turned away"
+        "the class is removed: requests of this class are rejected"
     } else if key.starts_with("outbound[") && is_removed && key.ends_with(".listen") {
-        "gone: the application must not call it any more"
+        "the listener is removed: the application must stop calling through it first"
     } else {
         ""
     }
 }
 
-/// How a length of time changes; none if either value is none.
+/// Compares two durations; returns `None` unless both values are durations.
 fn length_change(old: Option<&String>, new: Option<&String>) -> Option<Ordering> {
     let old: Span = old?.parse().ok()?;
     let new: Span = new?.parse().ok()?;
     Some(new.cmp(&old))
 }
 
-/// The values of a proxy by their keys.
+/// Returns the values of a proxy by their flattened keys.
 fn flat(proxy: &Proxy) -> BTreeMap<String, String> {
     let mut values = BTreeMap::new();
     flatten("", &serde_json::to_value(proxy).unwrap_or_default(), &mut values);
@@ -147,7 +151,8 @@
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
             for (i, item) in items.iter().enumerate() {
-                // Tables are known by their names, so that one more at the front changes no other key.
+                // Tables in a list are identified by name, so that an insertion does not change the keys of
+                // the others.
                 let name = ["name", "application"].iter().find_map(|key| item[key].as_str());
                 let name = name.map_or_else(|| i.to_string(), str::to_owned);
                 flatten(&format!("{path}[{name}]"), item, values);
@@ -173,22 +178,22 @@
 
 impl fmt::Display for Edit {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Edit { key, old, new, takes_effect, danger } = self;
+        let Edit { key, old, new, takes_effect, rollout_risk } = self;
         match (old, new) {
             (Some(old), Some(new)) => write!(f, "{key}: {old} -> {new} ({takes_effect})")?,
-            (Some(old), None) => write!(f, "{key}: {old} -> none ({takes_effect})")?,
-            (None, Some(new)) => write!(f, "{key}: {new}, new ({takes_effect})")?,
+            (Some(old), None) => write!(f, "{key}: {old}, removed ({takes_effect})")?,
+            (None, Some(new)) => write!(f, "{key}: {new}, added ({takes_effect})")?,
             (None, None) => write!(f, "{key}")?,
         }
-        if danger.is_empty() { Ok(()) } else { write!(f, "\n        danger: {danger}") }
+        if rollout_risk.is_empty() { Ok(()) } else { write!(f, "\n        risk: {rollout_risk}") }
     }
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Difference::Added(name) => write!(f, "{name}: new"),
-            Difference::Removed(name) => write!(f, "{name}: goes"),
+            Difference::Added(name) => write!(f, "{name}: added"),
+            Difference::Removed(name) => write!(f, "{name}: removed"),
             Difference::Changed(name, edits) => {
                 write!(f, "{name}:")?;
                 edits.iter().try_for_each(|edit| write!(f, "\n    {edit}"))
--- a/crates/config/src/document/diagnostic.rs
+++ b/crates/config/src/document/diagnostic.rs
@@ -1,4 +1,5 @@
-//! What is wrong with the values of a document, by their keys, before the places of the keys in the text are looked up.
+//! What is wrong with the values of a document, by their keys, before the places of the keys in the text are
+//! looked up.
 
 use super::key::{Key, KeyPart};
 use std::collections::BTreeMap;
--- a/crates/config/src/document/mod.rs
+++ b/crates/config/src/document/mod.rs
@@ -1,5 +1,6 @@
-//! TOML files as people write them: values with their places in the text, checks against a schema, lengths of time,
-//! sizes. Used for the operators' format and for the lab's scenarios; nothing here knows what a file is about.
+//! TOML files as people write them: values with their places in the text, checks against a schema, lengths of
+//! time, sizes. Used for the operators' format and for the lab's scenarios; nothing here knows what a file is
+//! about.
 
 mod diagnostic;
 mod key;
--- a/crates/config/src/document/nearest.rs
+++ b/crates/config/src/document/nearest.rs
@@ -1,10 +1,11 @@
 //! The name that was probably meant.
 
-/// The least Jaro-Winkler similarity (Winkler 1990) of a name that is suggested: below it a suggestion is as often
-/// wrong as right.
+/// The least Jaro-Winkler similarity (Winkler 1990) of a name that is suggested: below it a suggestion is as
+/// often wrong as right.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// The known name that is most similar to the one given, if any is at all; of equally similar ones, the first.
+/// The known name that is most similar to the one given, if any is at all; of equally similar ones, the
+/// first.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let name = name.to_lowercase();
     let mut best = None;
--- a/crates/config/src/document/shape.rs
+++ b/crates/config/src/document/shape.rs
@@ -1,7 +1,8 @@
 //! Checks of keys, types and ranges against the schema that is generated from the types: all that is wrong at
 //! once, where a deserializer stops at the first.
 //!
-//! Only what schemars makes of plain types is understood; [`check_keywords`] tells whether a schema is of these.
+//! Only what schemars makes of plain types is understood; [`check_keywords`] tells whether a schema is of
+//! these.
 
 use super::diagnostic::{DiagnosticKind, Diagnostics};
 use super::key::Key;
--- a/crates/config/src/graph/mod.rs
+++ b/crates/config/src/graph/mod.rs
@@ -1,5 +1,5 @@
-//! The call graph of a fleet: who calls whom, how often, with how many attempts. Checks and the order of a change ask
-//! it; [`text`] and [`svg`] print it.
+//! The call graph of a fleet: who calls whom, how often, with how many attempts. Checks and the order of a
+//! change ask it; [`text`] and [`svg`] print it.
 
 mod svg;
 mod text;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operators' format: what a fleet has in common, what is an application's own, and what one proxy reads.
+//! The operators' configuration format: fleet files, application files and the generated proxy files.
 //!
-//! [`load`] reads files and finds what is wrong with their form; [`resolve`] puts the layers together (built-in,
-//! fleet, tier, application, environment), and every value knows where it came from; [`check`] finds what would
-//! do harm, within one proxy and between them; [`mod@write`] writes what each proxy reads. All findings have a code
-//! ([`report::CODES`]), a place, a reason and a way out. No I/O but reading files and writing these.
+//! [`load`] reads files and reports malformed ones. [`resolve`] merges the layers (built-in, fleet, tier,
+//! application, environment) and records the origin of every value. [`check`] finds harmful configurations,
+//! within one proxy and between proxies. [`mod@write`] generates the file of each proxy. Every finding has a
+//! code ([`report::CODES`]), a location, a reason and a suggested fix. The only I/O is reading and writing
+//! configuration files.
 
 pub mod atomic_file;
 pub mod check;
--- a/crates/config/src/load/mod.rs
+++ b/crates/config/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! Reads files. What is wrong with the form of each is found here, all at once; what the values mean is checked by
-//! `check`. Called by the command line and by the sidecar at its start.
+//! Reads files. What is wrong with the form of each is found here, all at once; what the values mean is
+//! checked by `check`. Called by the command line and by the sidecar at its start.
 
 mod parse;
 
@@ -91,7 +91,8 @@
         self.findings.push(Finding::new("OC0010", message, SourceLocation::of_file(name)));
     }
 
-    /// The files of a directory that end in `.toml`, by name; those whose names begin with a dot are left out.
+    /// The files of a directory that end in `.toml`, by name; those whose names begin with a dot are left
+    /// out.
     fn application_files(&mut self, directory: &Path) -> Vec<PathBuf> {
         let entries = match std::fs::read_dir(directory) {
             Ok(entries) => entries,
--- a/crates/config/src/load/parse.rs
+++ b/crates/config/src/load/parse.rs
@@ -56,7 +56,8 @@
     }
 }
 
-/// OC0006: the version is not the one that this program reads. One that is missing is found with the other keys.
+/// OC0006: the version is not the one that this program reads. One that is missing is found with the other
+/// keys.
 fn check_version(source: &Source, value: &Value) -> Result<(), Finding> {
     match &value["version"] {
         Value::Number(version) if version.as_u64() != Some(VERSION.into()) => {
--- a/crates/config/src/origin.rs
+++ b/crates/config/src/origin.rs
@@ -1,50 +1,50 @@
-//! Where a value came from: a layer, and in it a file and a key.
+//! The origin of a resolved value: its layer, and the file and key, or the environment variable, that set it.
 
 use crate::document::{Key, KeyPart, Source};
 use crate::report::SourceLocation;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The layers, from the one that counts least.
+/// The layers, from the lowest to the highest precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Layer {
     /// The program's own defaults.
     BuiltIn,
-    /// The fleet.
+    /// The fleet file.
     Fleet,
-    /// The application's tier, as the fleet's file has it.
+    /// The application's tier in the fleet file.
     Tier,
-    /// The application.
+    /// The application file.
     Application,
-    /// What one proxy reads, where nothing else is known.
+    /// A proxy file that is loaded without its fleet.
     Proxy,
-    /// A variable of the environment.
+    /// An environment variable.
     Environment,
 }
 
-/// Where a value came from.
+/// The origin of a value.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Origin {
     /// The program's own defaults.
     BuiltIn,
     /// A file.
     File {
-        /// The layer of the value.
+        /// The layer that set the value.
         layer: Layer,
-        /// The index of the file among those that were loaded.
+        /// The index of the file among the loaded sources.
         source: usize,
-        /// The key of the value in the file.
+        /// The key in the file.
         key: Key,
     },
-    /// A variable of the environment.
+    /// An environment variable.
     Variable(String),
 }
 
-/// Where the values of one proxy came from, by their keys in what it reads.
+/// The origins of one proxy's values, by their keys in the proxy file.
 pub type Origins = BTreeMap<Key, Origin>;
 
 impl Origin {
-    /// The layer of the value.
+    /// The layer that set the value.
     pub fn layer(&self) -> Layer {
         match self {
             Origin::BuiltIn => Layer::BuiltIn,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The index of the file that the value stands in; none if it stands in no file.
+    /// Returns the index of the file that set the value, or `None` if no file did.
     pub fn source(&self) -> Option<usize> {
         match self {
             Origin::File { source, .. } => Some(*source),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Where the value stands.
+    /// Returns the location of the value.
     pub fn location(&self, sources: &[Source]) -> SourceLocation {
         match self {
             Origin::File { source, key, .. } if *source < sources.len() => {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The same in short, for a comment: `fleet.toml:12 (tier)`.
+    /// Returns a short form for a comment, such as `fleet.toml:12 (tier)`.
     pub fn comment(&self, sources: &[Source]) -> String {
         match self {
             Origin::BuiltIn => "built in".to_owned(),
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -1,9 +1,10 @@
-//! In which order the applications of a fleet must take a change, so that no two that talk to each other, or share
-//! a machine, contradict each other on the way.
+//! Finds the order in which the applications of a fleet must be changed, so that at every step applications
+//! that call each other, or share a machine, have compatible configurations.
 //!
-//! Each pair that must agree says which of the two may go first. Weighed against trying orders: pairs are enough,
-//! since all that is checked between applications is between two, but for the budget of attempts, which is checked
-//! at each step of the order that was found. Pure; called by the command line.
+//! Each pair of applications yields a constraint on which of the two changes first. Pairs are sufficient, and
+//! trying whole orders is not needed, because every rule between applications concerns two of them. The
+//! attempt budget is the exception: it is checked after each step of the resulting order. No I/O; used by the
+//! command line.
 
 use crate::check::ROUNDING;
 use crate::check::pair::{Conflict, between, on_one_machine};
@@ -16,94 +17,97 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// An order of changes.
+/// A rollout order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Applications in the order in which they take the change, and why each is not earlier.
+    /// The applications in the order in which they change, with the reasons for their positions.
     pub steps: Vec<Step>,
 }
 
-/// One application takes the change.
+/// The change of one application.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Which.
+    /// The application's name.
     pub application: String,
-    /// What it comes after, and why.
+    /// The applications that must change before it, each with the reason.
     pub after: Vec<(String, String)>,
 }
 
-/// There is no order.
+/// The reason why no rollout order exists.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum NoPlan {
-    /// Two contradict each other whichever goes first.
+pub enum PlanError {
+    /// Two applications conflict whichever changes first.
     #[error(
-        "{first:?} and {second:?} contradict each other whichever goes first.\n    {first:?} first: {one}\n    {second:?} first: {other}\nChange both at once, or go over a step in between that agrees with either"
+        "{first:?} and {second:?} conflict whichever goes first.\n    {first:?} first: {conflict_if_first}\n    {second:?} first: {conflict_if_second}\nChange both at the same time, or roll out an intermediate configuration that is compatible with both"
     )]
-    Either {
-        /// One of the two.
+    PairConflict {
+        /// One application.
         first: String,
-        /// The other.
+        /// The other application.
         second: String,
-        /// What goes wrong if the first goes first.
-        one: String,
-        /// And if the other does.
-        other: String,
+        /// The conflict if `first` changes first.
+        conflict_if_first: String,
+        /// The conflict if `second` changes first.
+        conflict_if_second: String,
     },
-    /// Each waits for another.
-    #[error("each waits for another: {0}\nGo over a step in between, or change them at once")]
-    Circle(String),
-    /// More attempts on the way than the budget.
+    /// The constraints form a cycle.
     #[error(
-        "with {application:?} changed, one request of a client may come to {sum:.0} attempts at {at:?}; the budget is {most}"
+        "the order constraints form a cycle: {0}\nRoll out an intermediate configuration, or change these applications at the same time"
     )]
-    Budget {
-        /// Whose change it is.
+    Cycle(String),
+    /// A step exceeds the attempt budget.
+    #[error(
+        "after the change of {application:?}, one client request can cause up to {attempts:.0} attempts at {callee:?}; the budget is {budget}"
+    )]
+    BudgetExceeded {
+        /// The application that changes in this step.
         application: String,
-        /// Where.
-        at: String,
-        /// How many.
-        sum: f64,
+        /// The application that receives the attempts.
+        callee: String,
+        /// The number of attempts.
+        attempts: f64,
         /// The budget.
-        most: u32,
+        budget: u32,
     },
 }
 
-/// The budget of attempts that holds on the way.
+/// The attempt budget during a rollout.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// Most attempts for a request of a client.
+    /// The maximum number of attempts for one client request.
     pub attempts: u32,
-    /// Tries of a client.
+    /// The number of tries that a client makes of one request.
     pub client_tries: u32,
 }
 
 impl Budget {
-    /// The budget of a fleet that was loaded; none if there is no fleet.
+    /// Returns the budget of the loaded fleet, or `None` if no fleet is loaded.
     pub fn of(loaded: &Loaded) -> Option<Budget> {
         let (_, fleet) = loaded.fleet.as_ref()?;
         let attempts = fleet.budget.attempts.unwrap_or(crate::check::DEFAULT_ATTEMPT_BUDGET);
         Some(Budget { attempts, client_tries: fleet.budget.client_tries.unwrap_or(1) })
     }
 
-    /// What must hold on the way between two: the larger budget, with the fewer tries. Danger: a change that
-    /// lowers the budget begins above it, and no order could keep to it.
+    /// Returns the budget for a rollout from one fleet to another: the larger budget with the fewer client
+    /// tries. With the smaller budget, a change that lowers the budget would exceed it at the start, and no
+    /// order would be valid.
     pub fn either(self, other: Budget) -> Budget {
         let attempts = self.attempts.max(other.attempts);
         Budget { attempts, client_tries: self.client_tries.min(other.client_tries) }
     }
 }
 
-/// The order from one fleet to another, both without errors.
+/// Returns the rollout order from one fleet to another. Both must be free of errors.
 ///
 /// # Errors
-/// Why there is none.
-pub fn plan(old: &[Resolved], new: &[Resolved], budget: Budget) -> Result<Plan, NoPlan> {
+/// Returns the reason if no order exists.
+pub fn plan(old: &[Resolved], new: &[Resolved], budget: Budget) -> Result<Plan, PlanError> {
     let change = Change { old: by_name(old), new: by_name(new) };
     let changed = change.changed_names();
     let constraints = change.constraints(&changed)?;
-    let order = constraints.order(changed.len()).map_err(|circle| {
-        let names: Vec<String> = circle.iter().map(|index| changed[*index].clone()).collect();
-        NoPlan::Circle(names.join(", "))
+    let order = constraints.order(changed.len()).map_err(|cycle| {
+        let names: Vec<String> = cycle.iter().map(|index| changed[*index].clone()).collect();
+        PlanError::Cycle(names.join(", "))
     })?;
     change.check_budget(order.iter().map(|index| changed[*index]), budget)?;
     let step = |index: usize| Step {
@@ -117,15 +121,15 @@
     resolved.iter().map(|one| (one.proxy.name.clone(), one.clone())).collect()
 }
 
-/// Two states of a fleet, by the names of the applications.
+/// The old and the new state of a fleet, by application name.
 struct Change {
     old: BTreeMap<String, Resolved>,
     new: BTreeMap<String, Resolved>,
 }
 
 impl Change {
-    /// The applications that change, in the order of their names. One that is added or removed changes too: it is
-    /// there after its step, or until it.
+    /// Returns the applications that change, sorted by name. Added and removed applications are included:
+    /// they exist only after, or only until, their step.
     fn changed_names(&self) -> Vec<&String> {
         let names: BTreeSet<&String> = self.old.keys().chain(self.new.keys()).collect();
         names.into_iter().filter(|name| self.is_changed(name)).collect()
@@ -138,18 +142,23 @@
         }
     }
 
-    /// Which of any two must change first.
-    fn constraints(&self, changed: &[&String]) -> Result<Constraints, NoPlan> {
+    /// Returns the constraints of all pairs: which of the two must change first.
+    fn constraints(&self, changed: &[&String]) -> Result<Constraints, PlanError> {
         let mut constraints = Constraints::default();
         for (i, a) in changed.iter().enumerate() {
             for (j, b) in changed.iter().enumerate().skip(i + 1) {
                 let a_first = conflict(self.new.get(*a), self.old.get(*b));
                 let b_first = conflict(self.old.get(*a), self.new.get(*b));
                 match (a_first, b_first) {
-                    (Some(one), Some(other)) => {
+                    (Some(conflict_if_first), Some(conflict_if_second)) => {
                         let first = (*a).clone();
                         let second = (*b).clone();
-                        return Err(NoPlan::Either { first, second, one, other });
+                        return Err(PlanError::PairConflict {
+                            first,
+                            second,
+                            conflict_if_first,
+                            conflict_if_second,
+                        });
                     }
                     (Some(reason), None) => constraints.add(j, i, reason),
                     (None, Some(reason)) => constraints.add(i, j, reason),
@@ -160,12 +169,12 @@
         Ok(constraints)
     }
 
-    /// Applies the changes one after another and checks the budget of attempts after each.
+    /// Applies the changes in order and checks the attempt budget after each.
     fn check_budget<'a>(
         &self,
         order: impl Iterator<Item = &'a String>,
         budget: Budget,
-    ) -> Result<(), NoPlan> {
+    ) -> Result<(), PlanError> {
         let mut present = self.old.clone();
         for name in order {
             match self.new.get(name) {
@@ -173,20 +182,21 @@
                 None => present.remove(name),
             };
             let all: Vec<Resolved> = present.values().cloned().collect();
-            within_budget(&all, budget, name)?;
+            check_budget_of(&all, budget, name)?;
         }
         Ok(())
     }
 }
 
-/// Why two cannot be in force at once, if they cannot; one that is not there contradicts no other.
+/// Returns why two configurations cannot be active at the same time, if so. An absent application conflicts
+/// with none.
 fn conflict(a: Option<&Resolved>, b: Option<&Resolved>) -> Option<String> {
     let (a, b) = (a?, b?);
     let conflicts = call_conflicts(a, b).into_iter().chain(call_conflicts(b, a)).chain(on_one_machine(a, b));
     conflicts.map(|conflict| format!("{}: {}", conflict.code, conflict.message)).next()
 }
 
-/// The conflicts about all calls of one application to another.
+/// Returns the conflicts of all calls from one application to another.
 fn call_conflicts(caller: &Resolved, callee: &Resolved) -> Vec<Conflict> {
     let calls = caller.proxy.outbound.iter().enumerate();
     calls
@@ -195,7 +205,7 @@
         .collect()
 }
 
-/// Which change must come before which, by their indices, and why.
+/// The pairs (earlier, later) of changes by index, each with the reason.
 #[derive(Default)]
 struct Constraints(BTreeMap<(usize, usize), String>);
 
@@ -204,33 +214,35 @@
         self.0.insert((earlier, later), reason);
     }
 
-    /// What a change comes after, and why.
+    /// Returns the changes that must precede a change, each with the reason.
     fn reasons(&self, index: usize, names: &[&String]) -> Vec<(String, String)> {
         let earlier = self.0.iter().filter(|((_, later), _)| *later == index);
         earlier.map(|((earlier, _), reason)| (names[*earlier].clone(), reason.clone())).collect()
     }
 
-    /// An order that keeps to all constraints, by index where there are none; or a circle of changes that wait for
-    /// each other.
+    /// Returns an order that meets all constraints, with ties broken by index.
+    ///
+    /// # Errors
+    /// Returns the changes of a cycle if there is one.
     fn order(&self, count: usize) -> Result<Vec<usize>, Vec<usize>> {
-        if let Some(circle) = self.circle(count) {
-            return Err(circle);
+        if let Some(cycle) = self.cycle(count) {
+            return Err(cycle);
         }
         let mut remaining: BTreeSet<usize> = (0..count).collect();
         let mut order = Vec::new();
-        while let Some(next) = remaining.iter().copied().find(|index| !self.waits(*index, &remaining)) {
+        while let Some(next) = remaining.iter().copied().find(|index| !self.must_wait(*index, &remaining)) {
             remaining.remove(&next);
             order.push(next);
         }
         Ok(order)
     }
 
-    /// Whether a change must come after one of these.
-    fn waits(&self, index: usize, remaining: &BTreeSet<usize>) -> bool {
+    /// Returns whether a change must come after one of the remaining changes.
+    fn must_wait(&self, index: usize, remaining: &BTreeSet<usize>) -> bool {
         self.0.keys().any(|(earlier, later)| *later == index && remaining.contains(earlier))
     }
 
-    fn circle(&self, count: usize) -> Option<Vec<usize>> {
+    fn cycle(&self, count: usize) -> Option<Vec<usize>> {
         let mut graph: DiGraphMap<usize, ()> = DiGraphMap::new();
         (0..count).for_each(|index| _ = graph.add_node(index));
         self.0.keys().for_each(|(earlier, later)| _ = graph.add_edge(*earlier, *later, ()));
@@ -239,27 +251,27 @@
     }
 }
 
-fn within_budget(all: &[Resolved], budget: Budget, application: &str) -> Result<(), NoPlan> {
+fn check_budget_of(all: &[Resolved], budget: Budget, application: &str) -> Result<(), PlanError> {
     let arrivals = Calls::of(all).arrivals(f64::from(budget.client_tries));
     let limit = f64::from(budget.attempts) + ROUNDING;
     let Some(index) = arrivals.iter().position(|arrivals| arrivals.sum > limit) else { return Ok(()) };
-    Err(NoPlan::Budget {
+    Err(PlanError::BudgetExceeded {
         application: application.to_owned(),
-        at: all[index].proxy.name.clone(),
-        sum: arrivals[index].sum,
-        most: budget.attempts,
+        callee: all[index].proxy.name.clone(),
+        attempts: arrivals[index].sum,
+        budget: budget.attempts,
     })
 }
 
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         if self.steps.is_empty() {
-            return writeln!(f, "nothing changes");
+            return writeln!(f, "no application changes");
         }
         for (number, Step { application, after }) in self.steps.iter().enumerate() {
             writeln!(f, "{}. {application}", number + 1)?;
             for (earlier, why) in after {
-                writeln!(f, "       after {earlier}, since otherwise {why}")?;
+                writeln!(f, "       after {earlier}, because otherwise {why}")?;
             }
         }
         Ok(())
--- a/crates/config/src/resolve/application.rs
+++ b/crates/config/src/resolve/application.rs
@@ -8,7 +8,8 @@
 use crate::origin::{Layer, Origins};
 use crate::types::{Admin, Call, Fleet, Outbound, Overrides, Proxy, Source, VERSION};
 
-/// Resolves what the proxy of an application reads; `index` is the application's among those that were loaded.
+/// Resolves what the proxy of an application reads; `index` is the application's among those that were
+/// loaded.
 pub(super) fn resolve_application(layers: &Layers, index: usize, environment: &Environment) -> Resolved {
     let Layers { fleet, application, .. } = layers;
     let mut origins = Origins::new();
--- a/crates/config/src/resolve/classes.rs
+++ b/crates/config/src/resolve/classes.rs
@@ -84,7 +84,7 @@
         scope: class.scope.or(is_keyed.then_some(DeduplicationScope::All)),
         window: class.window,
         attempt: class.attempt.unwrap_or(class.latency_objective),
-        retry_rule: class.idempotency.freest_retry_rule(),
+        retry_rule: class.idempotency.most_permissive_retry_rule(),
         priority_weight: class.priority_weight.unwrap_or(1.0),
         late_weight_ratio: class.late_weight_ratio.unwrap_or(0.0),
         stream: class.stream.unwrap_or(false),
@@ -122,7 +122,7 @@
         class.idempotency = idempotency;
         origins.set("effect", origin("effect"));
         if change.retry_rule.is_none() {
-            class.retry_rule = class.retry_rule.min(idempotency.freest_retry_rule());
+            class.retry_rule = class.retry_rule.min(idempotency.most_permissive_retry_rule());
         }
     }
 }
--- a/crates/config/src/resolve/overrides.rs
+++ b/crates/config/src/resolve/overrides.rs
@@ -1,4 +1,5 @@
-//! The settings of one process, from what each layer overrides: the built-in layer below, the environment above.
+//! The settings of one process, from what each layer overrides: the built-in layer below, the environment
+//! above.
 
 use crate::document::{Key, Size, Span, top};
 use crate::origin::{Layer, Origin, Origins};
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,4 +1,4 @@
-//! JSON Schemas of the three kinds of files, generated from the types.
+//! JSON Schemas of the three kinds of configuration files, generated from the types.
 
 use crate::types::{Application, Fleet, Kind, Proxy};
 use schemars::schema_for;
@@ -9,7 +9,7 @@
 static APPLICATION: LazyLock<Value> = LazyLock::new(|| schema_for!(Application).to_value());
 static PROXY: LazyLock<Value> = LazyLock::new(|| schema_for!(Proxy).to_value());
 
-/// The schema of a kind of files.
+/// Returns the schema of a kind of file.
 pub fn tree(kind: Kind) -> &'static Value {
     match kind {
         Kind::Fleet => &FLEET,
@@ -18,7 +18,7 @@
     }
 }
 
-/// The same as text.
+/// Returns the schema of a kind of file as indented JSON.
 pub fn text(kind: Kind) -> String {
     format!("{:#}\n", tree(kind))
 }
--- a/crates/config/src/types/application.rs
+++ b/crates/config/src/types/application.rs
@@ -1,4 +1,4 @@
-//! An application: what is its own.
+//! The types of application files.
 
 use super::{Overrides, RetryRule};
 use crate::document::Span;
@@ -7,116 +7,120 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// An application and its sidecar: what is its own, and what differs from the fleet and its tier.
+/// An application and its sidecar: its own values, and overrides of its fleet and its tier.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Application {
-    /// Version of the format: 1
+    /// Version of the file format: 1
     pub version: u32,
-    /// What the file describes: application
+    /// Kind of the file: application
     pub kind: String,
-    /// Its name: the service that others call
+    /// Name of the application, by which others call it
     pub name: String,
-    /// The tier that it belongs to
+    /// Name of the tier that the application belongs to
     pub tier: String,
-    /// The machine that it runs on: ports of one machine must not overlap; one of its own by default
+    /// Machine that the application runs on; applications on one machine need different ports. By default
+    /// each application has its own machine
     pub machine: Option<String>,
-    /// The zone that it runs in; needed where the fleet has zones
+    /// Zone that the application runs in; required if the fleet has several zones
     pub zone: Option<String>,
-    /// The listener before the application
+    /// Listener that receives the requests to the application
     pub inbound: Option<Inbound>,
-    /// The listener for operators
+    /// Listener of the admin server
     pub admin: Option<Admin>,
-    /// What it calls
+    /// Applications that this application calls
     #[serde(default)]
     pub calls: Vec<Call>,
-    /// What differs here of classes, by their names
+    /// Overrides of request classes, by class name
     #[serde(default)]
     pub classes: BTreeMap<String, ClassChange>,
-    /// What differs here of settings
+    /// Overrides of settings
     #[serde(default)]
     pub settings: Overrides,
 }
 
-/// The listener before the application.
+/// The listener that receives the requests to the application.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Inbound {
-    /// Where others reach it: address:port
+    /// Address at which callers reach the application: address:port
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Where the application itself listens: address:port
+    /// Address at which the application itself listens: address:port
     #[schemars(with = "String")]
     pub application: SocketAddr,
-    /// Requests that may be open at the application; 100 by default
+    /// Maximum number of concurrent requests to the application; 100 by default
     #[schemars(range(min = 1, max = 1_000_000))]
     pub max_requests: Option<u32>,
 }
 
-/// The listener for operators.
+/// The listener of the admin server.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Admin {
-    /// Where it listens: a loopback address and port
+    /// Address of the admin server: a loopback address and port
     #[schemars(with = "String")]
     pub listen: SocketAddr,
 }
 
-/// An application that this one calls.
+/// A call to another application.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// Its name
+    /// Name of the called application
     pub application: String,
-    /// Where this application reaches it through its sidecar: a loopback address and port
+    /// Address at which the sidecar accepts requests for the called application: a loopback address and port
     #[schemars(with = "String")]
     pub listen: SocketAddr,
-    /// Calls for each request that this application serves, on average; above 0, 1 by default
+    /// Average number of calls for each request that this application serves; above 0, 1 by default
     #[schemars(extend("exclusiveMinimum" = 0.0))]
     pub times: Option<f64>,
-    /// Clusters that sources bring for it; its name by default. The first takes what no route fits
+    /// Clusters of the called application, as named by the sources; by default one with the application's
+    /// name. Requests that match no route go to the first cluster
     pub clusters: Option<Vec<String>>,
-    /// Which requests go to which of the clusters
+    /// Routes from requests to clusters
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// Most attempts of a request to it; what the settings say by default
+    /// Maximum number of attempts for one request; the value of the settings by default
     #[schemars(range(min = 1, max = 10))]
     pub attempts: Option<u32>,
 }
 
-/// Which requests go to a cluster: all that is given must fit, and the most specific route counts.
+/// A route to a cluster: a request must match all given criteria, and the most specific matching route is
+/// used.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The cluster
+    /// Cluster that receives the matching requests
     pub cluster: String,
-    /// A path and all below it, by whole segments
+    /// Path prefix; matches whole path segments
     pub path: Option<String>,
-    /// A method, in capital letters
+    /// HTTP method, in upper case
     pub method: Option<String>,
-    /// A class
+    /// Name of a request class
     pub class: Option<String>,
 }
 
-/// What differs of a class in a tier or an application.
+/// Overrides of a request class in a tier or an application.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ClassChange {
-    /// An answer within this time is worth all
+    /// Latency objective: a response within this time has the full weight
     #[serde(rename = "aim")]
     pub latency_objective: Option<Span>,
-    /// Callers give up after this
+    /// Time after which callers give up
     pub deadline: Option<Span>,
-    /// What one attempt takes at the longest
+    /// Longest duration of one attempt
     pub attempt: Option<Span>,
-    /// Worth of an answer; 0 or above
+    /// Priority weight of a response; 0 or above
     #[schemars(range(min = 0.0))]
     #[serde(rename = "worth")]
     pub priority_weight: Option<f64>,
-    /// When a request is sent again: unsent, window, anywhere; by default the freest that its effect allows
+    /// When a request may be retried: unsent, window or anywhere; by default the most permissive rule that
+    /// the class's effect allows
     #[serde(rename = "repeat")]
     pub retry_rule: Option<RetryRule>,
-    /// What happens here if a request runs twice; must be what the fleet says
+    /// Effect of a request that runs twice; must be the same as in the fleet
     #[serde(rename = "effect")]
     pub idempotency: Option<super::Idempotency>,
 }
--- a/crates/config/src/types/fleet.rs
+++ b/crates/config/src/types/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet: what its applications have in common.
+//! The types of fleet files.
 
 use super::{Admin, ClassChange, Overrides};
 use crate::document::Span;
@@ -6,40 +6,41 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A fleet: what its applications have in common.
+/// A fleet: values shared by its applications.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Version of the format: 1
+    /// Version of the file format: 1
     pub version: u32,
-    /// What the file describes: fleet
+    /// Kind of the file: fleet
     pub kind: String,
     /// Name of the fleet
     pub name: String,
-    /// Zones that applications run in; may be left out where there is but one
+    /// Zones that applications run in; optional if there is only one
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Directory with a file for each application, beside this file; "apps" by default
+    /// Directory of the application files, relative to this file; "apps" by default
     #[serde(default = "apps")]
     pub applications: String,
-    /// What a request of a client may cost over all tiers
+    /// Limits on the attempts that one client request may cause over all tiers
     #[serde(default)]
     pub budget: Budget,
-    /// Classes of requests
+    /// Request classes
     #[schemars(length(min = 1))]
     pub classes: Vec<Class>,
-    /// Tenants and what they are owed
+    /// Tenants and their quotas
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// Tiers, the one that clients call first; an application calls only into tiers after its own
+    /// Tiers, beginning with the one that clients call; an application may only call applications of later
+    /// tiers
     #[schemars(length(min = 1))]
     pub tiers: Vec<Tier>,
-    /// Where endpoints come from, for all applications; an earlier source takes precedence
+    /// Sources of endpoints for all applications; earlier sources take precedence
     #[serde(default)]
     pub sources: Vec<Source>,
-    /// The listener for operators, where neither tier nor application has another
+    /// Listener of the admin server, unless the tier or the application sets another one
     pub admin: Option<Admin>,
-    /// What the fleet sets for all
+    /// Settings of all applications
     #[serde(default)]
     pub settings: Overrides,
 }
@@ -48,96 +49,98 @@
     "apps".to_owned()
 }
 
-/// What a request of a client may cost over all tiers.
+/// Limits on the attempts that one client request may cause over all tiers.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Most attempts that one request of a client may come to at any application; 64 by default
+    /// Maximum number of attempts that one client request may cause at any application; 64 by default
     #[schemars(range(min = 1, max = 1_000_000))]
     pub attempts: Option<u32>,
-    /// Tries that a client makes of one request; 1 by default. They multiply with the attempts of all tiers
+    /// Number of times that a client sends one request; 1 by default. Multiplies with the attempts of all
+    /// tiers
     #[schemars(range(min = 1, max = 100))]
     pub client_tries: Option<u32>,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name, as requests give it
+    /// Name, as given in requests
     pub name: String,
-    /// An answer within this time is worth all
+    /// Latency objective: a response within this time has the full weight
     #[serde(rename = "aim")]
     pub latency_objective: Span,
-    /// The client gives up after this
+    /// Time after which the client gives up
     pub deadline: Span,
-    /// What happens if a request runs twice: repeatable (nothing), by-key (its key keeps it from it), once (harm)
+    /// Effect of a request that runs twice: repeatable (harmless), by-key (endpoints drop the duplicate by its key)
+    /// or once (harmful)
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// For by-key: which endpoints drop a repeat (all, zone, cell)
+    /// For by-key: the endpoints among which a duplicate is dropped (all, zone or cell)
     #[serde(rename = "group")]
     pub scope: Option<DeduplicationScope>,
-    /// For by-key: for how long they do, from the first attempt on
+    /// For by-key: how long duplicates are dropped, from the first attempt on
     pub window: Option<Span>,
-    /// What one attempt takes at the longest; the aim by default
+    /// Longest duration of one attempt; the aim by default
     pub attempt: Option<Span>,
-    /// Worth of an answer; 0 or above, 1 by default
+    /// Priority weight of a response; 0 or above, 1 by default
     #[schemars(range(min = 0.0))]
     #[serde(rename = "worth")]
     pub priority_weight: Option<f64>,
-    /// Share of the worth that an answer after the aim keeps; 0 to 1, 0 by default
+    /// Share of the worth that a response after the aim keeps; 0 to 1, 0 by default
     #[schemars(range(min = 0.0, max = 1.0))]
     #[serde(rename = "late_worth")]
     pub late_weight_ratio: Option<f64>,
-    /// The answer comes as a stream; false by default
+    /// Whether the response is streamed; false by default
     pub stream: Option<bool>,
 }
 
-/// What happens if a request runs twice.
+/// Effect of a request that runs twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Effect")]
 pub enum Idempotency {
-    /// Nothing.
+    /// Harmless.
     #[serde(rename = "repeatable")]
     Idempotent,
-    /// Its key keeps it from taking effect twice, within a group and a window.
+    /// Harmless within a group and a window, in which endpoints drop the duplicate by its key.
     #[serde(rename = "by-key")]
     Keyed,
-    /// Harm.
+    /// Harmful.
     #[serde(rename = "once")]
     NonIdempotent,
 }
 
-/// Endpoints that drop repeats of a key.
+/// Endpoints among which duplicates of a key are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Group")]
 pub enum DeduplicationScope {
-    /// Those of one cell.
+    /// The endpoints of one cell.
     Cell,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// All.
+    /// All endpoints.
     All,
 }
 
-/// When a request may be sent again.
+/// When a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 #[schemars(rename = "Repeat")]
 pub enum RetryRule {
     /// Only if no earlier attempt can have run.
     Unsent,
-    /// Also if one may have run, within its group and window.
+    /// Also if an earlier attempt may have run, within the group and the window.
     Window,
-    /// Whenever there is time.
+    /// On any endpoint until the deadline.
     Anywhere,
 }
 
 impl Idempotency {
-    /// The freest rule that does no harm.
-    pub fn freest_retry_rule(self) -> RetryRule {
+    /// Returns the most permissive retry rule that is harmless.
+    pub fn most_permissive_retry_rule(self) -> RetryRule {
         match self {
             Idempotency::Idempotent => RetryRule::Anywhere,
             Idempotency::Keyed => RetryRule::Window,
@@ -145,7 +148,7 @@
         }
     }
 
-    /// As files write it.
+    /// Returns the name in configuration files.
     pub fn name(self) -> &'static str {
         match self {
             Idempotency::Idempotent => "repeatable",
@@ -156,7 +159,7 @@
 }
 
 impl RetryRule {
-    /// As files write it.
+    /// Returns the name in configuration files.
     pub fn name(self) -> &'static str {
         match self {
             RetryRule::Unsent => "unsent",
@@ -166,16 +169,16 @@
     }
 }
 
-/// A tenant and what it is owed.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as requests give it
+    /// Name, as given in requests
     pub name: String,
-    /// Its part of the service; above 0, at most 1
+    /// Share of the capacity; above 0, at most 1
     #[schemars(range(max = 1.0), extend("exclusiveMinimum" = 0.0))]
     pub share: f64,
-    /// Requests a second within its share, over all proxies
+    /// Requests per second within the share, over all proxies
     #[schemars(extend("exclusiveMinimum" = 0.0))]
     pub rate: f64,
 }
@@ -184,53 +187,53 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Its name
+    /// Name
     pub name: String,
-    /// Classes that its applications know; all by default
+    /// Request classes that the tier's applications serve; all by default
     pub serves: Option<Vec<String>>,
-    /// What differs in it of classes, by their names
+    /// Overrides of request classes, by class name
     #[serde(default)]
     pub classes: BTreeMap<String, ClassChange>,
-    /// The listener for operators, where the application has no other
+    /// Listener of the admin server, unless the application sets another one
     pub admin: Option<Admin>,
-    /// What the tier sets for its applications
+    /// Settings of the tier's applications
     #[serde(default)]
     pub settings: Overrides,
 }
 
-/// A source of endpoints: a file, a directory, a file of Envoy's resources, or a control plane over xDS.
+/// A source of endpoints: a file, a directory, a file of Envoy resources, or an xDS control plane.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Source {
-    /// Its name
+    /// Name
     pub name: String,
-    /// A file in the documented form
+    /// Path of an endpoint file
     pub file: Option<String>,
-    /// A directory of such files
+    /// Path of a directory of endpoint files
     pub directory: Option<String>,
-    /// A file of Envoy's resources
+    /// Path of a file of Envoy resources
     pub envoy: Option<String>,
-    /// A control plane that speaks xDS: host:port
+    /// Address of an xDS control plane: host:port
     pub xds: Option<String>,
-    /// Files: how often to look where the file system tells nothing; 2s by default
+    /// For files: polling interval where the file system does not report changes; 2s by default
     pub poll: Option<Span>,
-    /// xDS: the fleet that the control plane knows this node by; the fleet's name by default
+    /// For xDS: node cluster sent to the control plane; the fleet's name by default
     pub node_cluster: Option<String>,
-    /// xDS: incremental, by default, or state-of-the-world
+    /// For xDS: protocol variant, incremental or state-of-the-world; incremental by default
     pub variant: Option<Variant>,
-    /// xDS: without an answer for so long the source counts as silent; 15s by default
+    /// For xDS: time without a response after which the source is considered silent; 15s by default
     pub first_fetch: Option<Span>,
-    /// xDS: longest wait before another connection; 30s by default
+    /// For xDS: maximum delay between connection attempts; 30s by default
     pub backoff: Option<Span>,
 }
 
-/// The variants of xDS.
+/// The variants of the xDS protocol.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum Variant {
-    /// What has changed.
+    /// Each message has only the changed resources.
     #[default]
     Incremental,
-    /// All there is.
+    /// Each message has all resources.
     StateOfTheWorld,
 }
--- a/crates/config/src/types/mod.rs
+++ b/crates/config/src/types/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' format: what files say, before layers are put together. The JSON Schema and the reference are
-//! generated from these types, and their comments are what both say.
+//! The types of configuration files, before layers are merged. The JSON Schemas and the reference are generated
+//! from these types; their doc comments become the descriptions in both.
 
 mod application;
 mod fleet;
@@ -16,22 +16,22 @@
 /// The version of the format.
 pub const VERSION: u32 = 1;
 
-/// The kinds of files, as their `kind` says.
+/// The kinds of configuration files, as given by the key `kind`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A fleet: what its applications have in common.
+    /// A fleet: values shared by its applications.
     Fleet,
-    /// An application: what is its own.
+    /// An application: its own values.
     Application,
-    /// What one proxy reads: written, not edited.
+    /// The generated configuration of one proxy.
     Proxy,
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Kind; 3] = [Kind::Fleet, Kind::Application, Kind::Proxy];
 
-    /// As files write it.
+    /// Returns the value of the key `kind`.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Fleet => "fleet",
--- a/crates/config/src/types/overrides.rs
+++ b/crates/config/src/types/overrides.rs
@@ -4,53 +4,54 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What the built-in layer, a fleet, a tier, an application and the environment can set; a later one counts.
+/// Settings of the built-in layer, a fleet, a tier, an application or the environment; a later layer takes
+/// precedence.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Knobs")]
 pub struct Overrides {
-    /// Most attempts of a request at one proxy; 1 to 10, 3 by default
+    /// Maximum number of attempts for one request at one proxy; 1 to 10, 3 by default
     #[schemars(range(min = 1, max = 10))]
     pub attempts: Option<u32>,
-    /// A connection that is not established in this time has failed; 250ms by default
+    /// Timeout for establishing a connection to an endpoint; 250ms by default
     pub connect_timeout: Option<Span>,
-    /// Idle connections to endpoints are closed after this; 30s by default
+    /// Time after which idle connections to endpoints are closed; 30s by default
     pub idle_close: Option<Span>,
-    /// Endpoints are probed; true by default
+    /// Whether endpoints are probed by health checks; true by default
     pub probes: Option<bool>,
-    /// Longest time to stay away that clients are told and honour; 2s by default, 0ms tells none
+    /// Longest Retry-After that clients are sent and honour; 2s by default, 0ms sends none
     pub retry_after: Option<Span>,
-    /// Nothing new goes to an endpoint this long after it was said to drain; at most 500ms, the default
+    /// Time after which a draining endpoint receives no new requests; at most 500ms, the default
     pub drain_grace: Option<Span>,
-    /// An endpoint that has started is warm after this; 30s by default
+    /// Slow-start duration of an endpoint that has just started; 30s by default
     pub cold: Option<Span>,
-    /// Share of its capacity that a cold endpoint begins with; above 0, at most 1, 0.1 by default
+    /// Share of its capacity that an endpoint begins slow start with; above 0, at most 1, 0.1 by default
     #[schemars(range(max = 1.0), extend("exclusiveMinimum" = 0.0))]
     pub cold_share: Option<f64>,
-    /// Requests that may be open at a time; 1 to 1000000, 2000 by default
+    /// Maximum number of concurrent requests; 1 to 1000000, 2000 by default
     #[schemars(range(min = 1, max = 1_000_000))]
     pub open_requests: Option<u32>,
-    /// Connections that clients may hold at a time; 1 to 1000000, half of the descriptors by default
+    /// Maximum number of client connections; 1 to 1000000, half of the descriptors by default
     #[schemars(range(min = 1, max = 1_000_000))]
     pub client_connections: Option<u32>,
-    /// Descriptors that the process may open; 80 to 1000000, 1024 by default
+    /// Maximum number of file descriptors of the process; 80 to 1000000, 1024 by default
     #[schemars(range(min = 1, max = 1_000_000))]
     pub descriptors: Option<u32>,
-    /// Memory that the process may take; 32MiB at least, 192MiB by default
+    /// Memory limit of the process; at least 32MiB, 192MiB by default
     pub memory: Option<Size>,
-    /// Largest body of a request; 64KiB by default
+    /// Maximum size of a request body; 64KiB by default
     pub largest_body: Option<Size>,
-    /// Form of the log: text, by default, or json
+    /// Log format: text or json; text by default
     pub log: Option<LogForm>,
 }
 
-/// Form of the log.
+/// Log format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogForm {
-    /// Lines for people.
+    /// Human-readable lines.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
--- a/crates/config/src/write/mod.rs
+++ b/crates/config/src/write/mod.rs
@@ -16,8 +16,8 @@
     pub contents: String,
 }
 
-/// Writes files into a folder, which is created if need be. Each file is replaced as a whole, and one that has the
-/// same contents already is left alone. Returns the paths that were written.
+/// Writes files into a folder, which is created if need be. Each file is replaced as a whole, and one that
+/// has the same contents already is left alone. Returns the paths that were written.
 ///
 /// # Errors
 /// The first file that cannot be written, which is as it was before; those before it are in place.
--- a/crates/config/src/write/text.rs
+++ b/crates/config/src/write/text.rs
@@ -1,5 +1,5 @@
-//! What one proxy reads as text: everything it has to know, with where each value came from. The same bytes for the
-//! same files.
+//! What one proxy reads as text: everything it has to know, with where each value came from. The same bytes
+//! for the same files.
 
 use crate::document::{Key, Source, top};
 use crate::origin::Origin;
--- a/crates/config/tests/atomic_file.rs
+++ b/crates/config/tests/atomic_file.rs
@@ -24,7 +24,8 @@
     SyncFolder,
 }
 
-/// A disk on which one call fails, which writes a few bytes at a time and which notes the calls in their order.
+/// A disk on which one call fails, which writes a few bytes at a time and which notes the calls in their
+/// order.
 struct FailingDisk {
     fails: Call,
     error: i32,
--- a/crates/config/tests/bad.rs
+++ b/crates/config/tests/bad.rs
@@ -1,5 +1,5 @@
-//! Deliberately bad configurations, one file each under `bad/`: each is rejected with exactly the code and place that
-//! the file says. A file says how it differs from the good example.
+//! Deliberately bad configurations, one file each under `bad/`: each is rejected with exactly the code and
+//! place that the file says. A file says how it differs from the good example.
 
 use olivecart_config::check::check;
 use olivecart_config::load::Loaded;
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Layers, the writer, differences, orders of change, the graph: on the good example, and on generated fleets.
+//! Layers, the writer, differences, orders of change, the graph: on the good example, and on generated
+//! fleets.
 
 use olivecart_config::check::check;
 use olivecart_config::diff::{Difference, TakesEffect, diff};
@@ -6,7 +7,7 @@
 use olivecart_config::explain::{explain, keys};
 use olivecart_config::load::Loaded;
 use olivecart_config::origin::Layer;
-use olivecart_config::plan::{Budget, NoPlan, plan};
+use olivecart_config::plan::{Budget, PlanError, plan};
 use olivecart_config::report::{CODES, Severity, text};
 use olivecart_config::resolve::Resolved;
 use olivecart_config::write::ProxyFile;
@@ -144,8 +145,10 @@
     ]));
     let all = diff(&old, &new);
     let Difference::Changed(name, edits) = &all[0] else { panic!("{all:?}") };
-    let said: Vec<(&str, TakesEffect, bool)> =
-        edits.iter().map(|edit| (edit.key.as_str(), edit.takes_effect, edit.danger.is_empty())).collect();
+    let said: Vec<(&str, TakesEffect, bool)> = edits
+        .iter()
+        .map(|edit| (edit.key.as_str(), edit.takes_effect, edit.rollout_risk.is_empty()))
+        .collect();
     assert_eq!(name, "booking");
     assert_eq!(
         said,
@@ -162,7 +165,7 @@
     assert_eq!(diff(&old, &old), []);
 }
 
-fn names(files: &Files, other: &Files) -> Result<Vec<String>, NoPlan> {
+fn names(files: &Files, other: &Files) -> Result<Vec<String>, PlanError> {
     let ((old, before), (_, after)) = (good(files), good(other));
     let plan = plan(&before, &after, Budget::of(&old).expect("a fleet"))?;
     Ok(plan.steps.into_iter().map(|step| step.application).collect())
@@ -183,8 +186,17 @@
         ("fleet.toml", "deadline = \"5s\"", "deadline = \"4s\""),
         ("fleet.toml", "deadline = \"6s\"", "deadline = \"7s\""),
     ];
-    let Err(NoPlan::Either { one, other, .. }) = names(&example(), &with(&edits)) else { panic!("an order") };
-    assert!(one.contains("OC0202") && other.contains("OC0202") && one != other, "{one} {other}");
+    let Err(PlanError::PairConflict { conflict_if_first, conflict_if_second, .. }) =
+        names(&example(), &with(&edits))
+    else {
+        panic!("an order")
+    };
+    assert!(
+        conflict_if_first.contains("OC0202")
+            && conflict_if_second.contains("OC0202")
+            && conflict_if_first != conflict_if_second,
+        "{conflict_if_first} {conflict_if_second}"
+    );
     // Two that swap ports on one machine: at any time one of the two ports would be both's.
     let machine = |a: &str, b: &str| {
         let web = format!(
@@ -201,10 +213,12 @@
             ("apps/booking.toml", "zone = \"south\"\n", &booking),
         ])
     };
-    let Err(NoPlan::Either { one, .. }) = names(&machine("9911", "9912"), &machine("9912", "9911")) else {
+    let Err(PlanError::PairConflict { conflict_if_first, .. }) =
+        names(&machine("9911", "9912"), &machine("9912", "9911"))
+    else {
         panic!("an order")
     };
-    assert!(one.contains("OC0302"), "{one}");
+    assert!(conflict_if_first.contains("OC0302"), "{conflict_if_first}");
 }
 
 #[test]
