--- a/crates/config/src/document/shape.rs
+++ b/crates/config/src/document/shape.rs
@@ -105,12 +105,12 @@
     fn check_array(&mut self, node: Node<'a, '_>, items: &mut [Value]) {
         let schema = node.schema;
         let limit = |name: &str| schema[name].as_u64().and_then(|n| usize::try_from(n).ok());
-        let least = limit("minItems").unwrap_or(0);
-        let most = limit("maxItems").unwrap_or(usize::MAX);
-        if items.is_empty() && least > 0 {
+        let min_items = limit("minItems").unwrap_or(0);
+        let max_items = limit("maxItems").unwrap_or(usize::MAX);
+        if items.is_empty() && min_items > 0 {
             self.add(node, DiagnosticKind::OutOfRange, "the list is empty".to_owned());
-        } else if !(least..=most).contains(&items.len()) {
-            let message = format!("expected {least} values, found {}", items.len());
+        } else if !(min_items..=max_items).contains(&items.len()) {
+            let message = format!("expected {min_items} values, found {}", items.len());
             self.add(node, DiagnosticKind::OutOfRange, message);
         }
         for (i, item) in items.iter_mut().enumerate() {
--- a/crates/config/src/explain/keys.rs
+++ b/crates/config/src/explain/keys.rs
@@ -135,11 +135,11 @@
 fn range(schema: &Value) -> String {
     let limit = |name: &str| schema[name].as_f64();
     match (limit("exclusiveMinimum"), limit("minimum"), limit("maximum")) {
-        (Some(above), _, Some(most)) => format!(" above {above}, at most {most}"),
+        (Some(above), _, Some(maximum)) => format!(" above {above}, at most {maximum}"),
         (Some(above), ..) => format!(" above {above}"),
-        (_, Some(least), Some(most)) => format!(" from {least} to {most}"),
-        (_, Some(least), _) => format!(" from {least}"),
-        (_, _, Some(most)) => format!(" up to {most}"),
+        (_, Some(minimum), Some(maximum)) => format!(" from {minimum} to {maximum}"),
+        (_, Some(minimum), _) => format!(" from {minimum}"),
+        (_, _, Some(maximum)) => format!(" up to {maximum}"),
         _ => String::new(),
     }
 }
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -38,7 +38,9 @@
 pub enum PlanError {
     /// Two applications conflict whichever changes first.
     #[error(
-        "{first:?} and {second:?} conflict whichever goes first.\n    {first:?} first: {conflict_if_first}\n    {second:?} first: {conflict_if_second}\nChange both at the same time, or roll out an intermediate configuration that is compatible with both"
+        "{first:?} and {second:?} conflict whichever goes first.\n    {first:?} first: {conflict_if_first}\n    \
+        {second:?} first: {conflict_if_second}\nChange both at the same time, or roll out an intermediate \
+        configuration that is compatible with both"
     )]
     PairConflict {
         /// One application.
@@ -52,12 +54,14 @@
     },
     /// The constraints form a cycle.
     #[error(
-        "the order constraints form a cycle: {0}\nRoll out an intermediate configuration, or change these applications at the same time"
+        "the order constraints form a cycle: {0}\nRoll out an intermediate configuration, or change these \
+        applications at the same time"
     )]
     Cycle(String),
     /// A step exceeds the attempt budget.
     #[error(
-        "after the change of {application:?}, one client request can cause up to {attempts:.0} attempts at {callee:?}; the budget is {budget}"
+        "after the change of {application:?}, one client request can cause up to {attempts:.0} attempts at \
+        {callee:?}; the budget is {budget}"
     )]
     BudgetExceeded {
         /// The application that changes in this step.
--- a/crates/config/tests/atomic_file.rs
+++ b/crates/config/tests/atomic_file.rs
@@ -151,7 +151,7 @@
 fn write_of_zero_bytes_is_an_error() {
     let (folder, path) = folder_with_old_file();
     let disk = FailingDisk { max_write_length: 0, ..FailingDisk::new(Call::Rename, EIO, 0) };
-    let failed = replace_on(&disk, &path, b"new contents").expect_err("an injected failure");
+    let failed = replace_on(&disk, &path, b"new contents").expect_err("a write of zero bytes");
     assert_eq!(failed.error.kind(), io::ErrorKind::WriteZero);
     assert_eq!(std::fs::read_to_string(&path).expect("there"), "old contents");
     assert_eq!(names_in(folder.path()), ["web.toml"]);
