--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -19,13 +19,13 @@
     UnknownClass(String),
     #[error("unknown result {0:?}")]
     UnknownOutcome(String),
-    #[error("peer message is not valid Base64: {0}")]
+    #[error("peer bytes: {0}")]
     PeerBytes(#[from] DecodeError),
     #[error("the decision module panicked: {0}")]
     Panicked(String),
-    #[error("the decision module returned an action for a request that is not open")]
+    #[error("an action for a request that is gone")]
     UnknownRequest,
-    #[error("the decision module returned an action for an unknown endpoint")]
+    #[error("an action for an unknown endpoint")]
     UnknownEndpoint,
 }
 
--- a/crates/proxy/src/console/request.rs
+++ b/crates/proxy/src/console/request.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminError {
     /// The head or the Content-Length cannot be parsed.
-    #[error("not a valid HTTP/1.1 request: {0}")]
+    #[error("not a request of HTTP/1.1: {0}")]
     Malformed(String),
     /// The head is too large.
     #[error("the head is larger than {MAX_HEAD_BYTES} bytes")]
@@ -36,13 +36,13 @@
     #[error("the body is larger than {MAX_BODY_BYTES} bytes")]
     BodyTooLarge,
     /// The request has no Content-Length.
-    #[error("a Content-Length is required")]
+    #[error("a body needs a Content-Length")]
     LengthRequired,
     /// The path is unknown.
-    #[error("{0}: unknown path; the paths are /_ready, /_vars, /_backends/detach and /_backends/attach")]
+    #[error("{0}: no such call; there are /_ready, /_vars, /_backends/detach and /_backends/attach")]
     UnknownPath(String),
     /// The path requires another method.
-    #[error("{0}: the method must be {1}")]
+    #[error("{0}: the method is {1}")]
     MethodNotAllowed(String, &'static str),
     /// The body is invalid.
     #[error("the body is not of the form {{\"target\":\"ID\"}}: {0}")]
@@ -54,7 +54,7 @@
     #[error("not ready")]
     NotReady,
     /// The event loop did not apply the change in time.
-    #[error("busy: the result of the change is not known; repeat the request, which is safe")]
+    #[error("busy: it is not known whether this was done; call again, which is harmless")]
     Busy,
 }
 
@@ -120,7 +120,7 @@
     let Some(length) = lengths.next() else { return Ok(None) };
     // With two different lengths, an intermediary may have used the other one (request smuggling).
     if lengths.any(|other| other != length) || !length.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(AdminError::Malformed("Content-Length is not a single number".into()));
+        return Err(AdminError::Malformed("its Content-Length is no single number".into()));
     }
     match length.parse() {
         Ok(length) if length <= MAX_BODY_BYTES => Ok(Some(length)),
--- a/crates/proxy/src/sidecar/admin.rs
+++ b/crates/proxy/src/sidecar/admin.rs
@@ -62,13 +62,12 @@
             sidecar.shutdown.notify_one();
             respond(StatusCode::OK, "leaving\n".into())
         }
-        (_, "/ready" | "/config" | "/clusters" | "/metrics" | "/drain") => respond(
-            StatusCode::METHOD_NOT_ALLOWED,
-            "method not allowed: use POST for /drain and GET for all other paths\n".into(),
-        ),
+        (_, "/ready" | "/config" | "/clusters" | "/metrics" | "/drain") => {
+            respond(StatusCode::METHOD_NOT_ALLOWED, "method not allowed: POST /drain, GET all else\n".into())
+        }
         _ => respond(
             StatusCode::NOT_FOUND,
-            "unknown path; the paths are /ready, /config, /clusters, /metrics and /drain\n".into(),
+            "there are /ready, /config, /clusters, /metrics and /drain\n".into(),
         ),
     }
 }
