--- a/crates/lab/src/fleet_log/mod.rs
+++ b/crates/lab/src/fleet_log/mod.rs
@@ -126,6 +126,7 @@
         "idle pool closed" => "close",
         "endpoint watch changed" => "watch",
         "endpoint refresh requested" => "refresh",
+        "endpoint list received" => "list",
         other => other,
     }
 }
