--- a/crates/proxy/src/catalog/members.rs
+++ b/crates/proxy/src/catalog/members.rs
@@ -122,12 +122,12 @@
     /// its name, since it must not inherit that one's history. If the earlier one is still listed, it is
     /// removed and returned.
     fn assign_number(&mut self, name: &EndpointName, arrival: Arrival) -> (u32, Option<NumberedEndpoint>) {
-        let known = self.numbers.get(name).copied();
-        if let Some(number) = known.filter(|_| arrival != Arrival::New) {
+        let existing = self.numbers.get(name).copied();
+        if let Some(number) = existing.filter(|_| arrival != Arrival::New) {
             self.listed_count += usize::from(self.by_number[number as usize].is_none());
             return (number, None);
         }
-        let replaced = known.and_then(|number| {
+        let replaced = existing.and_then(|number| {
             let endpoint = self.by_number.get_mut(number as usize)?.take()?;
             self.uncount_ready(&endpoint);
             self.listed_count -= 1;
--- a/crates/proxy/src/cluster_runtime/endpoint_updates.rs
+++ b/crates/proxy/src/cluster_runtime/endpoint_updates.rs
@@ -19,24 +19,24 @@
 impl ClusterRuntime {
     /// Applies a snapshot or a delta of the list; `update` wraps the entries in the kind of update that the
     /// balancer gets.
-    pub(super) fn apply_news(
+    pub(super) fn apply_list(
         &self,
-        news: &ListUpdate,
+        list: &ListUpdate,
         update: impl Fn(Vec<EndpointEntry>) -> EndpointUpdate,
     ) {
-        let endpoint_count = news.endpoints.len();
-        debug!(self.log, "endpoint list received"; "version" => news.version, "full" => news.full,
+        let endpoint_count = list.endpoints.len();
+        debug!(self.log, "endpoint list received"; "version" => list.version, "full" => list.full,
             "entries" => endpoint_count);
-        if news.full {
+        if list.full {
             self.context.backends.mark_all_unready();
             self.endpoints.begin_snapshot();
         }
-        self.endpoints.set_version(news.version);
+        self.endpoints.set_version(list.version);
         if let Some(discovery) = &self.discovery {
-            discovery.set_version(news.version);
+            discovery.set_version(list.version);
         }
         let mut entries = Vec::with_capacity(endpoint_count);
-        for endpoint in &news.endpoints {
+        for endpoint in &list.endpoints {
             let entry = to_entry(&mut self.shared.site.borrow_mut(), endpoint);
             let entry = self.endpoints.apply(entry, endpoint.addr, self.shared.clock.now());
             trace::endpoint(&self.log, &entry);
--- a/crates/proxy/src/cluster_runtime/mod.rs
+++ b/crates/proxy/src/cluster_runtime/mod.rs
@@ -139,7 +139,7 @@
 
     /// Applies the list that an earlier process stored, and watches discovery for changes.
     pub fn start_from_cached_list(&self, cached: &ListUpdate) {
-        self.apply_news(cached, EndpointUpdate::Cached);
+        self.apply_list(cached, EndpointUpdate::Cached);
         if self.shared.site.borrow().settings.discovery == DiscoveryMode::Automatic {
             self.set_watch(true); // in this mode the balancer never asks for updates
         }
@@ -148,7 +148,7 @@
     /// Applies the list of the predecessor of a hot restart, restores the learned state of its balancer, and
     /// watches discovery at once: the list is as current as one from discovery.
     pub fn start_from_predecessor(&self, list: &ListUpdate, learned_state: Option<&LearnedState>) {
-        self.apply_news(list, EndpointUpdate::Snapshot);
+        self.apply_list(list, EndpointUpdate::Snapshot);
         if let Some(learned_state) = learned_state {
             self.balancer.borrow_mut().restore(learned_state);
         }
@@ -213,7 +213,7 @@
 
 impl Subscriber for ClusterRuntime {
     fn on_update(&self, update: ListUpdate<'_>) {
-        self.apply_news(&update, if update.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
+        self.apply_list(&update, if update.full { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta });
     }
 
     fn on_list_complete(&self) {
--- a/crates/proxy/src/clusters/routing.rs
+++ b/crates/proxy/src/clusters/routing.rs
@@ -26,7 +26,7 @@
 /// Builds the routing table of the request stages. A rule that leads to an unlisted cluster leads to the
 /// default.
 pub(super) fn routes(clusters: &[ClusterName], rules: Rules<ClusterName>) -> Routes {
-    let index_of = |name: ClusterName| clusters.iter().position(|known| *known == name).unwrap_or(0);
+    let index_of = |name: ClusterName| clusters.iter().position(|cluster| *cluster == name).unwrap_or(0);
     let rules = rules.map(index_of);
     Routes::new(clusters.iter().map(|name| Rc::from(name.as_str())), rules)
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -71,8 +71,8 @@
     seed: Option<String>,
     #[serde(default)]
     limits: Limits,
-    #[serde(borrow)]
-    known: Option<&'a RawValue>,
+    #[serde(borrow, rename = "known")]
+    cached_endpoints: Option<&'a RawValue>,
     #[serde(borrow)]
     settings: Option<&'a RawValue>,
 }
@@ -264,7 +264,7 @@
                 if console.is_some() { console::MAX_CONNECTIONS } else { 0 },
             )?,
             body_memory_bytes: (file.limits.memory_mb * BODY_MEMORY_SHARE * 1e6) as usize,
-            cached_endpoints: file.known.map(|k| k.get().to_owned()),
+            cached_endpoints: file.cached_endpoints.map(|k| k.get().to_owned()),
             site: Site::read(settings.get())?,
             cluster_config: None,
             source: ConfigSource { path, file_values, listen, discovery },
--- a/crates/proxy/src/console/mod.rs
+++ b/crates/proxy/src/console/mod.rs
@@ -154,14 +154,14 @@
         let mut stream = Uninterrupted(stream);
         let received = timeout(REQUEST_TIMEOUT, receive(&mut stream)).await;
         self.awaiting_request.borrow_mut().retain(|(other, ..)| *other != number);
-        let answer = match received {
-            Ok(Ok(Ok(request))) => self.answer(request).await,
+        let result = match received {
+            Ok(Ok(Ok(request))) => self.handle_request(request).await,
             Ok(Ok(Err(rejection))) => Err(rejection),
             Ok(Err(_closed)) => return,
             Err(_elapsed) => return,
         };
         let _ = timeout(RESPONSE_TIMEOUT, async {
-            stream.write_all(request::response(&answer).as_bytes()).await?;
+            stream.write_all(request::response(&result).as_bytes()).await?;
             stream.shutdown().await?;
             // Closing a connection with unread bytes would reset it, and the caller could lose the response.
             let mut rest = [0; 1024];
@@ -171,7 +171,7 @@
         .await;
     }
 
-    async fn answer(&self, request: AdminRequest) -> Result<String, AdminError> {
+    async fn handle_request(&self, request: AdminRequest) -> Result<String, AdminError> {
         match request {
             AdminRequest::Ready if self.stats.is_ready() => Ok("ready".into()),
             AdminRequest::Ready => Err(AdminError::NotReady),
--- a/crates/proxy/src/console/request.rs
+++ b/crates/proxy/src/console/request.rs
@@ -143,14 +143,14 @@
 }
 
 /// Formats the complete response, which closes the connection.
-pub fn response(answer: &Result<String, AdminError>) -> String {
-    let text: &dyn fmt::Display = match answer {
+pub fn response(result: &Result<String, AdminError>) -> String {
+    let text: &dyn fmt::Display = match result {
         Ok(text) => text,
         Err(error) => error,
     };
-    let (text, status) = (text.to_string(), answer.as_ref().map_or_else(AdminError::status, |_| "200 OK"));
+    let (text, status) = (text.to_string(), result.as_ref().map_or_else(AdminError::status, |_| "200 OK"));
     let text = if text.ends_with('\n') { text } else { text + "\n" };
-    let allow = match answer {
+    let allow = match result {
         Err(AdminError::MethodNotAllowed(_, expected_method)) => format!("Allow: {expected_method}\r\n"),
         _ => String::new(),
     };
--- a/crates/proxy/src/console/request/tests.rs
+++ b/crates/proxy/src/console/request/tests.rs
@@ -36,8 +36,8 @@
         (format!("GET /_vars HTTP/1.1\r\nX: {long}"), "431"),
     ];
     for (text, status) in invalid {
-        let answer = parse(text.as_bytes()).map(|_| String::new());
-        assert!(response(&answer).starts_with(&format!("HTTP/1.1 {status}")), "{text}: {answer:?}");
+        let result = parse(text.as_bytes()).map(|_| String::new());
+        assert!(response(&result).starts_with(&format!("HTTP/1.1 {status}")), "{text}: {result:?}");
     }
     let answer = response(&Ok("edge.active=0\n".into()));
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n") && answer.ends_with("\r\n\r\nedge.active=0\n"));
--- a/crates/proxy/src/hot_restart/state_machine.rs
+++ b/crates/proxy/src/hot_restart/state_machine.rs
@@ -162,7 +162,7 @@
         actions
     }
 
-    /// Returns the actions that send a change to all connected peers except the one it came from.
+    /// Returns the actions that send a change to all connected peers except the one that sent it.
     fn notify_peers(&self, from: Option<Peer>, change: &ManualChange) -> Vec<Action> {
         let peers = [(Peer::Predecessor, self.has_predecessor), (Peer::Successor, self.successor.is_some())];
         let others = peers.into_iter().filter(|(peer, is_connected)| *is_connected && Some(*peer) != from);
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -305,18 +305,18 @@
 ) -> Result<Response<ResponseContent>, client::Reject> {
     client.on_head_received();
     let call = parse::parse(request, &control.site, &control.budget).await?;
-    let counted = control.stats.as_ref().map(|stats| stats.count_request(usize::from(call.class.0)));
+    let active = control.stats.as_ref().map(|stats| stats.count_request(usize::from(call.class.0)));
     let response = call_cluster(control, client, call).await?;
-    Ok(match counted {
+    Ok(match active {
         None => response,
-        Some(counted) => count_response(response, counted),
+        Some(active) => count_response(response, active),
     })
 }
 
 /// Counts the outcome of a request after its whole response was sent.
 fn count_response(
     response: Response<ResponseContent>,
-    mut counted: ActiveRequest,
+    mut active: ActiveRequest,
 ) -> Response<ResponseContent> {
     let ended = match response.status().as_u16() {
         200 => RequestResult::Ok,
@@ -324,9 +324,9 @@
         _ => RequestResult::Error,
     };
     with_body(response, |body| match body {
-        None => counted.set_result(ended),
+        None => active.set_result(ended),
         Some(body) => body.when_ended(move |is_complete| {
-            counted.set_result(if is_complete { ended } else { RequestResult::Error });
+            active.set_result(if is_complete { ended } else { RequestResult::Error });
         }),
     })
 }
--- a/crates/proxy/src/platform/registry.rs
+++ b/crates/proxy/src/platform/registry.rs
@@ -14,8 +14,8 @@
 }
 
 /// Serializes an update in the format that [`read`] parses.
-pub fn write(news: &ListUpdate) -> String {
-    let servers = news.endpoints.iter().map(|e| SerializedServer {
+pub fn write(update: &ListUpdate) -> String {
+    let servers = update.endpoints.iter().map(|e| SerializedServer {
         id: &e.name,
         addr: e.addr.map(|addr| addr.to_string()).unwrap_or_default(),
         zone: &e.zone,
@@ -30,7 +30,7 @@
         started_ms: e.started.unwrap_or(0) / 1_000_000,
     });
     let servers: Vec<SerializedServer> = servers.collect();
-    serde_json::json!({ "version": news.version, "full": news.full, "servers": servers }).to_string()
+    serde_json::json!({ "version": update.version, "full": update.full, "servers": servers }).to_string()
 }
 
 #[derive(Serialize)]
@@ -115,9 +115,9 @@
         let text =
             br#"{"version":43,"servers":[{"id":"s","addr":"127.0.0.9:1","state":"ready","started_ms":7},
             {"id":"t","state":"resting","addr":"127.0.0.9:2"},{"id":"s","state":"gone"}],"more":1}"#;
-        let news = read(text).expect("a delta");
-        assert_eq!((news.version, news.full), (43, false));
-        let states: Vec<_> = news.endpoints.iter().map(|e| (&*e.name, e.state, e.addr.is_some())).collect();
+        let update = read(text).expect("a delta");
+        assert_eq!((update.version, update.full), (43, false));
+        let states: Vec<_> = update.endpoints.iter().map(|e| (&*e.name, e.state, e.addr.is_some())).collect();
         assert_eq!(
             states,
             [
@@ -126,22 +126,22 @@
                 ("s", EndpointState::Removed, false)
             ]
         );
-        assert_eq!(news.endpoints[0].started, Some(7_000_000));
-        assert_eq!(news.endpoints[1].started, None);
+        assert_eq!(update.endpoints[0].started, Some(7_000_000));
+        assert_eq!(update.endpoints[1].started, None);
     }
 
     #[test]
     fn snapshot_is_read_with_defaults_for_missing_fields_and_written_back_unchanged() {
         let text = br#"{"version":1,"full":true,"servers":[{"id":"a\u00e9","addr":"[::1]:9","state":"ready",
             "zone":"z","kind":"k","cell":4,"weight":2.5},{"id":"b","state":"ready","addr":"nowhere"}]}"#;
-        let news = read(text).expect("a snapshot");
-        assert!(news.full);
-        let [a, b] = &news.endpoints[..] else { panic!("{} endpoints", news.endpoints.len()) };
+        let update = read(text).expect("a snapshot");
+        assert!(update.full);
+        let [a, b] = &update.endpoints[..] else { panic!("{} endpoints", update.endpoints.len()) };
         assert_eq!((&*a.name, &*a.zone, &*a.kind, a.cell, a.size), ("aé", "z", "k", 4, 2.5));
         assert_eq!((&*b.zone, &*b.kind, b.cell, b.size), ("", "", 0, 1.0));
         assert_eq!((b.state, b.addr), (EndpointState::Draining, None), "ready, but without a valid address");
         assert!(read(br#"{"version":1,"servers":[{"id":"a"}]}"#).is_err(), "no state");
-        let text = write(&news);
+        let text = write(&update);
         let again = read(text.as_bytes()).expect("valid");
         assert_eq!(write(&again), text);
         assert_eq!((again.full, &*again.endpoints[0].name, again.endpoints[0].addr), (true, "aé", a.addr));
--- a/crates/proxy/src/serve.rs
+++ b/crates/proxy/src/serve.rs
@@ -147,8 +147,8 @@
         return Ok(Some(OpenListener { listener, path: None, taken_over: None, connection: None }));
     }
     let AcquiredListener { listener, path, predecessor } = tokio::select! {
-        taken = serving_process::take_over_or_bind(listen, log) => {
-            taken.map_err(|e| format!("listen: {listen}: {e}"))?
+        listener = serving_process::take_over_or_bind(listen, log) => {
+            listener.map_err(|e| format!("listen: {listen}: {e}"))?
         }
         () = signals.received() => return Ok(None),
     };
@@ -232,13 +232,13 @@
     /// Applies the changes that operators request.
     async fn apply_changes(self, mut changes: Receiver<console::Change>) {
         while let Some(console::Change { request, done }) = changes.recv().await {
-            let answer = self.clusters.apply_admin_request(&request);
+            let result = self.clusters.apply_admin_request(&request);
             let change = serving_process::manual_change(&request);
-            if let (Ok(()), Some(hot_restart), Some(change)) = (&answer, &self.hot_restart, change) {
+            if let (Ok(()), Some(hot_restart), Some(change)) = (&result, &self.hot_restart, change) {
                 hot_restart.on_manual_change(change);
             }
             self.publish();
-            let _ = done.send(answer); // the caller may have timed out; the change stays in force
+            let _ = done.send(result); // the caller may have timed out; the change stays in force
         }
     }
 }
--- a/crates/proxy/src/stages/attempt.rs
+++ b/crates/proxy/src/stages/attempt.rs
@@ -244,9 +244,9 @@
     }
 }
 
-/// Sends the request of an attempt and waits for the head of the response. The head of the request tells the
-/// time left, and a connection may take its whole timeout to be established: so the head is built once there
-/// is a connection, and built again for another connection.
+/// Sends the request of an attempt and waits for the head of the response. The head of the request contains
+/// the time left, and connecting may take the whole connect timeout: the head is therefore built once the
+/// connection is established, and built again for another connection.
 async fn send(
     context: &Context,
     lease: &Lease,
--- a/crates/proxy/src/stages/write_check.rs
+++ b/crates/proxy/src/stages/write_check.rs
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A head tells the time left when it was built; if its first byte is written later than this, the endpoint
-/// would be given too much time. Well under the slack that a deadline header has (150 ms), since the network
-/// and the endpoint take some of it too.
+/// The maximum time between building a head and writing its first byte. The head contains the time left when
+/// it was built, so a later write would give the endpoint too much time. The limit is well under the slack of
+/// a deadline header (150 ms), since the network and the endpoint use some of that too.
 const MAX_HEAD_AGE: Duration = Duration::from_millis(50);
 
 /// Why an attempt must no longer be sent.
@@ -23,7 +23,7 @@
     /// The client disconnected, or has its response.
     #[error("request {} has ended", .0.0)]
     RequestEnded(RequestId),
-    /// The endpoint is draining, was removed, or is another process by now.
+    /// The endpoint is draining, was removed, or has restarted since.
     #[error("endpoint {} no longer takes requests", .0.endpoint.0)]
     EndpointUnavailable(Target),
     /// The attempt's deadline has passed.
@@ -32,7 +32,7 @@
     /// The backend would no longer recognise the attempt as a repeat of an earlier one.
     #[error("deduplication window of request {} exceeded", .0.0)]
     DeduplicationWindowExceeded(RequestId),
-    /// The head tells more time than is left: the process was suspended after the head had been built.
+    /// The head contains more time than is left: the process was suspended after the head had been built.
     #[error("head of request {} is outdated", .0.0)]
     HeadOutdated(RequestId),
 }
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -53,8 +53,8 @@
     pub fn effective(&mut self, name: &Rc<str>, listed: Option<Nanos>, now: Nanos) -> Option<Nanos> {
         let listed = listed?;
         let before = self.by_name.get(name).copied();
-        if let Some(known) = before.filter(|known| known.listed == listed) {
-            return Some(known.effective);
+        if let Some(start) = before.filter(|start| start.listed == listed) {
+            return Some(start.effective);
         }
         let mut effective = listed.max(self.complete_at.unwrap_or(0)).min(now);
         if before.is_some_and(|before| before.effective == effective) {
@@ -66,8 +66,8 @@
 
     /// Returns the listed start time of an endpoint with this effective start time.
     pub fn listed(&self, name: &str, effective: Option<Nanos>) -> Option<Nanos> {
-        let known = self.by_name.get(name).filter(|start| Some(start.effective) == effective);
-        known.map(|start| start.listed).or(effective)
+        let start = self.by_name.get(name).filter(|start| Some(start.effective) == effective);
+        start.map(|start| start.listed).or(effective)
     }
 
     /// Removes endpoints that are not listed if there are more than [`MAX_START_TIMES`].
