--- a/crates/proxy/benches/figures.rs
+++ b/crates/proxy/benches/figures.rs
@@ -260,7 +260,7 @@
     drop(client);
     program.signal("TERM");
     let line = program.line("Collected :");
-    assert!(program.ends().success());
+    assert!(program.wait_for_exit().success());
     line.rsplit(' ').next().and_then(|count| count.parse().ok()).expect("a count")
 }
 
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -1,4 +1,4 @@
-//! The close of a client's connection, and the planned end: what crosses them on the wire.
+//! Tests of closing client connections and of graceful shutdown, with bytes or signals that arrive meanwhile.
 
 mod fleet;
 mod scenario;
@@ -12,11 +12,11 @@
 use std::os::unix::process::ExitStatusExt;
 use std::time::{Duration, Instant};
 
-/// As long as the proxy reads on after it has shut its side. What a slower machine shows says nothing.
+/// How long the proxy reads after its half-close. A run that is slower than this proves nothing and is repeated.
 const LINGER: Duration = Duration::from_secs(1);
 
 fn connect(to: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(to).expect("it listens");
+    let stream = TcpStream::connect(to).expect("connected");
     stream.set_read_timeout(Some(NEVER)).expect("set");
     stream.set_nodelay(true).expect("set");
     stream
@@ -26,8 +26,8 @@
     format!("GET {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {path}\r\nX-Class: view\r\n{more}\r\n")
 }
 
-/// What comes up to the end of the stream, which is no reset.
-fn rest(stream: &mut TcpStream) -> String {
+/// Reads up to the end of the stream, and checks that it is not a reset.
+fn read_to_end(stream: &mut TcpStream) -> String {
     let mut all = Vec::new();
     let read = stream.read_to_end(&mut all);
     let all = String::from_utf8_lossy(&all).into_owned();
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn who_is_turned_away_in_the_middle_of_what_it_sends_reads_its_answer_and_no_reset() {
+fn client_rejected_while_sending_reads_its_response_without_a_reset() {
     let backend = Backend::new("a");
     let site = Site::new(32, &[("a", backend.addr)]);
-    let _proxy = site.serving();
+    let _proxy = site.start_ready();
     let head = "POST /x HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Class: ";
     let much = "x".repeat(200_000);
     let chunk = format!("{:x}\r\n{much}\r\n", much.len());
@@ -52,70 +52,70 @@
         (format!("{}{much}", request("/health/live", "Connection: close\r\n")), 200),
     ] {
         let mut client = connect(site.listen);
-        client.write_all(text.as_bytes()).expect("taken");
-        let answer = rest(&mut client);
+        client.write_all(text.as_bytes()).expect("written");
+        let answer = read_to_end(&mut client);
         assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{status}: {answer}");
         assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
     }
 }
 
 #[test]
-fn what_comes_after_our_side_is_shut_is_dropped_and_neither_sent_on_nor_answered_with_a_reset() {
+fn request_after_half_close_is_dropped_without_a_reset() {
     let backend = Backend::new("a");
     let site = Site::new(32, &[("a", backend.addr)]);
-    let _proxy = site.serving();
-    let play = |n: u32| {
+    let _proxy = site.start_ready();
+    let run = |n: u32| {
         let mut client = connect(site.listen);
-        client.write_all(request(&format!("/{n}"), "Connection: close\r\n").as_bytes()).expect("taken");
-        assert!(rest(&mut client).starts_with("HTTP/1.1 200 "));
-        let shut = Instant::now();
-        client.write_all(request("/late", "").as_bytes()).expect("taken");
-        client.shutdown(Shutdown::Write).expect("still there");
+        client.write_all(request(&format!("/{n}"), "Connection: close\r\n").as_bytes()).expect("written");
+        assert!(read_to_end(&mut client).starts_with("HTTP/1.1 200 "));
+        let half_closed = Instant::now();
+        client.write_all(request("/late", "").as_bytes()).expect("written");
+        client.shutdown(Shutdown::Write).expect("connected");
         let read = client.read(&mut [0]);
-        let in_time = shut.elapsed() < LINGER;
+        let in_time = half_closed.elapsed() < LINGER;
         assert!(!in_time || matches!(read, Ok(0)), "{read:?}");
         in_time
     };
-    let plays = (1..=10).find(|n| play(*n)).expect("one play in time");
-    // What the first ones may have left behind comes before this.
+    let runs = (1..=10).find(|n| run(*n)).expect("one run in time");
+    // A late request that was forwarded by mistake would reach the backend before this one.
     let mut client = connect(site.listen);
-    client.write_all(request("/last", "Connection: close\r\n").as_bytes()).expect("taken");
-    assert!(rest(&mut client).starts_with("HTTP/1.1 200 "));
-    assert_eq!(backend.calls(), u64::from(plays) + 1);
+    client.write_all(request("/last", "Connection: close\r\n").as_bytes()).expect("written");
+    assert!(read_to_end(&mut client).starts_with("HTTP/1.1 200 "));
+    assert_eq!(backend.calls(), u64::from(runs) + 1);
 }
 
-/// What a client sends behind a request in flight.
-enum Behind {
+/// What a client sends after a request in flight.
+enum Trailing {
     Text(String),
-    /// As much as the connection takes.
+    /// As many bytes as the connection accepts.
     Flood,
 }
 
 #[test]
-fn a_client_that_leaves_behind_what_nobody_reads_takes_its_call_along() {
+fn client_disconnect_with_unread_bytes_cancels_its_attempt() {
     let patient = SETTINGS.replace("50000000000", "500000000000");
     let body =
         "POST /2 HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Class: view\r\nContent-Length: 900000\r\n\r\n";
-    for behind in [
-        Behind::Text(String::new()),
-        Behind::Text("nonsense\r\n\r\n".into()),
-        Behind::Text("x".repeat(100_000)),
-        Behind::Text(request("/2", "").repeat(40)),
-        Behind::Text(format!("{body}{}", "x".repeat(150_000))),
-        Behind::Flood,
+    for trailing in [
+        Trailing::Text(String::new()),
+        Trailing::Text("nonsense\r\n\r\n".into()),
+        Trailing::Text("x".repeat(100_000)),
+        Trailing::Text(request("/2", "").repeat(40)),
+        Trailing::Text(format!("{body}{}", "x".repeat(150_000))),
+        Trailing::Flood,
     ] {
         for reset in [false, true] {
-            let (backend, calls) = Silent::start();
+            let (backend, calls) = SilentBackend::start();
             let site = Site::with(&patient, 32, &[("a", backend)]);
-            let _proxy = site.serving();
+            let _proxy = site.start_ready();
             let mut client = connect(site.listen);
-            let text = match &behind {
-                Behind::Text(text) => text.as_str(),
-                Behind::Flood => "",
+            let text = match &trailing {
+                Trailing::Text(text) => text.as_str(),
+                Trailing::Flood => "",
             };
-            client.write_all((request("/1", "") + text).as_bytes()).expect("taken");
+            client.write_all((request("/1", "") + text).as_bytes()).expect("written");
             let mut call = calls.recv_timeout(NEVER).expect("the call");
-            if matches!(behind, Behind::Flood) {
+            if matches!(trailing, Trailing::Flood) {
                 client.set_write_timeout(Some(Duration::from_millis(50))).expect("set");
                 while client.write_all(&[b'x'; 64 * 1024]).is_ok() {}
             }
@@ -125,15 +125,15 @@
             drop(client);
             let ended = call.read_to_end(&mut Vec::new());
             let reset = |e: &std::io::Error| e.kind() == ErrorKind::ConnectionReset;
-            assert!(ended.as_ref().err().is_none_or(reset), "not called off: {ended:?}");
+            assert!(ended.as_ref().err().is_none_or(reset), "not cancelled: {ended:?}");
         }
     }
 }
 
-/// A backend that answers probes and holds everything else for good.
-struct Silent;
+/// A backend that answers health checks and never responds to other requests.
+struct SilentBackend;
 
-impl Silent {
+impl SilentBackend {
     fn start() -> (SocketAddr, std::sync::mpsc::Receiver<TcpStream>) {
         let (sender, calls) = std::sync::mpsc::channel();
         let sender = std::sync::Mutex::new(sender);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_second_signal_does_not_cut_off_what_the_first_one_lets_end() {
+fn second_signal_does_not_abort_a_graceful_shutdown() {
     for again in ["TERM", "INT"] {
         play_with(
             &["a"],
@@ -176,8 +176,8 @@
 }
 
 #[test]
-fn a_signal_before_the_proxy_is_ready_ends_it_in_good_order() {
-    // Nobody to send to: it serves, and is not ready.
+fn signal_before_readiness_shuts_down_cleanly() {
+    // Without endpoints: the proxy serves and is not ready.
     play_with(
         &[],
         SETTINGS,
@@ -185,7 +185,7 @@
          proxy send TERM
          proxy wait exit",
     );
-    // It waits for an address that somebody else has.
+    // While it waits for an address that another process uses.
     let site = Site::new(32, &[]);
     let _holder = TcpListener::bind(site.listen).expect("free");
     let mut program = olivecart("serve", &site.config);
@@ -193,29 +193,29 @@
     let mut program = Program::start(&mut program);
     program.line("no process to take over from");
     program.signal("TERM");
-    let status = program.ends();
+    let status = program.wait_for_exit();
     assert!(status.success(), "{status}, by signal {:?}", status.signal());
 }
 
 #[test]
-fn with_short_deadlines_what_hangs_at_the_end_is_answered_in_time_and_nobody_holds_the_end_up() {
-    // Rejected, answered and silent clients that never close, and one whose backend hangs.
+fn shutdown_with_short_deadlines_answers_hanging_requests_and_waits_for_no_client() {
+    // Rejected, answered and silent clients that never close, and a client whose backend hangs.
     let settings = SETTINGS.replace("50000000000", "1000000000").replace("20000000000", "500000000");
-    let (backend, calls) = Silent::start();
+    let (backend, calls) = SilentBackend::start();
     let site = Site::with(&settings, 32, &[("a", backend)]);
-    let mut proxy = site.serving();
+    let mut proxy = site.start_ready();
     let mut rejected = connect(site.listen);
-    rejected.write_all(b"nonsense\r\n\r\n").expect("taken");
+    rejected.write_all(b"nonsense\r\n\r\n").expect("written");
     let (_silent, mut idle) = (connect(site.listen), connect(site.listen));
-    idle.write_all(request("/health/live", "").as_bytes()).expect("taken");
+    idle.write_all(request("/health/live", "").as_bytes()).expect("written");
     proxy.program.signal("TERM");
     proxy.program.line("shutdown started");
     let mut hung = connect(site.listen);
-    hung.write_all(request("/hung", "").as_bytes()).expect("taken");
+    hung.write_all(request("/hung", "").as_bytes()).expect("written");
     let _call = calls.recv_timeout(NEVER).expect("the call");
-    let answer = rest(&mut hung);
+    let answer = read_to_end(&mut hung);
     assert!(answer.starts_with("HTTP/1.1 50"), "{answer}");
-    assert!(proxy.program.ends().success());
-    assert!(rest(&mut rejected).starts_with("HTTP/1.1 400 "));
-    assert!(rest(&mut idle).starts_with("HTTP/1.1 200 "));
+    assert!(proxy.program.wait_for_exit().success());
+    assert!(read_to_end(&mut rejected).starts_with("HTTP/1.1 400 "));
+    assert!(read_to_end(&mut idle).starts_with("HTTP/1.1 200 "));
 }
--- a/crates/proxy/tests/clusters.rs
+++ b/crates/proxy/tests/clusters.rs
@@ -1,11 +1,11 @@
-//! Several clusters in one proxy, from watched files. The language is in `scenario/mod.rs`.
+//! Tests of several clusters in one proxy, from watched files. `scenario/mod.rs` documents the scenario language.
 
 mod scenario;
 use scenario::{SETTINGS, config_file, endpoints_file, fresh, olivecart, play, play_clusters};
 use std::path::Path;
 use std::process::Command;
 
-/// Two clusters of one file, nothing held back, the registry for one path.
+/// Two clusters from one file, no quarantine, and a rule that routes one path to the registry.
 const OPERATORS: &str = r#"version = 1
 default = "cart"
 [[sources]]
@@ -26,7 +26,7 @@
 "#;
 
 #[test]
-fn a_request_goes_to_the_cluster_that_the_rules_say_and_waits_for_none_that_is_not_there() {
+fn request_is_routed_by_the_rules_and_rejected_at_once_if_its_cluster_is_missing() {
     play_clusters(
         OPERATORS,
         "c send GET /1
@@ -62,7 +62,7 @@
 }
 
 fn output(program: &mut Command) -> (Option<i32>, String) {
-    let run = program.output().expect("it runs");
+    let run = program.output().expect("the program runs");
     let both = [run.stdout, run.stderr].concat();
     (run.status.code(), String::from_utf8_lossy(&both).into_owned())
 }
@@ -73,36 +73,40 @@
 }
 
 #[test]
-fn the_examples_are_good_and_say_what_their_comments_say() {
+fn examples_are_valid_and_contain_what_their_comments_say() {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/examples");
     let config = config_file(&format!(
         r#"{{"listen":"127.0.0.1:8081","discovery":"127.0.0.1:8500","settings":{SETTINGS}}}"#
     ));
-    let (code, said) =
+    let (code, output_text) =
         output(olivecart("check", &config).arg("--clusters").arg(examples.join("clusters.toml")));
     assert!(
-        code == Some(0) && said.ends_with("clusters   cart book registry, rules 3, default cart\n"),
-        "{said}"
+        code == Some(0) && output_text.ends_with("clusters   cart book registry, rules 3, default cart\n"),
+        "{output_text}"
     );
-    let (code, said) = output(olivecart("check", &config).arg("--clusters").arg(examples.join("xds.toml")));
+    let (code, output_text) =
+        output(olivecart("check", &config).arg("--clusters").arg(examples.join("xds.toml")));
     let plane = "source     plane: xDS from localhost:18000 as cart-sidecar-1\n";
-    assert!(code == Some(0) && said.contains(plane), "{said}");
-    let (code, said) = catalog(&[Path::new("check"), &examples.join("envoy.yaml")]);
-    assert_eq!(code, Some(0), "{said}");
-    assert!(said.contains("cart: 2 ready, 1 draining"), "{said}");
+    assert!(code == Some(0) && output_text.contains(plane), "{output_text}");
+    let (code, output_text) = catalog(&[Path::new("check"), &examples.join("envoy.yaml")]);
+    assert_eq!(code, Some(0), "{output_text}");
+    assert!(output_text.contains("cart: 2 ready, 1 draining"), "{output_text}");
     let (code, fields) = catalog(&[Path::new("fields")]);
     let page = include_str!("../../../docs/operators/xds-fields.md");
     assert!(
         code == Some(0) && page.ends_with(&fields),
         "docs/operators/xds-fields.md is not `catalog fields`"
     );
-    let (code, said) = catalog(&[Path::new("check"), &examples.join("endpoints.toml")]);
-    assert_eq!(code, Some(0), "{said}");
-    assert!(said.contains("cart: 2 ready, 1 draining, 1 in zone north, 2 in zone south, weight 3"), "{said}");
+    let (code, output_text) = catalog(&[Path::new("check"), &examples.join("endpoints.toml")]);
+    assert_eq!(code, Some(0), "{output_text}");
+    assert!(
+        output_text.contains("cart: 2 ready, 1 draining, 1 in zone north, 2 in zone south, weight 3"),
+        "{output_text}"
+    );
 }
 
 #[test]
-fn a_bad_operators_file_is_turned_away_with_its_place() {
+fn invalid_operators_file_is_rejected_with_file_line_and_key() {
     let config = config_file(&format!(
         r#"{{"listen":"127.0.0.1:8081","discovery":"127.0.0.1:8500","settings":{SETTINGS}}}"#
     ));
@@ -117,30 +121,33 @@
         let path = fresh(".toml");
         std::fs::write(&path, text).expect("written");
         for command in ["check", "serve"] {
-            let (code, said) = output(olivecart(command, &config).env("OLIVECART_CLUSTERS", &path));
-            assert!(code == Some(1) && said.contains(message), "{command}: {said}");
+            let (code, output_text) = output(olivecart(command, &config).env("OLIVECART_CLUSTERS", &path));
+            assert!(code == Some(1) && output_text.contains(message), "{command}: {output_text}");
         }
     }
-    let (code, said) = output(olivecart("check", &config).env("OLIVECART_CLUSTERS", "/nowhere"));
-    assert!(code == Some(1) && said.contains("OLIVECART_CLUSTERS: /nowhere: No such file"), "{said}");
+    let (code, output_text) = output(olivecart("check", &config).env("OLIVECART_CLUSTERS", "/nowhere"));
+    assert!(
+        code == Some(1) && output_text.contains("OLIVECART_CLUSTERS: /nowhere: No such file"),
+        "{output_text}"
+    );
 }
 
 #[test]
-fn the_tools_tell_what_a_file_amounts_to_and_what_another_would_change() {
+fn catalog_check_summarizes_a_file_and_diff_reports_changes() {
     let file = |words: &str| {
         let path = fresh(".toml");
         let at = |id: &str| format!("127.0.0.1:{}", 9000 + id.bytes().map(u32::from).sum::<u32>());
         std::fs::write(&path, endpoints_file(words, at)).expect("written");
         path
     };
-    let (old, new, gone) = (file("cart=a,b,d"), file("cart=a,b/draining,d"), file("cart=e"));
-    let torn = fresh(".toml");
-    std::fs::write(&torn, "version = 1\n[[clusters]]\nname = \"cart\"\n").expect("written");
+    let (old, new, removed) = (file("cart=a,b,d"), file("cart=a,b/draining,d"), file("cart=e"));
+    let truncated = fresh(".toml");
+    std::fs::write(&truncated, "version = 1\n[[clusters]]\nname = \"cart\"\n").expect("written");
     let yaml = fresh(".yaml");
-    let of_envoy = "resources:\n- '@type': type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment\n  \
+    let envoy_text = "resources:\n- '@type': type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment\n  \
         cluster_name: cart\n  endpoints:\n  - lb_endpoints:\n    - endpoint: { hostname: a-0, address: \
         { socket_address: { address: 127.0.0.1, port_value: 9097 } } }\n";
-    std::fs::write(&yaml, format!("{of_envoy}...\n")).expect("written");
+    std::fs::write(&yaml, format!("{envoy_text}...\n")).expect("written");
     let json = fresh(".json");
     std::fs::write(
         &json,
@@ -157,24 +164,27 @@
         (vec![check, &old, form, Path::new("envoy")], 1, "no `...` as the last line"),
         (vec![check, &old, form, Path::new("new")], 1, "neither \"documented\" nor \"envoy\""),
         (vec![diff, &yaml, &old], 1, "cluster cart: endpoint b-0: "),
-        (vec![check, &old, &torn], 1, "no [end] as the last line"),
-        (vec![check, &torn, nowhere], 2, "/nowhere: No such file"),
+        (vec![check, &old, &truncated], 1, "no [end] as the last line"),
+        (vec![check, &truncated, nowhere], 2, "/nowhere: No such file"),
         (vec![diff, &old, &old], 0, ""),
         (vec![diff, &old, &new], 1, "cluster cart: endpoint b-0: state ready -> draining\n"),
         (
-            vec![diff, &old, &gone],
+            vec![diff, &old, &removed],
             1,
             "would be quarantined: diff: cluster cart: held: all 3 ready endpoints gone",
         ),
-        (vec![diff, &old, &torn], 2, "no [end] as the last line"),
+        (vec![diff, &old, &truncated], 2, "no [end] as the last line"),
     ] {
-        let (ended, said) = catalog(&arguments);
-        assert!(ended == Some(code) && said.contains(message), "{arguments:?}: {ended:?} {said}");
+        let (ended, output_text) = catalog(&arguments);
+        assert!(
+            ended == Some(code) && output_text.contains(message),
+            "{arguments:?}: {ended:?} {output_text}"
+        );
     }
 }
 
 #[test]
-fn a_cluster_that_goes_ends_what_it_took_and_comes_back_as_another() {
+fn removed_cluster_finishes_its_requests_and_returns_as_a_new_cluster() {
     play_clusters(
         OPERATORS,
         "disk list fleet.toml cart=d book=e
@@ -210,7 +220,7 @@
 }
 
 #[test]
-fn what_was_open_when_its_cluster_went_is_still_answered() {
+fn request_open_at_the_removal_of_its_cluster_is_answered() {
     play_clusters(
         OPERATORS,
         "disk list fleet.toml cart=d book=e
@@ -228,7 +238,7 @@
 }
 
 #[test]
-fn an_endpoint_of_two_clusters_has_its_state_in_each_and_connections_of_each() {
+fn endpoint_in_two_clusters_has_separate_state_and_connections() {
     play_clusters(
         OPERATORS,
         "disk list fleet.toml cart=d,e book=d,e
@@ -256,7 +266,7 @@
 }
 
 #[test]
-fn the_limits_of_a_cluster_are_its_own_and_the_operators_word_counts_first() {
+fn cluster_limits_are_separate_and_the_operators_file_takes_precedence() {
     let limited =
         OPERATORS.replace("[catalog]", "[[clusters]]\nname = \"cart\"\nmax_requests = 1\n[catalog]");
     play_clusters(
@@ -280,7 +290,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_file_is_told_and_shown_until_it_is_good_again() {
+fn invalid_file_is_logged_and_reported_until_it_is_valid_again() {
     let careful = OPERATORS.replace("hold = \"0s\"", "hold = \"10m\"");
     play_clusters(
         &careful,
@@ -314,8 +324,8 @@
 }
 
 #[test]
-fn without_an_operators_file_there_is_no_catalog_and_nothing_is_led_anywhere() {
-    // The signal that asks a catalog to tell of itself ends a program that has none.
+fn without_an_operators_file_there_is_no_catalog_and_no_routing() {
+    // SIGUSR1, which requests a report of the catalog, ends a process without one.
     play(
         "c send GET /old/1 Host=eu.books.internal
          a expect GET /old/1
--- a/crates/proxy/tests/clusters_under_load.rs
+++ b/crates/proxy/tests/clusters_under_load.rs
@@ -1,4 +1,4 @@
-//! Clusters that change while requests run.
+//! Tests of cluster changes under load.
 
 mod fleet;
 mod scenario;
@@ -17,7 +17,7 @@
 hold = "0s"
 "#;
 
-/// What drains or has been removed gets nothing new after this.
+/// A draining or removed endpoint gets no new requests after this time.
 const GRACE: Duration = Duration::from_millis(500);
 
 fn listed<'a>(endpoints: impl IntoIterator<Item = (&'a str, &'a Backend, &'static str)>) -> EndpointFile {
@@ -30,17 +30,18 @@
 }
 
 #[test]
-fn what_drains_or_leaves_is_sent_nothing_after_half_a_second() {
-    // A window of six endpoints moves over 24: at each push one joins, the oldest drains or is removed, and what
-    // was removed comes back under the same id long after.
+fn draining_and_removed_endpoints_get_no_requests_after_500_ms() {
+    // A window of six endpoints moves over 24: with each push, one is added and the oldest drains or is removed.
+    // A removed endpoint returns much later with the same id.
     let (count, live, pushes) = (24, 6, 300);
     let ids: Vec<String> = (0..count).map(|n| format!("e{n}")).collect();
     let backends: Vec<Backend> = ids.iter().map(|id| Backend::new(id)).collect();
     let proxy = Proxy::start(Some(OPERATORS), SETTINGS);
-    let window = |first: usize, gone: &'static str| {
+    let window = |first: usize, last_state: &'static str| {
         let ready = (first..first + live).map(|n| (n % count, "ready"));
-        let drains =
-            (first + count - 3..first + count).map(|n| (n % count, gone)).filter(|(_, s)| !s.is_empty());
+        let drains = (first + count - 3..first + count)
+            .map(|n| (n % count, last_state))
+            .filter(|(_, s)| !s.is_empty());
         listed(ready.chain(drains).map(|(n, state)| (ids[n].as_str(), &backends[n], state)))
     };
     proxy.list(&window(0, "").to_toml(1));
@@ -59,21 +60,21 @@
     let tally = load.end();
     let latest = late.iter().max().copied().unwrap_or_default();
     println!(
-        "{pushes} pushes, {} with a call after them, the latest after {latest:?}; {tally:?}",
+        "{pushes} pushes, {} with a request after them, the latest after {latest:?}; {tally:?}",
         late.len()
     );
-    assert!(latest < GRACE, "a call {latest:?} after the push");
+    assert!(latest < GRACE, "a request {latest:?} after the push");
     assert_eq!(tally.keys().collect::<Vec<_>>(), [&200], "{tally:?}");
 }
 
 #[test]
-fn a_file_in_bad_hands_never_serves_what_is_invalid_and_ends_on_the_last_that_is_valid() {
+fn under_file_faults_only_valid_versions_are_served_and_the_last_one_stays() {
     let trap = Backend::new("trap");
     let names = ["a", "b", "d", "e", "f"];
     let backends = names.map(Backend::new);
     let proxy = Proxy::start(Some(OPERATORS), SETTINGS);
     let mut injector = FileFaultInjector::new(proxy.disk.join("fleet.toml"), 8, trap.addr);
-    // Two of five at a time, so that each valid version shows by whom it adds.
+    // Two of five at a time, so that requests to the added endpoint show that a valid version was applied.
     let version = |n: usize| {
         let pair = [n % names.len(), (n + 1) % names.len()];
         listed(pair.map(|at| (names[at], &backends[at], "ready")))
@@ -99,10 +100,10 @@
     last.wait_past(0);
     proxy.program.lines();
     for _ in 0..9 {
-        let not_valid: Vec<_> = FileFault::ALL.into_iter().filter(|fault| !fault.is_valid()).collect();
-        not_valid.iter().for_each(|fault| injector.inject(*fault, &version(0)).expect("done"));
+        let invalid: Vec<_> = FileFault::ALL.into_iter().filter(|fault| !fault.is_valid()).collect();
+        invalid.iter().for_each(|fault| injector.inject(*fault, &version(0)).expect("done"));
     }
-    proxy.program.line("No such file"); // it has seen where the file ended
+    proxy.program.line("No such file"); // the proxy has seen the last fault
     let mut client = Client::new(proxy.listen);
     (0..200).for_each(|_| assert_eq!(client.call(), Some((200, "last".into()))));
     let tally = load.end();
--- a/crates/proxy/tests/console.rs
+++ b/crates/proxy/tests/console.rs
@@ -1,4 +1,4 @@
-//! Where operators call: what it answers, what it counts, and backends out by hand.
+//! Tests of the admin server: its responses, its statistics, and detached endpoints.
 
 mod scenario;
 mod site;
@@ -8,9 +8,9 @@
 use std::net::TcpStream;
 
 #[test]
-fn every_end_of_a_request_is_counted_once() {
-    // 409, an unknown class, and a client that leaves; 200, 404, 500 of a class that can't be repeated elsewhere.
-    // A reset that is repeated elsewhere; then one that brings no answer and is given up.
+fn each_request_result_is_counted_once() {
+    // A 200, a 404, an unknown class, a client that disconnects, and a 500 of a class that cannot be retried
+    // elsewhere; a reset that is retried elsewhere; then a request that times out without a response.
     play(
         "console wait ok.view=0 errors.book=0 tries=0 active=0 pool_size=2 pool_ejected=0
          c send GET /1
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn a_refusal_is_counted_as_one_and_readiness_is_told() {
+fn rejected_request_is_counted_as_shed_and_readiness_is_reported() {
     play_with(
         &["a"],
-        &SETTINGS.replace("50000000000", "500000000000"), // or what is held for a part of its time is answered in time
+        &SETTINGS.replace("50000000000", "500000000000"), // otherwise a request queued for part of its deadline would be answered in time
         "console expect 200 GET /_ready
          console expect 200 POST /_backends/detach {\"target\":\"a-0\"}
          console wait pool_size=1 pool_ejected=1
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn one_out_by_hand_gets_nothing_whatever_is_listed_and_is_used_again_once_it_is_back() {
+fn detached_endpoint_gets_no_requests_through_list_changes_until_it_is_attached() {
     let server = |name: &str, started: u64| {
         format!(
             "{{\"id\":\"{name}-0\",\"addr\":\"@{name}\",\"state\":\"ready\",\"zone\":\"z\",\"started_ms\":{started}}}"
@@ -90,13 +90,13 @@
         .map(|(at, list)| {
             format!(
                 "discovery send chunk {list}\\n
-                 console wait pool_size={size} pool_ejected={out}
+                 console wait pool_size={size} pool_ejected={ejected}
                  c send GET /{at}
                  b expect GET /{at}
                  b send 200 | b
                  c expect 200 | b\n",
                 size = if at == 1 { 1 } else { 2 },
-                out = if at == 1 { 0 } else { 1 },
+                ejected = if at == 1 { 0 } else { 1 },
             )
         })
         .collect();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn bad_calls_get_a_no_and_change_nothing() {
+fn invalid_admin_requests_are_rejected_and_change_nothing() {
     play(
         "console expect 404 GET /
          console expect 405 POST /_vars
@@ -143,19 +143,19 @@
 }
 
 #[test]
-fn callers_that_hold_their_connection_keep_nobody_out() {
+fn idle_connections_do_not_lock_out_other_admin_callers() {
     let site = Site::new(32, &[]);
     let process = site.start();
-    process.told("edge.active=0");
+    process.wait_for_var("edge.active=0");
     let crowd: Vec<_> = (0..300).map(|_| TcpStream::connect(site.listen).expect("queued")).collect();
     let idle = |n: u32| {
         let mut stream = TcpStream::connect(process.console).expect("queued");
-        let _ = stream.write_all(if n.is_multiple_of(2) { b"GET /_va" } else { b"" }); // cut off already, some of them
+        let _ = stream.write_all(if n.is_multiple_of(2) { b"GET /_va" } else { b"" }); // some are already closed
         stream
     };
     let idle: Vec<TcpStream> = (0..200).map(idle).collect();
     for _ in 0..5 {
-        let answer = process.operator("GET /_vars", "");
+        let answer = process.admin_request("GET /_vars", "");
         assert!(answer.starts_with("200 OK") && answer.ends_with("edge.pool_ejected=0\n"), "{answer}");
     }
     drop((crowd, idle));
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! Discovery that misbehaves, on sockets: whatever befalls a call or a watch, the proxy learns of the change that the
-//! next call would bring, says in its log what it met, and keeps its list until then. How long it takes is shown in
-//! virtual time (`src/discovery/watch/tests`); no test here depends on the pace of the machine.
+//! Tests of failures of discovery, over sockets: after any failure of a request or a watch, the proxy logs it, keeps
+//! its list, and receives the next change. The delays are tested in virtual time (`src/discovery/watch/tests`); no
+//! test here depends on the speed of the machine.
 
 mod scenario;
 #[path = "discovery/stand_in.rs"]
@@ -17,7 +17,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Leaves one of two; the other is left out by no other line of these tests.
+/// A delta that removes endpoint `b-0`, which leaves one of the two. No other line in these tests does that.
 const CHANGE: &str = r#"{"version":42,"servers":[{"id":"b-0","state":"gone"}]}"#;
 
 struct Proxy {
@@ -28,7 +28,7 @@
 }
 
 impl Proxy {
-    /// Knows of two endpoints, and has so many descriptors, by its settings and by the system.
+    /// Starts a proxy with two cached endpoints and this descriptor limit, in its settings and in the system.
     fn start(discovery: SocketAddr, sockets: usize) -> Proxy {
         Proxy::with(SETTINGS, discovery, sockets)
     }
@@ -58,94 +58,108 @@
         call_once(self.console, "GET /_vars", "").map(|answer| answer.body).unwrap_or_default()
     }
 
-    fn lists(&self, count: usize) -> bool {
+    fn has_pool_size(&self, count: usize) -> bool {
         self.vars().lines().any(|line| line == format!("edge.pool_size={count}"))
     }
 
-    fn waits_to_list(&self, count: usize) {
+    fn wait_for_pool_size(&self, count: usize) {
         let end = Instant::now() + NEVER;
-        while !self.lists(count) {
-            assert!(Instant::now() < end, "never {count}; the log: {:#?}", self.program.lines());
+        while !self.has_pool_size(count) {
+            assert!(
+                Instant::now() < end,
+                "pool size {count} not reached; the log: {:#?}",
+                self.program.lines()
+            );
             std::thread::yield_now();
         }
     }
 }
 
-/// What the next call after some bad answers brings, and what the log says of those.
-fn learns_after(bad: Vec<Answer>, said: &str) {
-    let discovery = Discovery::start(bad, Answer::lines(&format!("{CHANGE}\n"), End::Beats));
+/// Checks that the proxy logs this text for the invalid responses, and applies the valid response to the next
+/// request.
+fn check_recovery_after(invalid: Vec<Answer>, log_text: &str) {
+    let discovery = Discovery::start(invalid, Answer::lines(&format!("{CHANGE}\n"), End::KeepAlives));
     let proxy = Proxy::start(discovery.addr, 256);
-    proxy.program.line(said);
-    proxy.waits_to_list(1);
+    proxy.program.line(log_text);
+    proxy.wait_for_pool_size(1);
     assert_eq!(discovery.call(), "GET /registry/instances?watch=1&after=41");
-    assert_eq!(discovery.call(), "GET /registry/instances?watch=1&after=41", "nothing was taken before");
+    assert_eq!(discovery.call(), "GET /registry/instances?watch=1&after=41", "nothing was applied before");
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew() {
-    learns_after(vec![Answer::lines("\n", End::Silence)], "no complete line before the silence timeout");
+fn silent_watch_is_reopened() {
+    check_recovery_after(
+        vec![Answer::lines("\n", End::Silence)],
+        "no complete line before the silence timeout",
+    );
 }
 
 #[test]
-fn a_watch_that_is_reset_is_opened_anew_when_discovery_is_back() {
+fn reset_watch_is_reopened_when_discovery_is_back() {
     let at = free_port();
     let more = r#"{"version":42,"servers":[{"id":"c-0","state":"draining"}]}"#;
     let discovery = Discovery::start_at(at, vec![], Answer::lines(&format!("{more}\n"), End::Reset));
     let proxy = Proxy::start(at, 256);
     assert!(discovery.call().ends_with("after=41"));
-    proxy.waits_to_list(3);
+    proxy.wait_for_pool_size(3);
     drop(discovery);
     proxy.program.line("response body interrupted");
     let less = CHANGE.replace("42", "43");
-    let discovery = Discovery::start_at(at, vec![], Answer::lines(&format!("{less}\n"), End::Beats));
+    let discovery = Discovery::start_at(at, vec![], Answer::lines(&format!("{less}\n"), End::KeepAlives));
     assert!(discovery.call().ends_with("after=42"));
-    proxy.waits_to_list(2);
+    proxy.wait_for_pool_size(2);
 }
 
 #[test]
-fn half_a_line_and_then_silence_is_no_line() {
-    learns_after(
+fn incomplete_line_before_silence_is_not_applied() {
+    check_recovery_after(
         vec![Answer::lines(r#"{"version":42,"serv"#, End::Silence)],
         "no complete line before the silence timeout",
     );
 }
 
 #[test]
-fn bytes_that_never_make_a_line_are_silence() {
-    learns_after(vec![Answer::lines("\n", End::Drips(" "))], "no complete line before the silence timeout");
+fn bytes_without_a_complete_line_count_as_silence() {
+    check_recovery_after(
+        vec![Answer::lines("\n", End::Repeats(" "))],
+        "no complete line before the silence timeout",
+    );
 }
 
 #[test]
-fn an_object_that_never_ends_is_silence_however_many_lines_it_has() {
+fn unfinished_object_over_many_lines_counts_as_silence() {
     let begun = "{\"version\":42,\"servers\":[],\"more\":[\n";
-    learns_after(
-        vec![Answer::lines(begun, End::Drips("1,\n"))],
+    check_recovery_after(
+        vec![Answer::lines(begun, End::Repeats("1,\n"))],
         "no complete line before the silence timeout",
     );
 }
 
 #[test]
-fn an_answer_that_stalls_in_its_head_is_given_up() {
-    learns_after(vec![Answer::Raw("HTTP/1.1 200 OK\r\nTransfer-Enc", End::Silence)], "response timeout");
+fn response_that_stalls_in_its_head_times_out() {
+    check_recovery_after(
+        vec![Answer::Raw("HTTP/1.1 200 OK\r\nTransfer-Enc", End::Silence)],
+        "response timeout",
+    );
 }
 
 #[test]
-fn a_call_that_nothing_answers_is_given_up() {
-    learns_after(vec![Answer::Raw("", End::Silence)], "response timeout");
+fn request_without_a_response_times_out() {
+    check_recovery_after(vec![Answer::Raw("", End::Silence)], "response timeout");
 }
 
 #[test]
-fn a_refused_call_is_made_again() {
+fn rejected_request_is_repeated() {
     let refused = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
-    learns_after(vec![Answer::Raw(refused, End::Silence); 2], "status 503");
+    check_recovery_after(vec![Answer::Raw(refused, End::Silence); 2], "status 503");
 }
 
 #[test]
-fn a_list_may_be_indented_over_several_lines() {
+fn list_may_be_indented_over_several_lines() {
     let list = "{\r\n  \"version\": 42,\n  \"servers\": [\n    {\n      \"id\": \"b-0\",\n\n      \"state\": \"gone\"\n    }\n  ]\n}\n";
-    let discovery = Discovery::start(vec![], Answer::lines(list, End::Beats));
+    let discovery = Discovery::start(vec![], Answer::lines(list, End::KeepAlives));
     let proxy = Proxy::start(discovery.addr, 256);
-    proxy.waits_to_list(1);
+    proxy.wait_for_pool_size(1);
     assert!(discovery.call().ends_with("after=41"));
     assert_eq!(
         proxy.program.lines().iter().filter(|line| line.contains("discovery call ended")).count(),
@@ -155,57 +169,60 @@
 }
 
 #[test]
-fn a_bad_line_ends_the_watch_with_its_name_and_leaves_the_list_as_it_is() {
-    let gone = CHANGE.trim_end_matches('}');
+fn invalid_line_ends_the_watch_with_a_log_message_and_keeps_the_list() {
+    let unfinished = CHANGE.trim_end_matches('}');
     let cases = [
         (format!("{CHANGE}x\n"), "unexpected 'x' after the object"),
         (format!("{CHANGE},\n"), "unexpected ',' after the object"),
-        (format!("{gone}\n{CHANGE}\n"), "malformed object: unexpected '{'"),
+        (format!("{unfinished}\n{CHANGE}\n"), "malformed object: unexpected '{'"),
         (format!("x{CHANGE}\n"), "starts with 'x'"),
         (format!("[{CHANGE}]\n"), "starts with '['"),
-        (format!("{gone},\"version\":43}}\n"), "duplicate field"),
-        (format!("{gone},\"full\":2}}\n"), "expected a boolean"),
+        (format!("{unfinished},\"version\":43}}\n"), "duplicate field"),
+        (format!("{unfinished},\"full\":2}}\n"), "expected a boolean"),
         (CHANGE.replace("42", "-42") + "\n", "invalid endpoint list"),
         (CHANGE.replace("\"state\":\"gone\"", "\"stat\":\"gone\"") + "\n", "missing field"),
         (CHANGE.replace("gone", "go\nne") + "\n", "malformed object: unexpected '\\n'"),
         (CHANGE.replace("gone", &"x".repeat(5 << 20)) + "\n", "larger than"),
-        (format!("{gone},\"x\":{}", "[".repeat(20)), "nested more than"),
+        (format!("{unfinished},\"x\":{}", "[".repeat(20)), "nested more than"),
     ];
-    let bad = cases.iter().map(|(line, _)| Answer::lines(line, End::Silence)).collect();
-    let discovery = Discovery::start(bad, Answer::lines(&format!("{CHANGE}\n"), End::Beats));
+    let invalid = cases.iter().map(|(line, _)| Answer::lines(line, End::Silence)).collect();
+    let discovery = Discovery::start(invalid, Answer::lines(&format!("{CHANGE}\n"), End::KeepAlives));
     let proxy = Proxy::start(discovery.addr, 256);
-    for (line, said) in &cases {
+    for (line, reason) in &cases {
         assert!(discovery.call().ends_with("after=41"), "{:.200}", line);
-        let told = proxy.program.line("discovery call ended");
-        assert!(told.contains(said) && told.contains(&discovery.addr.to_string()), "{said}: {told}");
+        let logged = proxy.program.line("discovery call ended");
+        assert!(
+            logged.contains(reason) && logged.contains(&discovery.addr.to_string()),
+            "{reason}: {logged}"
+        );
     }
-    // The last one is what the proxy takes.
+    // The last response is valid and is applied.
     assert!(discovery.call().ends_with("after=41"));
-    proxy.waits_to_list(1);
+    proxy.wait_for_pool_size(1);
 }
 
 #[test]
-fn a_change_that_goes_back_is_not_taken_and_the_entire_list_is_asked_for() {
+fn older_version_is_rejected_and_the_full_list_is_requested() {
     let lines = r#"{"version":50,"servers":[]}
         {"version":49,"servers":[{"id":"b-0","state":"gone"}]}
         "#;
-    let entire = r#"{"version":3,"full":true,"servers":[{"id":"b-0","state":"draining"}]}"#;
+    let full_list = r#"{"version":3,"full":true,"servers":[{"id":"b-0","state":"draining"}]}"#;
     let discovery = Discovery::start(
         vec![Answer::lines(lines, End::Silence)],
-        Answer::lines(&format!("{entire}\n"), End::Beats),
+        Answer::lines(&format!("{full_list}\n"), End::KeepAlives),
     );
     let proxy = Proxy::start(discovery.addr, 256);
     proxy.program.line("stale update: version 49 is older than the current version 50");
     assert!(discovery.call().ends_with("after=41"));
     assert!(discovery.call().ends_with("after=0"));
-    proxy.waits_to_list(1);
+    proxy.wait_for_pool_size(1);
 }
 
 #[test]
-fn discovery_that_moves_while_a_call_hangs_or_a_watch_is_silent_is_called_at_its_new_place() {
+fn new_discovery_address_is_used_while_a_request_hangs_or_a_watch_is_silent() {
     for old in [Answer::Raw("", End::Silence), Answer::lines("\n", End::Silence)] {
         let before = Discovery::start(vec![old], Answer::Raw("", End::Silence));
-        let after = Discovery::start(vec![], Answer::lines(&format!("{CHANGE}\n"), End::Beats));
+        let after = Discovery::start(vec![], Answer::lines(&format!("{CHANGE}\n"), End::KeepAlives));
         let proxy = Proxy::start(before.addr, 256);
         before.call();
         let text = std::fs::read_to_string(&proxy.config).expect("read");
@@ -213,42 +230,42 @@
         std::fs::write(&proxy.config, text).expect("written");
         proxy.program.signal("HUP");
         assert!(after.call().ends_with("after=41"));
-        proxy.waits_to_list(1);
+        proxy.wait_for_pool_size(1);
         before.closed();
     }
 }
 
 #[test]
-fn discovery_that_is_down_at_the_start_is_found_when_it_comes() {
+fn discovery_down_at_the_start_is_reached_once_it_is_up() {
     let at = free_port();
     let proxy = Proxy::start(at, 256);
     (0..3).for_each(|_| _ = proxy.program.line("connection or request failed"));
-    let discovery = Discovery::start_at(at, vec![], Answer::lines(&format!("{CHANGE}\n"), End::Beats));
+    let discovery = Discovery::start_at(at, vec![], Answer::lines(&format!("{CHANGE}\n"), End::KeepAlives));
     assert!(discovery.call().ends_with("after=41"));
-    proxy.waits_to_list(1);
+    proxy.wait_for_pool_size(1);
 }
 
 #[test]
-fn discovery_that_has_to_be_asked_is_asked_again_after_a_call_that_failed_or_hung() {
+fn in_subscribe_mode_discovery_is_queried_again_after_a_failed_or_hanging_request() {
     let settings =
         SETTINGS.replace("automatic", "subscribe").replace("must-ask-in-ns\":10", "must-ask-in-ns\":1");
     assert!(settings.contains("subscribe") && settings.contains(r#""must-ask-in-ns":1000000000}"#));
-    let bad = vec![
+    let invalid = vec![
         Answer::Raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", End::Silence),
         Answer::Raw("", End::Silence),
         Answer::lines("\n", End::Silence),
     ];
-    let discovery = Discovery::start(bad, Answer::lines(&format!("{CHANGE}\n"), End::Beats));
+    let discovery = Discovery::start(invalid, Answer::lines(&format!("{CHANGE}\n"), End::KeepAlives));
     let proxy = Proxy::with(&settings, discovery.addr, 256);
-    for said in ["status 503", "response timeout", "no complete line before the silence timeout"] {
+    for log_text in ["status 503", "response timeout", "no complete line before the silence timeout"] {
         assert!(discovery.call().ends_with("after=41"));
-        proxy.program.line(said);
+        proxy.program.line(log_text);
     }
-    proxy.waits_to_list(1);
+    proxy.wait_for_pool_size(1);
 }
 
 #[test]
-fn a_start_waits_for_no_discovery_that_is_down_stalled_or_silent() {
+fn start_does_not_wait_for_discovery_that_is_down_stalled_or_silent() {
     let down = free_port();
     let stalled = Discovery::start(vec![], Answer::Raw("HTTP/1.1 200", End::Silence));
     let silent = Discovery::start(vec![], Answer::lines("", End::Silence));
@@ -258,27 +275,28 @@
         let is_ready =
             || call_once(proxy.listen, "GET /health/ready", "").is_ok_and(|m| m.first.starts_with("200"));
         while !is_ready() {
-            assert!(Instant::now() < end, "never ready");
+            assert!(Instant::now() < end, "not ready in time");
             std::thread::yield_now();
         }
         println!("ready after {:?}", begun.elapsed());
-        assert!(proxy.lists(2), "as it was known");
+        assert!(proxy.has_pool_size(2), "as in the cached list");
     }
 }
 
-/// Clients that connect, say nothing or ask for health once, and stay; whoever is cut off comes again.
+/// Clients that connect, send nothing, half a request or one health check, and stay connected; they reconnect when
+/// the proxy closes the connection.
 struct Crowd {
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     clients: Vec<std::thread::JoinHandle<()>>,
 }
 
 impl Crowd {
     fn start(to: SocketAddr, count: usize) -> Crowd {
-        let ends = Arc::<AtomicBool>::default();
+        let stop = Arc::<AtomicBool>::default();
         let client = |number: usize| {
-            let ends = ends.clone();
+            let stop = stop.clone();
             std::thread::spawn(move || {
-                while !ends.load(Ordering::SeqCst) {
+                while !stop.load(Ordering::SeqCst) {
                     let Ok(mut stream) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else {
                         continue;
                     };
@@ -291,9 +309,9 @@
                     let mut one = [0; 512];
                     loop {
                         match std::io::Read::read(&mut stream, &mut one) {
-                            Ok(0) => break, // cut off
+                            Ok(0) => break, // closed by the proxy
                             Err(e) if !matches!(e.kind(), std::io::ErrorKind::WouldBlock) => break,
-                            _ if ends.load(Ordering::SeqCst) => break,
+                            _ if stop.load(Ordering::SeqCst) => break,
                             _ => {}
                         }
                     }
@@ -301,17 +319,17 @@
             })
         };
         let clients = (0..count).map(client).collect();
-        Crowd { ends, clients }
+        Crowd { stop, clients }
     }
 
     fn end(self) {
-        self.ends.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
         self.clients.into_iter().for_each(|client| client.join().expect("no panic"));
     }
 }
 
 #[test]
-fn clients_that_lie_idle_leave_descriptors_for_discovery_backends_and_the_console() {
+fn idle_clients_leave_descriptors_for_discovery_backends_and_the_admin_server() {
     const SOCKETS: usize = 112;
     let at = free_port();
     let proxy = Proxy::start(at, SOCKETS);
@@ -325,15 +343,16 @@
     };
     is_down();
     let crowd = Crowd::start(proxy.listen, 2 * SOCKETS);
-    // Their share is full, and there is no more for them.
-    let open = || std::fs::read_dir(format!("/proc/{}/fd", proxy.program.id())).expect("it runs").count();
+    // Wait until the clients use all descriptors that clients may have.
+    let open =
+        || std::fs::read_dir(format!("/proc/{}/fd", proxy.program.id())).expect("the program runs").count();
     let end = Instant::now() + NEVER;
     let mut most = 0;
     while most < (SOCKETS - 72) / 2 {
-        assert!(Instant::now() < end, "the crowd holds {most} descriptors at most");
+        assert!(Instant::now() < end, "the clients use at most {most} descriptors");
         most = most.max(open());
     }
-    // While it goes on, discovery comes back, and tells of a backend, which a request reaches.
+    // With these clients connected, discovery comes back and lists a backend, which a request reaches.
     let backend = scenario::serve(|mut stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
         while let Ok(Some(_)) = read_message(&mut reader) {
@@ -342,12 +361,12 @@
     });
     let server = |id: usize| format!(r#"{{"id":"c-{id}","addr":"{backend}","state":"ready","zone":"z"}}"#);
     for version in 42..45 {
-        // Each time it has a list of another length, and goes down again with its watch.
+        // Each time, discovery has a list of another length, and goes down again with its watch.
         let count = version - 41;
         let servers: Vec<String> = (0..count).map(server).collect();
         let list = format!(r#"{{"version":{version},"full":true,"servers":[{}]}}"#, servers.join(","));
         let discovery = Discovery::start_at(at, vec![], Answer::lines(&format!("{list}\n"), End::Reset));
-        proxy.waits_to_list(count);
+        proxy.wait_for_pool_size(count);
         most = most.max(open());
         drop(discovery);
         is_down();
@@ -359,7 +378,7 @@
         if answer.as_ref().is_ok_and(|first| first.starts_with("200")) {
             break;
         }
-        assert!(Instant::now() < end, "never served: {answer:?}");
+        assert!(Instant::now() < end, "request not served in time: {answer:?}");
     }
     crowd.end();
     log.extend(proxy.program.lines());
--- a/crates/proxy/tests/discovery/stand_in.rs
+++ b/crates/proxy/tests/discovery/stand_in.rs
@@ -1,4 +1,4 @@
-//! A discovery that answers each call as it is told.
+//! A stand-in of the discovery service that answers each request from a script.
 
 use super::scenario::{NEVER, read_message};
 use socket2::SockRef;
@@ -10,29 +10,29 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What an answer says again and again, it says so often.
-const PACE: Duration = Duration::from_millis(200);
+/// The interval between the repeated parts of a response.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a call gets.
+/// The response to a request.
 #[derive(Clone)]
 pub enum Answer {
-    /// These bytes.
+    /// Exactly these bytes.
     Raw(&'static str, End),
-    /// The head of a good answer, and this as a chunk of it.
+    /// The head of a valid response, and this text as its first chunk.
     Lines(String, End),
 }
 
-/// What follows.
+/// What follows the first part of a response.
 #[derive(Clone, Copy)]
 pub enum End {
     /// Nothing.
     Silence,
-    /// A reset, when discovery goes down.
+    /// Nothing, and a reset when the stand-in stops.
     Reset,
-    /// This as a chunk, over and over.
-    Drips(&'static str),
-    /// Empty lines, as they should be.
-    Beats,
+    /// This text as a chunk, repeatedly.
+    Repeats(&'static str),
+    /// Empty lines, the keep-alive of a valid watch.
+    KeepAlives,
 }
 
 impl Answer {
@@ -45,7 +45,7 @@
     pub addr: SocketAddr,
     calls: Receiver<String>,
     closed: Receiver<()>,
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 }
 
 struct Script {
@@ -53,16 +53,16 @@
     last: Answer,
     calls: Mutex<Sender<String>>,
     closed: Mutex<Sender<()>>,
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 }
 
 impl Discovery {
-    /// The first calls get these answers, and all others the last.
+    /// Starts a stand-in that answers the first requests with `first`, and all others with `last`.
     pub fn start(first: Vec<Answer>, last: Answer) -> Discovery {
         Discovery::listen(TcpListener::bind("127.0.0.1:0").expect("a port"), first, last)
     }
 
-    /// The same at an address where nobody listens.
+    /// Same as [`Discovery::start`], at an unused address.
     pub fn start_at(at: SocketAddr, first: Vec<Answer>, last: Answer) -> Discovery {
         let end = Instant::now() + NEVER;
         loop {
@@ -74,39 +74,39 @@
     }
 
     fn listen(listener: TcpListener, first: Vec<Answer>, last: Answer) -> Discovery {
-        let ((calls, called), (closed, was_closed), ends) =
+        let ((calls, called), (closed, was_closed), stop) =
             (channel(), channel(), Arc::<AtomicBool>::default());
         let addr = listener.local_addr().expect("bound");
         let (next, calls, closed) = (Mutex::new(first.into()), Mutex::new(calls), Mutex::new(closed));
-        let script = Arc::new(Script { next, last, calls, closed, ends: ends.clone() });
+        let script = Arc::new(Script { next, last, calls, closed, stop: stop.clone() });
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if script.ends.load(Ordering::SeqCst) {
+                if script.stop.load(Ordering::SeqCst) {
                     return;
                 }
                 let script = script.clone();
                 std::thread::spawn(move || _ = script.answer(stream));
             }
         });
-        Discovery { addr, calls: called, closed: was_closed, ends }
+        Discovery { addr, calls: called, closed: was_closed, stop }
     }
 
-    /// Waits for the next call, and gives its first line.
+    /// Waits for the next request and returns its first line.
     pub fn call(&self) -> String {
-        self.calls.recv_timeout(NEVER).expect("a call")
+        self.calls.recv_timeout(NEVER).expect("a request")
     }
 
-    /// Waits until the proxy has ended a connection.
+    /// Waits until the proxy has closed a connection.
     pub fn closed(&self) {
-        self.closed.recv_timeout(NEVER).expect("an end");
+        self.closed.recv_timeout(NEVER).expect("a closed connection");
     }
 }
 
 impl Drop for Discovery {
-    /// Goes down.
+    /// Stops listening.
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::SeqCst);
-        let _ = TcpStream::connect(self.addr); // so that it sees that
+        self.stop.store(true, Ordering::SeqCst);
+        let _ = TcpStream::connect(self.addr); // wakes the accept loop
     }
 }
 
@@ -123,13 +123,13 @@
         let _ = self.calls.lock().expect("no panic").send(call.first);
         stream.set_nodelay(true)?;
         stream.write_all(text.as_bytes())?;
-        stream.set_read_timeout(Some(PACE))?;
+        stream.set_read_timeout(Some(REPEAT_INTERVAL))?;
         let mut rest = [0; 64];
-        while !self.ends.load(Ordering::SeqCst) {
+        while !self.stop.load(Ordering::SeqCst) {
             match stream.read(&mut rest) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => match end {
-                    End::Drips(text) => stream.write_all(chunk(text).as_bytes())?,
-                    End::Beats => stream.write_all(chunk("\n").as_bytes())?,
+                    End::Repeats(text) => stream.write_all(chunk(text).as_bytes())?,
+                    End::KeepAlives => stream.write_all(chunk("\n").as_bytes())?,
                     _ => {}
                 },
                 Ok(n) if n > 0 => {}
--- a/crates/proxy/tests/fleet/mod.rs
+++ b/crates/proxy/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet under load: many small backends that note when each was last called, clients that never stop, and a
-//! proxy that follows a file. For what a scenario of single steps cannot show.
+//! Load tests: backends that record when they get requests, clients that send requests continuously, and a proxy
+//! that watches a file of endpoints. For behavior that a scenario of single steps cannot show.
 
 #![allow(dead_code)] // no test file uses all of it
 
@@ -14,66 +14,66 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// One backend. It answers with its name.
+/// A backend that responds with its name.
 pub struct Backend {
     pub addr: SocketAddr,
-    seen: Arc<Seen>,
+    log: Arc<RequestLog>,
 }
 
 #[derive(Default)]
-struct Seen {
-    calls: Mutex<Calls>,
+struct RequestLog {
+    calls: Mutex<Requests>,
     called: Condvar,
 }
 
 #[derive(Default)]
-struct Calls {
+struct Requests {
     count: u64,
-    /// Since when it should be called no more.
+    /// Since when the backend should get no requests.
     stopped: Option<Instant>,
-    /// The last call after that.
+    /// How long after that the last request arrived.
     late: Option<Duration>,
 }
 
 impl Backend {
     pub fn new(name: &str) -> Backend {
-        let seen = Arc::<Seen>::default();
-        let (name, noted) = (name.to_owned(), seen.clone());
+        let log = Arc::<RequestLog>::default();
+        let (name, noted) = (name.to_owned(), log.clone());
         let addr = scenario::serve(move |stream| serve(stream, &name, &noted));
-        Backend { addr, seen }
+        Backend { addr, log }
     }
 
-    /// From now on it should not be called, or may be again. Says how long after the last stop it was called
-    /// last.
+    /// Sets whether the backend should get no requests from now on. Returns how long after the previous stop the
+    /// last request arrived, or `None` if there was none.
     pub fn stop(&self, stop: bool) -> Option<Duration> {
-        let mut calls = self.seen.calls.lock().expect("no panic");
+        let mut calls = self.log.calls.lock().expect("no panic");
         calls.stopped = stop.then(Instant::now);
         calls.late.take()
     }
 
     pub fn calls(&self) -> u64 {
-        self.seen.calls.lock().expect("no panic").count
+        self.log.calls.lock().expect("no panic").count
     }
 
-    /// Waits until it has been called more often than this.
+    /// Waits until the backend has received more requests than this.
     pub fn wait_past(&self, count: u64) {
-        let calls = self.seen.calls.lock().expect("no panic");
-        let few = |calls: &mut Calls| calls.count <= count;
-        let (_calls, waited) = self.seen.called.wait_timeout_while(calls, NEVER, few).expect("no panic");
-        assert!(!waited.timed_out(), "{} was never called", self.addr);
+        let calls = self.log.calls.lock().expect("no panic");
+        let few = |calls: &mut Requests| calls.count <= count;
+        let (_calls, waited) = self.log.called.wait_timeout_while(calls, NEVER, few).expect("no panic");
+        assert!(!waited.timed_out(), "{} received no request", self.addr);
     }
 }
 
-fn serve(stream: TcpStream, name: &str, seen: &Seen) {
+fn serve(stream: TcpStream, name: &str, log: &RequestLog) {
     let Ok(mut reader) = stream.try_clone().map(BufReader::new) else { return };
     let mut writer = stream;
     while let Ok(Some(message)) = read_message(&mut reader) {
         let is_probe = message.first.starts_with("GET /health/");
         if !is_probe {
-            let mut calls = seen.calls.lock().expect("no panic");
+            let mut calls = log.calls.lock().expect("no panic");
             calls.count += 1;
             calls.late = calls.stopped.map(|at| at.elapsed()).or(calls.late);
-            seen.called.notify_all();
+            log.called.notify_all();
         }
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{name}", name.len());
         if writer.write_all(answer.as_bytes()).is_err() {
@@ -82,7 +82,7 @@
     }
 }
 
-/// The proxy with an operators' file, in whose directory endpoints are listed in `fleet.toml`.
+/// A proxy with an operators' file, and `fleet.toml` with the endpoints in the same directory.
 pub struct Proxy {
     pub program: Program,
     pub listen: SocketAddr,
@@ -107,11 +107,11 @@
         proxy
     }
 
-    /// Puts a file in the place of the last one.
+    /// Replaces `fleet.toml` by a rename.
     pub fn list(&self, text: &str) {
-        let beside = self.disk.join(".beside");
-        std::fs::write(&beside, text).expect("written");
-        std::fs::rename(beside, self.disk.join("fleet.toml")).expect("renamed");
+        let temporary = self.disk.join(".beside");
+        std::fs::write(&temporary, text).expect("written");
+        std::fs::rename(temporary, self.disk.join("fleet.toml")).expect("renamed");
     }
 }
 
@@ -121,22 +121,22 @@
     }
 }
 
-/// A client on one connection.
+/// A client with one connection.
 pub struct Client {
     stream: BufReader<TcpStream>,
-    /// The last answer said that its connection ends.
+    /// The last response had `Connection: close`.
     pub closes: bool,
 }
 
 impl Client {
     pub fn new(to: SocketAddr) -> Client {
-        let stream = TcpStream::connect(to).expect("it listens");
+        let stream = TcpStream::connect(to).expect("connected");
         stream.set_read_timeout(Some(NEVER)).expect("set");
         stream.set_nodelay(true).expect("set");
         Client { stream: BufReader::new(stream), closes: false }
     }
 
-    /// Status and body of one request's answer; none if the connection ended.
+    /// Sends a request and returns the status and body of the response, or `None` if the connection ended.
     pub fn call(&mut self) -> Option<(u16, String)> {
         self.get("/x")
     }
@@ -147,25 +147,25 @@
         let text = format!("GET {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: q{id}\r\nX-Class: view\r\n\r\n");
         self.stream.get_mut().write_all(text.as_bytes()).ok()?;
         let answer = read_message(&mut self.stream).ok()??;
-        self.closes = answer.headers.get("connection").is_some_and(|said| said == "close");
+        self.closes = answer.headers.get("connection").is_some_and(|value| value == "close");
         Some((answer.first.get(..3)?.parse().ok()?, answer.body))
     }
 }
 
-/// Clients that call one request after the other until they are dropped.
+/// Clients that each send requests one after another until [`Load::end`].
 pub struct Load {
-    ends: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<BTreeMap<u16, u64>>>,
 }
 
 impl Load {
     pub fn start(to: SocketAddr, clients: usize) -> Load {
-        let ends = Arc::<AtomicBool>::default();
+        let stop = Arc::<AtomicBool>::default();
         let client = |_| {
-            let ends = ends.clone();
+            let stop = stop.clone();
             std::thread::spawn(move || {
                 let (mut client, mut tally) = (Client::new(to), BTreeMap::new());
-                while !ends.load(SeqCst) {
+                while !stop.load(SeqCst) {
                     match client.call() {
                         Some((status, _)) => *tally.entry(status).or_default() += 1,
                         None => client = Client::new(to),
@@ -175,12 +175,12 @@
             })
         };
         let clients = (0..clients).map(client).collect();
-        Load { ends, clients }
+        Load { stop, clients }
     }
 
-    /// Ends them, and says how many answers of each status came.
+    /// Stops the clients and returns the number of responses by status.
     pub fn end(self) -> BTreeMap<u16, u64> {
-        self.ends.store(true, SeqCst);
+        self.stop.store(true, SeqCst);
         let mut sum = BTreeMap::new();
         for client in self.clients {
             for (status, n) in client.join().expect("no panic") {
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,13 +1,14 @@
-//! The program on sockets, one scenario for each thing it must do. The language is in `scenario/mod.rs`.
+//! End-to-end tests of `olivecart serve` over sockets, one scenario per behavior. `scenario/mod.rs` documents
+//! the scenario language.
 
 mod scenario;
 use scenario::{SETTINGS, config_file, olivecart, play, play_with};
 
 #[test]
-fn what_goes_on_is_what_came_and_connections_are_used_again() {
+fn requests_and_responses_are_forwarded_unchanged_and_connections_are_reused() {
     play_with(
         &["a", "b"],
-        &SETTINGS.replace("\"probes\":true", "\"probes\":false"), // which would open connections too
+        &SETTINGS.replace("\"probes\":true", "\"probes\":false"), // health checks would open connections too
         "c send POST /api/x%20y?q=1,2&q=3 X-Class=book X-Request-Id=r7 Idempotency-Key=k9 X-Tenant=t Connection=keep-alive,X-Hop X-Hop=1 X-Deadline=9000m | {\"a\": 1}
          a expect POST /api/x%20y?q=1,2&q=3 on=new x-request-id=r7 idempotency-key=k9 x-tenant=t x-hop= x-deadline=* host=api.internal | {\"a\": 1}
          a send 200 Content-Type=text/odd X-Load=util=0.5 | all of it
@@ -20,26 +21,26 @@
 }
 
 #[test]
-fn bad_callers_get_a_plain_answer_and_never_reach_a_backend() {
+fn invalid_requests_are_rejected_and_never_reach_a_backend() {
     let big = "x".repeat(65_537);
     let head = "POST /0 HTTP/1.1\\r\\nHost: h\\r\\nX-Request-Id: r\\r\\nX-Class: view\\r\\n";
-    let hidden =
+    let smuggled =
         format!("Content-Length: 40\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n0\\r\\n\\r\\n{head}\\r\\n");
-    let bad = [
+    let invalid = [
         ("GET /1 X-Class=", 400),
         ("GET /2 X-Class=steal", 400),
         ("GET /3 X-Deadline=soon", 400),
         ("GET /4 X-Deadline=99999999999999999999", 400),
         ("GET /5 X-Request-Id=", 400),
         ("GET /6 Content-Length=-4", 400),
-        ("GET /7 Content-Length=60000000", 413), // and nothing of it: it is not waited for
+        ("GET /7 Content-Length=60000000", 413), // rejected without waiting for the body
         ("raw nonsense\\r\\n\\r\\n", 400),
         (&format!("raw {head}Content-Length: 1\\r\\nContent-Length: 2\\r\\n\\r\\nx"), 400),
         (&format!("raw {head}Transfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n"), 400),
-        (&format!("raw {head}{hidden}"), 400),
+        (&format!("raw {head}{smuggled}"), 400),
         (&format!("raw {head}X-Pad: {big}{big}"), 431),
     ];
-    let each = bad.map(|(bad, status)| format!("c send {bad}\nc expect {status}\nc expect closed\n"));
+    let each = invalid.map(|(text, status)| format!("c send {text}\nc expect {status}\nc expect closed\n"));
     play(&format!(
         "{}
          c2 send raw {head}Content-Length: 9\\r\\n\\r\\nhalf
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn clients_that_send_nothing_or_too_slowly_are_let_go_and_keep_nobody_out() {
+fn silent_and_slow_clients_are_evicted_for_new_clients() {
     // 256 descriptors leave 104 for clients.
     let silent = |n: u32| format!("c{n} send raw {}\n", if n.is_multiple_of(2) { "" } else { "GET /" });
     let all: String = (1..300).map(silent).collect();
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_call_that_is_safe_to_repeat_goes_to_the_next_backend_after_an_error() {
+fn repeatable_request_is_retried_on_another_endpoint_after_an_error() {
     play(
         "c send GET /api
          a expect GET /api
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_keyed_call_that_may_have_run_fails_rather_than_leave_its_cell() {
+fn keyed_request_that_may_have_run_is_not_retried_in_another_cell() {
     play(
         "c send POST /api X-Class=book | x
          a expect POST /api
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_keyed_call_that_was_turned_away_unseen_goes_elsewhere() {
+fn keyed_request_that_did_not_run_is_retried_on_another_endpoint() {
     play(
         "c send POST /api X-Class=book | x
          a expect POST /api
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn an_answer_that_broke_off_is_not_an_answer() {
+fn truncated_response_counts_as_a_failure() {
     play(
         "c send GET /length
          a expect GET /length
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn an_answer_in_pieces_is_put_together() {
+fn response_in_pieces_is_reassembled() {
     play(
         "c send GET /api
          a expect GET /api
@@ -153,9 +154,9 @@
 }
 
 #[test]
-fn answers_that_cannot_be_read_count_as_failed_and_their_connections_are_closed() {
+fn malformed_response_counts_as_a_failure_and_closes_its_connection() {
     let endless = "x".repeat(20_000);
-    for spoilt in [
+    for malformed in [
         "ICY 200 OK\\r\\nContent-Length: 4\\r\\n\\r\\nhalf",
         "HTTP/1.1 2x0 OK\\r\\nContent-Length: 4\\r\\n\\r\\nhalf",
         "HTTP/1.1 200 OK\\r\\nContent-Length: 4\\r\\nContent-Length: 9\\r\\n\\r\\nhalf",
@@ -169,7 +170,7 @@
         play(&format!(
             "c send GET /api
              a expect GET /api
-             a send raw {spoilt}
+             a send raw {malformed}
              a expect closed
              b expect GET /api
              b send 200 | good
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn interim_answers_are_not_the_answer() {
+fn interim_responses_are_skipped() {
     play_with(
         &["a"],
         SETTINGS,
@@ -200,8 +201,8 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_nobodys_answer() {
-    for (first, behind) in [
+fn bytes_after_a_response_are_not_used_as_the_next_response() {
+    for (first, trailing) in [
         ("Content-Length: 1\\r\\n\\r\\n1", "HTTP/1.1 200 OK\\r\\nContent-Length: 1\\r\\n\\r\\n1"),
         ("Transfer-Encoding: chunked\\r\\n\\r\\n1\\r\\n1\\r\\n0\\r\\n\\r\\n", "noise"),
     ] {
@@ -211,14 +212,14 @@
             &format!(
                 "c send GET /1
                  a expect GET /1
-                 a send raw HTTP/1.1 200 OK\\r\\n{first}{behind}
+                 a send raw HTTP/1.1 200 OK\\r\\n{first}{trailing}
                  c expect 200 | 1
                  a expect closed
                  c send GET /2
                  a expect GET /2 on=new
                  a send 200 | 2
                  c expect 200 | 2
-                 a send raw {behind}
+                 a send raw {trailing}
                  c send GET /3
                  a expect GET /3 on=new
                  a send 200 | 3
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn a_backend_that_will_have_none_of_a_request_is_not_at_fault() {
+fn client_error_status_does_not_count_against_the_endpoint() {
     play(
         "c send POST /1 X-Class=book | x
          a expect POST /1
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
+fn keyed_request_is_sent_elsewhere_after_a_refused_connection() {
     play_with(
         &["x", "a"],
         SETTINGS,
@@ -267,7 +268,7 @@
 }
 
 #[test]
-fn a_request_in_pieces_and_two_in_one_piece_are_each_answered_in_turn() {
+fn split_and_pipelined_requests_are_answered_in_order() {
     play_with(
         &["a"],
         SETTINGS,
@@ -292,7 +293,7 @@
 }
 
 #[test]
-fn an_answer_over_the_limit_is_not_passed_on() {
+fn response_over_the_size_limit_is_not_forwarded() {
     play(
         "c send POST /api X-Class=book | x
          a expect POST /api
@@ -302,7 +303,7 @@
 }
 
 #[test]
-fn a_client_that_goes_away_takes_its_call_along() {
+fn client_disconnect_cancels_its_attempt() {
     play(
         "c send GET /api
          a expect GET /api
@@ -312,7 +313,7 @@
 }
 
 #[test]
-fn a_silent_backend_does_not_keep_the_client_from_its_one_answer() {
+fn client_gets_exactly_one_response_when_the_backend_is_silent() {
     play(
         "c send POST /api X-Class=book X-Deadline=300m | x
          a expect POST /api
@@ -324,7 +325,7 @@
 }
 
 #[test]
-fn clients_between_two_requests_make_room_for_those_with_one() {
+fn idle_clients_are_evicted_for_clients_with_requests() {
     // 256 descriptors leave 104 for clients.
     let served =
         |n: u32| format!("c{n} send GET /{n}\na expect GET /{n}\na send 200 | {n}\nc{n} expect 200 | {n}\n");
@@ -333,7 +334,7 @@
 }
 
 #[test]
-fn more_open_requests_than_the_settings_allow_are_refused() {
+fn requests_over_the_open_request_limit_are_rejected() {
     play_with(
         &["a"],
         &SETTINGS.replace("\"allowed\":{", "\"allowed\":{\"most-held\":1,"),
@@ -347,7 +348,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_backend_would() {
+fn idle_backend_connection_is_closed_after_the_idle_timeout() {
     play_with(
         &["a"],
         &SETTINGS.replace("60000000000", "1000000000"),
@@ -360,7 +361,7 @@
 }
 
 #[test]
-fn a_backend_that_ends_its_connection_is_called_on_another() {
+fn request_after_the_backend_closes_uses_a_new_connection() {
     play_with(
         &["a"],
         SETTINGS,
@@ -378,8 +379,8 @@
 }
 
 #[test]
-fn a_connection_that_was_closed_right_behind_an_answer_is_not_written_to() {
-    // Over and over, since the end and the next request cross at a different moment each time.
+fn connection_closed_right_after_a_response_is_not_reused() {
+    // Repeated, since the close and the next request race and cross at a different time in each repetition.
     let once = "c send POST /1 X-Class=book | x
          a expect POST /1 on=new
          a send 200 | 1
@@ -389,7 +390,7 @@
 }
 
 #[test]
-fn the_list_is_followed_however_its_lines_are_cut() {
+fn watch_lines_are_applied_across_chunk_boundaries() {
     play(
         "discovery expect GET /registry/instances?watch=1&after=41
          discovery send raw HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n
@@ -409,7 +410,7 @@
 }
 
 #[test]
-fn a_watch_that_ends_or_falls_silent_is_begun_anew_after_the_version_held() {
+fn ended_or_silent_watch_is_reopened_after_the_current_version() {
     play(
         "discovery expect GET /registry/instances?watch=1&after=41
          discovery close
@@ -422,7 +423,7 @@
 }
 
 #[test]
-fn with_nobody_to_send_to_a_request_is_refused_early_and_readiness_says_so() {
+fn without_endpoints_requests_are_rejected_early_and_readiness_fails() {
     play_with(
         &[],
         SETTINGS,
@@ -441,10 +442,10 @@
 }
 
 #[test]
-fn a_planned_end_answers_what_was_taken_and_closes_what_is_idle() {
+fn graceful_shutdown_answers_open_requests_and_closes_idle_connections() {
     play_with(
         &["a", "b"],
-        &SETTINGS.replace("\"may-cancel\":true", "\"may-cancel\":false"), // or the slow call is called off
+        &SETTINGS.replace("\"may-cancel\":true", "\"may-cancel\":false"), // otherwise the slow request would be cancelled
         "c send GET /idle
          a expect GET /idle
          a send 200 | idle
@@ -466,7 +467,7 @@
 }
 
 #[test]
-fn what_comes_after_the_signal_is_answered_before_the_end() {
+fn requests_after_the_signal_are_answered_before_the_exit() {
     play_with(
         &["a"],
         SETTINGS,
@@ -485,7 +486,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_watch_and_a_broken_one_changes_nothing() {
+fn reload_moves_the_watch_and_an_invalid_configuration_changes_nothing() {
     play(
         "discovery expect GET /registry/instances?watch=1&after=41
          discovery send raw HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n
@@ -514,18 +515,18 @@
 }
 
 #[test]
-fn the_command_line_checks_a_configuration_and_names_the_faulty_key() {
+fn check_command_names_the_invalid_key() {
     let check = |config: &str| {
-        let run = olivecart("check", &config_file(config)).output().expect("it runs");
+        let run = olivecart("check", &config_file(config)).output().expect("the program runs");
         (
             run.status.success(),
             format!("{}{}", String::from_utf8_lossy(&run.stdout), String::from_utf8_lossy(&run.stderr)),
         )
     };
-    let whole = format!(
+    let valid = format!(
         r#"{{"listen":"127.0.0.1:8081","discovery":"127.0.0.1:8500","limits":{{"sockets":1024}},"seed":"ff","settings":{SETTINGS}}}"#
     );
-    assert_eq!(check(&whole), (true, check(&whole).1));
+    assert_eq!(check(&valid), (true, check(&valid).1));
     let cases = [
         (r#""127.0.0.1:8081""#, r#""nowhere""#, "listen"),
         (r#""discovery":"#, r#""discoverie":"#, "discovery"),
@@ -540,14 +541,14 @@
         (r#""automatic""#, r#""sometimes""#, "registry-mode"),
         (r#""tier":0"#, r#""tier":"zero""#, "tier"),
     ];
-    for (right, wrong, key) in cases {
-        assert!(whole.contains(right), "{right}");
-        let (good, message) = check(&whole.replacen(right, wrong, 1));
-        assert!(!good && message.contains(key), "{key}: {message}");
+    for (valid_text, invalid_text, key) in cases {
+        assert!(valid.contains(valid_text), "{valid_text}");
+        let (is_valid, message) = check(&valid.replacen(valid_text, invalid_text, 1));
+        assert!(!is_valid && message.contains(key), "{key}: {message}");
     }
-    let mut overridden = olivecart("check", &config_file(&whole));
-    let run = overridden.env("EDGE_LISTEN", "elsewhere").output().expect("it runs");
+    let mut overridden = olivecart("check", &config_file(&valid));
+    let run = overridden.env("EDGE_LISTEN", "elsewhere").output().expect("the program runs");
     assert!(!run.status.success() && String::from_utf8_lossy(&run.stderr).contains("EDGE_LISTEN"));
-    let version = olivecart("version", std::path::Path::new("")).output().expect("it runs");
+    let version = olivecart("version", std::path::Path::new("")).output().expect("the program runs");
     assert!(String::from_utf8_lossy(&version.stdout).starts_with("olivecart "));
 }
--- a/crates/proxy/tests/scenario/mod.rs
+++ b/crates/proxy/tests/scenario/mod.rs
@@ -1,28 +1,36 @@
-//! A small language for tests on sockets. Each line is one step: who, what, and the particulars.
+//! A small scenario language for tests over sockets. Each line is one step: the actor, the verb and its arguments.
 //!
 //! ```text
-//! c send POST /api X-Class=book | body     a client sends a request (on its connection, if it has one)
-//! a expect POST /api | body                the next call that arrives at backend a
-//! a send 200 | answer                      its answer; `send raw TEXT`, `send chunk TEXT` for less or worse
-//! c expect 200 | answer                    the client's answer; NAME=* asks only for a header's presence
-//! c close                                  closes a connection; `expect closed` waits for the other side's
-//! proxy wait ready                         waits for an event: `ready`, the `exit` of the program, `signal N`
-//! proxy expect log TEXT                    waits for a line of the program's log with this in it
-//! file send discovery=@moved               replaces the configuration file; `send raw TEXT` for anything else
-//! disk list NAME cart=a,b/draining book=d  puts a file of endpoints in the place of another; `raw NAME TEXT`
-//!                                          writes one in place, `remove NAME` and `mkdir NAME` do that
-//! plane list cart=a,b/draining             a control plane over xDS has these clusters anew; `cluster NAME` one
-//!                                          without endpoints; `remove NAME`; `drop` breaks its streams, `restart`
-//!                                          with other clusters too; `expect TEXT .. TEXT` waits for its journal
-//! console expect 200 POST /path BODY       an operator's call and the status of its answer
-//! console wait NAME=VALUE NAME=VALUE       waits until all these figures are told
+//! c send POST /api X-Class=book | body     client c sends a request, on its open connection if it has one
+//! a expect POST /api | body                waits for the next request that reaches backend a, and compares it
+//! a send 200 | body                        backend a responds; `send raw TEXT` writes arbitrary bytes,
+//!                                          `send chunk TEXT` one chunk
+//! c expect 200 | body                      reads the client's response and compares it; NAME=* requires that
+//!                                          a header is present, NAME= that it is absent
+//! c close                                  closes the connection; `expect closed` waits until the proxy does
+//! proxy send TERM                          sends a signal to the proxy
+//! proxy wait ready                         waits until the proxy is `ready`, for its successful `exit`, or for
+//!                                          its end by `signal N`; `expect unready` waits until it is not ready
+//! proxy expect log TEXT                    waits for a log line that contains the text
+//! file send discovery=@moved               replaces an address in the configuration file; `send raw TEXT`
+//!                                          replaces the whole file
+//! disk list NAME cart=a,b/draining book=d  replaces a file of endpoints by a rename; `raw NAME TEXT` writes a
+//!                                          file in place; `remove NAME`; `mkdir NAME`
+//! plane list cart=a,b/draining             sets clusters of the xDS control plane; `cluster NAME` adds one
+//!                                          without endpoints; `remove NAME`; `drop` closes its streams;
+//!                                          `restart` also replaces all clusters; `expect TEXT .. TEXT` waits
+//!                                          for a line of its journal
+//! console expect 200 POST /path BODY       sends a request to the admin server and compares the status
+//! console wait NAME=VALUE NAME=VALUE       waits until the admin server reports all these statistics
 //! ```
 //!
-//! Clients are `c`, `c2`...; backends `a` and `b` answer probes by themselves, `a` is the preferred one, and a
-//! call is `on=same` or `on=new` connection; `x` comes before `a` but refuses connections, and to `latecomer` none comes up
-//! before `latecomer accept`; its `expect POST / left=c` wants the head to tell at most what `c`'s deadline left when it
-//! accepted, with the slack there is; `a expect nothing` waits for the end of a connection that has brought no call. `discovery` is
-//! a peer like a backend, and `moved` another. Nothing sleeps: every wait is for an event.
+//! Clients are `c`, `c2` and so on. Backends `a` and `b` answer health checks themselves; `a` is the preferred
+//! endpoint. `a expect` with `on=same` or `on=new` requires the request to arrive on the same or a new connection.
+//! Endpoint `x` is preferred to `a` and refuses connections. Connections to `latecomer` are not established before
+//! `latecomer accept`; `latecomer expect POST / left=c` requires the deadline header to contain at most the time that
+//! client `c` had left at that step, plus the slack. `a expect nothing` waits for the end of a connection on which no
+//! request arrived. `discovery` and `moved` are scripted peers like the backends. No step sleeps: every wait is for
+//! an event.
 
 #![allow(dead_code)] // no test file uses all of it
 
@@ -44,10 +52,10 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// Longer than anything takes on any machine; a test that gets here has failed.
+/// The timeout of every wait, longer than any step takes on any machine; a test that reaches it has failed.
 pub const NEVER: Duration = Duration::from_secs(60);
 
-/// How much more than its client has left a request may tell a backend.
+/// The maximum by which the deadline header of an attempt may exceed the time that the client has left.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
 pub const SETTINGS: &str = r#"{"a-key-of-tomorrow":[1],"dcs":["z"],"zone":"z","me":0,"group-size":1,"tier":0,
@@ -58,33 +66,33 @@
 {"name":"view","aim-ns":20000000000,"give-up-ns":50000000000,"effect":"repeatable"},
 {"name":"book","aim-ns":20000000000,"give-up-ns":50000000000,"effect":"by_key","group":"cell","window-ns":10000000000}]}"#;
 
-/// Plays a scenario with backends `a` and `b`, in cells of their own.
+/// Runs a scenario with backends `a` and `b`, each in a separate cell.
 pub fn play(text: &str) {
     play_with(&["a", "b"], SETTINGS, text);
 }
 
-/// Plays a scenario with these backends in the known list, and these settings.
-pub fn play_with(known: &[&str], settings: &str, text: &str) {
-    play_all(known, settings, None, text);
+/// Runs a scenario with these backends in the cached endpoint list, and these settings.
+pub fn play_with(listed: &[&str], settings: &str, text: &str) {
+    play_all(listed, settings, None, text);
 }
 
-/// Plays a scenario with an operators' file, which lies in the directory of the `disk`'s files; of it and them,
-/// `@NAME` is a backend's address.
+/// Runs a scenario with an operators' file in the directory of the `disk` steps. In that file and those of the
+/// steps, `@NAME` is replaced with a backend's address.
 pub fn play_clusters(operators: &str, text: &str) {
     play_all(&["a", "b"], SETTINGS, Some(operators), text);
 }
 
-fn play_all(known: &[&str], settings: &str, operators: Option<&str>, text: &str) {
+fn play_all(listed: &[&str], settings: &str, operators: Option<&str>, text: &str) {
     let console = text.contains("console ").then(free_port);
-    let mut stage = Stage::set(known, settings, operators, console);
+    let mut harness = Harness::start(listed, settings, operators, console);
     for line in text.lines().map(str::trim).filter(|l| !l.is_empty()) {
-        if let Err(what) = stage.step(line) {
-            panic!("at `{line}`: {what}; the log since: {:#?}", stage.program.lines());
+        if let Err(error) = harness.step(line) {
+            panic!("at `{line}`: {error}; log lines since: {:#?}", harness.program.lines());
         }
     }
 }
 
-/// One message: its first line without the version, headers in lower case, and the body.
+/// An HTTP message: its first line without the version, its headers with lower-case names, and its body.
 pub struct Message {
     pub first: String,
     pub headers: HashMap<String, String>,
@@ -108,7 +116,7 @@
     Ok(Some(Message { first, headers, body: String::from_utf8_lossy(&body).into_owned() }))
 }
 
-/// Serves each connection on a thread of its own, for good.
+/// Serves each connection on a separate thread until the process ends.
 pub fn serve(connection: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -126,10 +134,10 @@
     });
 }
 
-/// Calls once on a connection of its own.
+/// Sends one request on a new connection and returns the response.
 pub fn call_once(at: SocketAddr, first: &str, body: &str) -> std::io::Result<Message> {
     let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(NEVER))?; // bound, and not answered by who hangs
+    stream.set_read_timeout(Some(NEVER))?; // a process that hangs accepts and does not answer
     let length = body.len();
     let head =
         format!("{first} HTTP/1.1\r\nHost: p\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
@@ -137,8 +145,8 @@
     read_message(&mut BufReader::new(stream))?.ok_or_else(|| ErrorKind::UnexpectedEof.into())
 }
 
-/// Whether a message is what the particulars ask for.
-fn compare(got: &Message, wanted: &Wanted) -> Result<(), String> {
+/// Compares a message with the arguments of an `expect` step.
+fn compare(got: &Message, wanted: &Arguments) -> Result<(), String> {
     if !format!("{} ", got.first).starts_with(&format!("{} ", wanted.first)) {
         return Err(format!("got `{}` with {:?} | {}", got.first, got.headers, got.body));
     }
@@ -155,15 +163,15 @@
     }
 }
 
-/// The particulars of a step: words, NAME=VALUE headers, and a body after a bar.
-struct Wanted {
+/// The arguments of a step: words, NAME=VALUE headers, and a body after a bar.
+struct Arguments {
     first: String,
     headers: Vec<(String, String)>,
     body: Option<String>,
 }
 
-impl Wanted {
-    fn parse(text: &str) -> Wanted {
+impl Arguments {
+    fn parse(text: &str) -> Arguments {
         let (head, body) = match text.split_once(" | ") {
             Some((head, body)) => (head, Some(unescape(body))),
             None => (text, None),
@@ -171,7 +179,7 @@
         let is_header = |w: &&str| w.contains('=') && !w.starts_with('/');
         let (headers, words): (Vec<&str>, Vec<&str>) = head.split_whitespace().partition(is_header);
         let pair = |w: &str| w.split_once('=').map(|(n, v)| (n.to_owned(), v.to_owned()));
-        Wanted { first: words.join(" "), headers: headers.into_iter().filter_map(pair).collect(), body }
+        Arguments { first: words.join(" "), headers: headers.into_iter().filter_map(pair).collect(), body }
     }
 
     fn header_lines(&self) -> String {
@@ -180,19 +188,20 @@
     }
 }
 
-/// A client's deadline, and when it began to send its request.
+/// The deadline of a client's request, and the time when sending it started.
 #[derive(Clone, Copy)]
-struct Asked {
+struct SentDeadline {
     deadline: Duration,
     at: Instant,
 }
 
-/// Whether a request tells a backend no more time than its client had left at an instant before it was written.
-fn tells_at_most(got: &Message, asked: Asked, opened: Instant) -> Result<(), String> {
-    let told = got.headers.get("x-deadline").and_then(|told| told.strip_suffix('u')?.parse().ok());
-    let told = Duration::from_micros(told.ok_or("no deadline")?);
-    let left = asked.deadline.saturating_sub(opened.duration_since(asked.at)) + DEADLINE_SLACK;
-    if told <= left { Ok(()) } else { Err(format!("it tells {told:?} where {left:?} are left")) }
+/// Checks that the deadline header of an attempt contains no more time than its client had left when the
+/// backend began to accept connections, which is before the head was written.
+fn check_deadline(got: &Message, sent: SentDeadline, opened: Instant) -> Result<(), String> {
+    let value = got.headers.get("x-deadline").and_then(|value| value.strip_suffix('u')?.parse().ok());
+    let deadline = Duration::from_micros(value.ok_or("no deadline")?);
+    let left = sent.deadline.saturating_sub(opened.duration_since(sent.at)) + DEADLINE_SLACK;
+    if deadline <= left { Ok(()) } else { Err(format!("deadline is {deadline:?}, with {left:?} left")) }
 }
 
 fn unescape(text: &str) -> String {
@@ -200,7 +209,7 @@
 }
 
 enum Arrival {
-    Call(Message, u32, TcpStream),
+    Request(Message, u32, TcpStream),
     Closed(u32),
 }
 
@@ -208,36 +217,37 @@
 struct Peer {
     addr: SocketAddr,
     arrivals: Receiver<Arrival>,
-    /// Arrived and not yet asked for.
+    /// Arrivals that no step has consumed yet.
     waiting: Vec<Arrival>,
     current: Option<(u32, TcpStream)>,
-    /// Connections to it do not come up yet.
-    closed: Option<Door>,
-    /// When they did.
+    /// Present while connections to this peer cannot be established.
+    blocked: Option<BlockedListener>,
+    /// When the peer began to accept connections.
     opened: Option<Instant>,
 }
 
-/// A listener whose queue is full, so that the system lets no further connection come up; and who fills it.
-struct Door {
+/// A listener whose accept queue is full, so that the system establishes no further connections.
+struct BlockedListener {
     listener: TcpListener,
-    crowd: TcpStream,
+    /// The connection that fills the queue.
+    queued: TcpStream,
 }
 
-impl Door {
-    fn shut() -> Door {
+impl BlockedListener {
+    fn new() -> BlockedListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
         socket.listen(0).expect("it listens");
         let listener = TcpListener::from(socket);
-        let crowd =
-            TcpStream::connect(listener.local_addr().expect("bound")).expect("the one that is queued");
-        Door { listener, crowd }
+        let queued = TcpStream::connect(listener.local_addr().expect("bound")).expect("queued");
+        BlockedListener { listener, queued }
     }
 
-    /// Those that knock come up when they next do: within a second for one that has not been waiting for longer.
+    /// Accepts the queued connection, which frees the queue. Pending connections are established when the
+    /// system next sends their SYN: within a second, if they have not waited longer.
     fn open(self) -> TcpListener {
-        let (_, crowd) = self.listener.accept().expect("the one that was queued");
-        assert_eq!(crowd, self.crowd.local_addr().expect("connected"));
+        let (_, peer) = self.listener.accept().expect("the queued connection");
+        assert_eq!(peer, self.queued.local_addr().expect("connected"));
         self.listener
     }
 }
@@ -246,19 +256,19 @@
     fn new() -> Peer {
         let ((sender, arrivals), numbers) = (channel(), AtomicU32::new(1));
         let addr = serve(move |stream| listen(stream, numbers.fetch_add(1, Ordering::Relaxed), &sender));
-        Peer { addr, arrivals, waiting: Vec::new(), current: None, closed: None, opened: None }
+        Peer { addr, arrivals, waiting: Vec::new(), current: None, blocked: None, opened: None }
     }
 
-    /// One that accepts nothing yet.
+    /// Creates a peer to which connections cannot be established before [`Peer::accept`].
     fn late() -> Peer {
-        let door = Door::shut();
-        let addr = door.listener.local_addr().expect("bound");
+        let blocked = BlockedListener::new();
+        let addr = blocked.listener.local_addr().expect("bound");
         Peer {
             addr,
             arrivals: channel().1,
             waiting: Vec::new(),
             current: None,
-            closed: Some(door),
+            blocked: Some(blocked),
             opened: None,
         }
     }
@@ -267,7 +277,7 @@
         let ((sender, arrivals), numbers) = (channel(), AtomicU32::new(1));
         self.arrivals = arrivals;
         self.opened = Some(Instant::now());
-        let listener = self.closed.take().ok_or("it accepts")?.open();
+        let listener = self.blocked.take().ok_or("already accepting")?.open();
         serve_at(listener, move |stream| listen(stream, numbers.fetch_add(1, Ordering::Relaxed), &sender));
         Ok(())
     }
@@ -283,11 +293,16 @@
                 return Ok(take(self.waiting.remove(at)));
             }
             let left = end.saturating_duration_since(Instant::now());
-            self.waiting.push(self.arrivals.recv_timeout(left).map_err(|_| "nothing came")?);
+            self.waiting.push(self.arrivals.recv_timeout(left).map_err(|_| "nothing arrived")?);
         }
     }
 
-    fn step(&mut self, verb: &str, rest: &str, asked: &HashMap<String, Asked>) -> Result<(), String> {
+    fn step(
+        &mut self,
+        verb: &str,
+        rest: &str,
+        deadlines: &HashMap<String, SentDeadline>,
+    ) -> Result<(), String> {
         let (number, stream) = match &self.current {
             Some((number, stream)) => (*number, Some(stream)),
             None => (0, None),
@@ -296,14 +311,14 @@
             ("accept", "") => self.accept(),
             ("expect", "nothing") => match self.next(|_| true, |a| a)? {
                 Arrival::Closed(_) => Ok(()),
-                Arrival::Call(message, ..) => Err(format!("got `{}`", message.first)),
+                Arrival::Request(message, ..) => Err(format!("got `{}`", message.first)),
             },
             ("expect", "closed") => self.next(|a| matches!(a, Arrival::Closed(n) if *n == number), drop),
             ("expect", _) => {
-                let call = self.next(|a| matches!(a, Arrival::Call(..)), |a| a)?;
-                let Arrival::Call(message, number, stream) = call else { return Ok(()) };
+                let request = self.next(|a| matches!(a, Arrival::Request(..)), |a| a)?;
+                let Arrival::Request(message, number, stream) = request else { return Ok(()) };
                 let before = self.current.replace((number, stream)).map(|(number, _)| number);
-                let mut wanted = Wanted::parse(rest);
+                let mut wanted = Arguments::parse(rest);
                 if let Some(at) = wanted.headers.iter().position(|(name, _)| name == "on")
                     && (wanted.headers.remove(at).1 == "same") != (before == Some(number))
                 {
@@ -311,8 +326,8 @@
                 }
                 if let Some(at) = wanted.headers.iter().position(|(name, _)| name == "left") {
                     let client = wanted.headers.remove(at).1;
-                    let opened = self.opened.ok_or("it was always open")?;
-                    tells_at_most(&message, *asked.get(&client).ok_or("no deadline")?, opened)?;
+                    let opened = self.opened.ok_or("not a late peer")?;
+                    check_deadline(&message, *deadlines.get(&client).ok_or("no deadline")?, opened)?;
                 }
                 compare(&message, &wanted)
             }
@@ -321,7 +336,7 @@
                     (Some(raw), _) => unescape(raw),
                     (_, Some(chunk)) => format!("{:x}\r\n{}\r\n", unescape(chunk).len(), unescape(chunk)),
                     _ => {
-                        let answer = Wanted::parse(rest);
+                        let answer = Arguments::parse(rest);
                         let body = answer.body.clone().unwrap_or_default();
                         let (status, headers) = (&answer.first, answer.header_lines());
                         format!(
@@ -341,46 +356,47 @@
     }
 }
 
-/// Reads what comes on one connection of a peer; probes are answered here.
+/// Reads the requests on one connection of a peer and answers health checks.
 fn listen(stream: TcpStream, number: u32, arrivals: &Sender<Arrival>) {
     let Ok(mut reader) = stream.try_clone().map(BufReader::new) else { return };
     while let Ok(Some(message)) = read_message(&mut reader) {
         let Ok(mut writer) = stream.try_clone() else { return };
         if message.first == "GET /health/live" {
             let _ = writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-        } else if arrivals.send(Arrival::Call(message, number, writer)).is_err() {
+        } else if arrivals.send(Arrival::Request(message, number, writer)).is_err() {
             return;
         }
     }
     let _ = arrivals.send(Arrival::Closed(number));
 }
 
-/// The program with its scripted peers and clients.
-struct Stage {
+/// The proxy with its scripted peers and clients.
+struct Harness {
     program: Program,
     listen: SocketAddr,
     peers: HashMap<String, Peer>,
     clients: HashMap<String, BufReader<TcpStream>>,
-    /// What those said that gave a deadline in milliseconds.
-    asked: HashMap<String, Asked>,
+    /// The deadlines of the clients that sent one in milliseconds.
+    deadlines: HashMap<String, SentDeadline>,
     file: PathBuf,
     disk: PathBuf,
-    /// There if the operators' file names it.
+    /// Present if the operators' file refers to it.
     plane: Option<Plane>,
-    /// There if the scenario has operators that call.
+    /// Present if the scenario has `console` steps.
     console: Option<SocketAddr>,
 }
 
-/// Where nobody listens, and nobody else of this run will: each process has a loopback address for itself.
-/// Danger: a port found free by binding it may go to a peer of another test, which then answers in place of a program
-/// that has not started yet; and a child that another test starts at that moment holds the port bound until its exec.
+/// Returns an address without a listener that no other test of this run uses: each process uses a loopback
+/// address of its own. A port found free by binding it could be given to a peer of another test, which would then
+/// answer in place of a program that has not started yet; and a child process that another test starts meanwhile
+/// would keep the port bound until its exec.
 pub fn free_port() -> SocketAddr {
     static NUMBER: AtomicU16 = AtomicU16::new(10_000);
     let [_, rest, high, low] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, high, low, rest + 1], NUMBER.fetch_add(1, Ordering::Relaxed)))
 }
 
-/// A path that nothing else of this run has.
+/// Returns a path that nothing else in this run uses.
 pub fn fresh(suffix: &str) -> PathBuf {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let name = format!("{}-{}{suffix}", std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
@@ -393,7 +409,7 @@
     path
 }
 
-/// A file of endpoints: `CLUSTER=ID/STATE,ID` words, with addresses by id.
+/// Returns the text of a file of endpoints, from `CLUSTER=ID/STATE,ID` words. `at` returns the address of an id.
 pub fn endpoints_file(words: &str, at: impl Fn(&str) -> String) -> String {
     let mut text = "version = 1\n".to_owned();
     for (cluster, ids) in words.split_whitespace().filter_map(|word| word.split_once('=')) {
@@ -417,11 +433,16 @@
     program
 }
 
-impl Stage {
-    fn set(known: &[&str], settings: &str, operators: Option<&str>, console: Option<SocketAddr>) -> Stage {
+impl Harness {
+    fn start(
+        listed: &[&str],
+        settings: &str,
+        operators: Option<&str>,
+        console: Option<SocketAddr>,
+    ) -> Harness {
         let names = ["a", "b", "d", "e", "discovery", "moved"];
         let mut peers: HashMap<_, _> = names.iter().map(|n| (n.to_string(), Peer::new())).collect();
-        let late = known.contains(&"latecomer");
+        let late = listed.contains(&"latecomer");
         if late {
             peers.insert("latecomer".to_owned(), Peer::late());
         }
@@ -430,7 +451,7 @@
             let addr = peers.get(*name).map_or_else(free_port, |p| p.addr);
             format!(r#"{{"id":"{name}-0","addr":"{addr}","state":"ready","zone":"z","cell":{cell}}}"#)
         };
-        let servers: Vec<_> = known.iter().enumerate().map(server).collect();
+        let servers: Vec<_> = listed.iter().enumerate().map(server).collect();
         let config = config_file(&format!(
             r#"{{"name":"n1","listen":"{listen}","discovery":"{}","seed":"8c1f30d27a5be964","later":1,
             "limits":{{"sockets":256}},"known":{{"version":41,"full":true,"servers":[{}]}},"settings":{settings}}}"#,
@@ -440,7 +461,7 @@
         let mut program = olivecart("serve", &config);
         program.env("EDGE_DISCOVERY", peers["discovery"].addr.to_string());
         if late {
-            program.env("OLIVECART_LOG", "debug"); // it says when it begins to connect
+            program.env("OLIVECART_LOG", "debug"); // the start of a connection attempt is logged at this level
         }
         console.iter().for_each(|console| _ = program.env("EDGE_CONSOLE", console.to_string()));
         let disk = fresh("");
@@ -454,14 +475,15 @@
             program.env("OLIVECART_CLUSTERS", disk.join("clusters.toml"));
         }
         let program = Program::start(&mut program);
-        let (clients, asked) = (HashMap::new(), HashMap::new());
-        let stage = Stage { program, listen, peers, clients, asked, file: config, disk, plane, console };
-        stage.answers("/health/live", "200").expect("it starts");
-        stage
+        let (clients, deadlines) = (HashMap::new(), HashMap::new());
+        let harness =
+            Harness { program, listen, peers, clients, deadlines, file: config, disk, plane, console };
+        harness.wait_for_status("/health/live", "200").expect("the program starts");
+        harness
     }
 
-    /// Waits until a path is answered with a status.
-    fn answers(&self, path: &str, status: &str) -> Result<(), String> {
+    /// Waits until the proxy responds to a path with a status.
+    fn wait_for_status(&self, path: &str, status: &str) -> Result<(), String> {
         let end = Instant::now() + NEVER;
         while Instant::now() < end {
             let answer = call_once(self.listen, &format!("GET {path}"), "");
@@ -470,7 +492,7 @@
             }
             std::thread::yield_now();
         }
-        Err(format!("never {status}"))
+        Err(format!("status {status} not received"))
     }
 
     fn step(&mut self, line: &str) -> Result<(), String> {
@@ -478,8 +500,8 @@
         let (who, verb, rest) = (words.next(), words.next(), words.next().unwrap_or_default());
         let (who, verb) = (who.unwrap_or_default(), verb.unwrap_or_default());
         match (who, verb, rest) {
-            ("proxy", "wait", "ready") => self.answers("/health/ready", "200"),
-            ("proxy", "expect", "unready") => self.answers("/health/ready", "503"),
+            ("proxy", "wait", "ready") => self.wait_for_status("/health/ready", "200"),
+            ("proxy", "expect", "unready") => self.wait_for_status("/health/ready", "503"),
             ("proxy", "send", name) => {
                 self.program.signal(name);
                 Ok(())
@@ -499,39 +521,39 @@
                 };
                 std::fs::write(&self.file, text).map_err(|e| e.to_string())
             }
-            ("console", _, _) => self.operator(verb, rest),
-            ("disk", _, _) => self.disk(verb, rest),
+            ("console", _, _) => self.admin_step(verb, rest),
+            ("disk", _, _) => self.disk_step(verb, rest),
             ("plane", _, _) => {
-                let Stage { plane, peers, .. } = self;
+                let Harness { plane, peers, .. } = self;
                 plane.as_mut().ok_or("no control plane")?.step(verb, rest, |id| peers[id].addr)
             }
             ("proxy", "wait", "exit") => {
-                let status = self.program.ends();
+                let status = self.program.wait_for_exit();
                 if status.success() { Ok(()) } else { Err(status.to_string()) }
             }
             ("proxy", "wait", _) if rest.starts_with("signal ") => {
-                let status = self.program.ends();
+                let status = self.program.wait_for_exit();
                 let ended = status.signal().map(|signal| signal.to_string());
                 if ended.as_deref() == Some(&rest[7..]) { Ok(()) } else { Err(status.to_string()) }
             }
             _ if self.peers.contains_key(who) => {
-                let rest = self.addressed(rest);
-                self.peers.get_mut(who).ok_or("no such peer")?.step(verb, &rest, &self.asked)
+                let rest = self.insert_addresses(rest);
+                self.peers.get_mut(who).ok_or("no such peer")?.step(verb, &rest, &self.deadlines)
             }
-            _ if who.starts_with('c') => self.client(who, verb, rest),
+            _ if who.starts_with('c') => self.client_step(who, verb, rest),
             _ => Err("no such step".into()),
         }
     }
 
-    /// Addresses in what discovery says, and in files, are written @NAME.
-    fn addressed(&self, text: &str) -> String {
+    /// Replaces `@NAME` with the address of the peer.
+    fn insert_addresses(&self, text: &str) -> String {
         let at = |text: String, (name, peer): (&String, &Peer)| {
             text.replace(&format!("@{name}"), &peer.addr.to_string())
         };
         self.peers.iter().fold(text.to_owned(), at)
     }
 
-    fn operator(&self, verb: &str, rest: &str) -> Result<(), String> {
+    fn admin_step(&self, verb: &str, rest: &str) -> Result<(), String> {
         let at = self.console.ok_or("no console")?;
         let call = |first: &str, body: &str| call_once(at, first, body).map_err(|e| e.to_string());
         let words: Vec<&str> = rest.splitn(4, ' ').collect();
@@ -547,14 +569,13 @@
             ("wait", _) => {
                 let end = Instant::now() + NEVER;
                 loop {
-                    let told = call("GET /_vars", "")?.body;
-                    let told: Vec<&str> = told.lines().collect();
-                    if rest.split_whitespace().all(|figure| told.contains(&format!("edge.{figure}").as_str()))
-                    {
+                    let text = call("GET /_vars", "")?.body;
+                    let vars: Vec<&str> = text.lines().collect();
+                    if rest.split_whitespace().all(|var| vars.contains(&format!("edge.{var}").as_str())) {
                         return Ok(());
                     }
                     if Instant::now() > end {
-                        return Err(format!("never; at last {told:?}"));
+                        return Err(format!("timed out; last reported {vars:?}"));
                     }
                     std::thread::yield_now();
                 }
@@ -563,16 +584,16 @@
         }
     }
 
-    fn disk(&mut self, verb: &str, rest: &str) -> Result<(), String> {
-        let (name, what) = rest.split_once(' ').unwrap_or((rest, ""));
+    fn disk_step(&mut self, verb: &str, rest: &str) -> Result<(), String> {
+        let (name, content) = rest.split_once(' ').unwrap_or((rest, ""));
         let path = self.disk.join(name);
         let done = match verb {
             "list" => {
-                let text = endpoints_file(what, |id| self.peers[id].addr.to_string());
-                let beside = self.disk.join(".beside");
-                std::fs::write(&beside, text).and_then(|()| std::fs::rename(beside, path))
+                let text = endpoints_file(content, |id| self.peers[id].addr.to_string());
+                let temporary = self.disk.join(".beside");
+                std::fs::write(&temporary, text).and_then(|()| std::fs::rename(temporary, path))
             }
-            "raw" => std::fs::write(path, unescape(&self.addressed(what))),
+            "raw" => std::fs::write(path, unescape(&self.insert_addresses(content))),
             "remove" if path.is_dir() => std::fs::remove_dir(path),
             "remove" => std::fs::remove_file(path),
             "mkdir" => std::fs::create_dir(path),
@@ -581,28 +602,28 @@
         done.map_err(|e| e.to_string())
     }
 
-    fn client(&mut self, who: &str, verb: &str, rest: &str) -> Result<(), String> {
-        let plain = |e: std::io::Error| e.to_string();
+    fn client_step(&mut self, who: &str, verb: &str, rest: &str) -> Result<(), String> {
+        let to_text = |e: std::io::Error| e.to_string();
         if verb == "send" && !self.clients.contains_key(who) {
-            let stream = TcpStream::connect(self.listen).map_err(plain)?;
-            stream.set_read_timeout(Some(NEVER)).map_err(plain)?;
+            let stream = TcpStream::connect(self.listen).map_err(to_text)?;
+            stream.set_read_timeout(Some(NEVER)).map_err(to_text)?;
             self.clients.insert(who.to_owned(), BufReader::new(stream));
         }
-        let link = self.clients.get_mut(who).ok_or("not connected")?;
+        let connection = self.clients.get_mut(who).ok_or("not connected")?;
         match (verb, rest) {
             ("send", _) => {
                 let text = match rest.strip_prefix("raw ") {
                     Some(raw) => unescape(raw),
-                    None => request(Wanted::parse(rest)),
+                    None => request(Arguments::parse(rest)),
                 };
                 let deadline = rest.split_whitespace().find_map(|word| word.strip_prefix("X-Deadline="));
                 if let Some(ms) = deadline.and_then(|text| text.strip_suffix('m')?.parse().ok()) {
-                    let asked = Asked { deadline: Duration::from_millis(ms), at: Instant::now() };
-                    self.asked.insert(who.to_owned(), asked);
+                    let deadline = SentDeadline { deadline: Duration::from_millis(ms), at: Instant::now() };
+                    self.deadlines.insert(who.to_owned(), deadline);
                 }
-                link.get_mut().write_all(text.as_bytes()).map_err(plain)
+                connection.get_mut().write_all(text.as_bytes()).map_err(to_text)
             }
-            ("expect", "closed") => match link.read(&mut [0; 1]) {
+            ("expect", "closed") => match connection.read(&mut [0; 1]) {
                 Ok(0) => self.clients.remove(who).map(drop).ok_or_else(String::new),
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => {
                     self.clients.remove(who).map(drop).ok_or_else(String::new)
@@ -610,8 +631,8 @@
                 other => Err(format!("not closed: {other:?}")),
             },
             ("expect", _) => {
-                let message = read_message(link).map_err(plain)?.ok_or("closed without an answer")?;
-                compare(&message, &Wanted::parse(rest))
+                let message = read_message(connection).map_err(to_text)?.ok_or("closed without an answer")?;
+                compare(&message, &Arguments::parse(rest))
             }
             ("close", _) => self.clients.remove(who).map(drop).ok_or_else(String::new),
             _ => Err("no such step".into()),
@@ -619,8 +640,9 @@
     }
 }
 
-/// A client's request; what every request carries is there unless it is given, or given as empty.
-fn request(mut wanted: Wanted) -> String {
+/// Formats a client's request. Adds the headers that every request needs, unless they are given; a header given
+/// as empty is left out.
+fn request(mut wanted: Arguments) -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let id = format!("r{}", NUMBER.fetch_add(1, Ordering::Relaxed));
     for (name, value) in [("Host", "api.internal"), ("X-Request-Id", &id), ("X-Class", "view")] {
@@ -633,8 +655,8 @@
     format!("{first} HTTP/1.1\r\n{headers}{length}\r\n{body}")
 }
 
-impl Drop for Stage {
+impl Drop for Harness {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.disk); // there only with an operators' file
+        let _ = std::fs::remove_dir_all(&self.disk); // exists only with an operators' file
     }
 }
--- a/crates/proxy/tests/scenario/plane.rs
+++ b/crates/proxy/tests/scenario/plane.rs
@@ -1,4 +1,4 @@
-//! A control plane for tests, on a thread of its own: the lab's, which speaks xDS on loopback.
+//! Runs the lab's xDS control plane on loopback, on a separate thread, for scenarios and tests.
 
 use super::NEVER;
 use olivecart_lab::control_plane::{ControlPlane, HealthStatus, Kind, Resources};
@@ -8,7 +8,7 @@
 pub struct Plane {
     plane: ControlPlane,
     runtime: Runtime,
-    /// Lines of the journal that were waited for.
+    /// The number of journal lines that earlier `expect` steps have consumed.
     seen: usize,
 }
 
@@ -28,13 +28,13 @@
         self.plane.change(change);
     }
 
-    /// One step of a scenario. `at` tells the address of an id.
+    /// Runs one step of a scenario. `at` returns the address of an id.
     pub fn step(&mut self, verb: &str, rest: &str, at: impl Fn(&str) -> SocketAddr) -> Result<(), String> {
         let set = |resources: &mut Resources| {
             for (cluster, ids) in rest.split_whitespace().filter_map(|word| word.split_once('=')) {
                 resources.set_cluster(cluster);
                 let ids: Vec<_> =
-                    ids.split(',').filter(|id| !id.is_empty()).map(|id| listed(id, &at)).collect();
+                    ids.split(',').filter(|id| !id.is_empty()).map(|id| parse_endpoint(id, &at)).collect();
                 let ids: Vec<_> = ids.iter().map(|(id, at, health)| (id.as_str(), *at, *health)).collect();
                 resources.set_health(cluster, &ids);
             }
@@ -57,7 +57,10 @@
                 let found =
                     async { tokio::time::timeout(NEVER, self.plane.journal().wait_for(from, &parts)).await };
                 let lines = || self.plane.journal().lines().split_off(from).join("\n");
-                let (line, _) = self.runtime.block_on(found).map_err(|_| format!("only:\n{}", lines()))?;
+                let (line, _) = self
+                    .runtime
+                    .block_on(found)
+                    .map_err(|_| format!("not found in the journal:\n{}", lines()))?;
                 self.seen = line + 1;
             }
             _ => return Err("no such step".into()),
@@ -66,8 +69,8 @@
     }
 }
 
-/// An id with its state, as `ID/STATE`.
-fn listed(word: &str, at: impl Fn(&str) -> SocketAddr) -> (String, SocketAddr, HealthStatus) {
+/// Parses `ID/STATE` into an endpoint of the control plane.
+fn parse_endpoint(word: &str, at: impl Fn(&str) -> SocketAddr) -> (String, SocketAddr, HealthStatus) {
     let (id, state) = word.split_once('/').unwrap_or((word, ""));
     let health = match state {
         "draining" => HealthStatus::Draining,
--- a/crates/proxy/tests/scenario/program.rs
+++ b/crates/proxy/tests/scenario/program.rs
@@ -1,4 +1,4 @@
-//! The program as a child, with the lines of its log.
+//! Runs the program as a child process and collects the lines of its log.
 
 use super::NEVER;
 use std::io::{BufRead, BufReader};
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Instant;
 
-/// Killed when it is dropped, if it has not ended by then.
+/// A running program. It is killed when this is dropped, if it has not ended by then.
 pub struct Program {
     child: Child,
     log: Receiver<String>,
@@ -14,11 +14,11 @@
 
 impl Program {
     pub fn start(command: &mut Command) -> Program {
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("it starts");
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
         let (lines, log) = channel();
-        let said = BufReader::new(child.stderr.take().expect("piped"));
-        // Read to the end, whether or not anybody asks for it.
-        std::thread::spawn(move || said.lines().map_while(Result::ok).for_each(|line| _ = lines.send(line)));
+        let text = BufReader::new(child.stderr.take().expect("piped"));
+        // Read to the end, so that the program never blocks on a full pipe.
+        std::thread::spawn(move || text.lines().map_while(Result::ok).for_each(|line| _ = lines.send(line)));
         Program { child, log }
     }
 
@@ -26,13 +26,13 @@
         self.child.id()
     }
 
-    /// Waits for a line of the log with this in it, and gives it.
+    /// Waits for a log line that contains this text, and returns the line.
     pub fn line(&self, with: &str) -> String {
         let end = Instant::now() + NEVER;
         let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now()));
         let mut others = Vec::new();
         loop {
-            let line = next().unwrap_or_else(|_| panic!("no line with {with}: {others:#?}"));
+            let line = next().unwrap_or_else(|_| panic!("no log line with {with}: {others:#?}"));
             if line.contains(with) {
                 return line;
             }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The lines that nobody asked for so far.
+    /// Returns the log lines that have not been consumed so far.
     pub fn lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
@@ -51,15 +51,15 @@
         assert!(Command::new("kill").args([name, id]).status().expect("kill runs").success());
     }
 
-    /// Waits for its end.
-    pub fn ends(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+    /// Waits until the program ends.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        self.child.wait().expect("the program ends")
     }
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // ended already, in the tests that wait for it
+        let _ = self.child.kill(); // already ended in tests that wait for the exit
         let _ = self.child.wait();
     }
 }
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -1,5 +1,5 @@
-//! The sidecar on sockets: order of start and end, the application that dies and comes back, what it calls, and the
-//! admin listener.
+//! Tests of `olivecart sidecar` over sockets: readiness and draining, an application that dies and returns, its
+//! outbound requests, reloads, and the admin listener.
 
 mod fleet;
 mod scenario;
@@ -14,7 +14,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// What is around a sidecar: its file, and the addresses in it.
+/// A running sidecar, with its directory and the addresses in its configuration.
 struct Sidecar {
     program: Program,
     inbound: SocketAddr,
@@ -24,7 +24,7 @@
 }
 
 impl Sidecar {
-    /// Before an application, with one service to call, whose endpoints are listed in a file.
+    /// Starts a sidecar for an application, with one outbound service whose endpoints are listed in a file.
     fn start(application: SocketAddr, endpoints: &str) -> Sidecar {
         let (inbound, calls, admin, disk) = (free_port(), free_port(), free_port(), fresh(""));
         std::fs::create_dir(&disk).expect("a directory");
@@ -51,11 +51,11 @@
         (answer.first[..3].parse().expect("a status"), answer.body)
     }
 
-    /// Waits until the admin listener says so of `/ready`.
-    fn until_ready(&self, ready: bool) {
+    /// Waits until `/ready` of the admin listener reports this readiness.
+    fn wait_until_ready(&self, ready: bool) {
         let end = Instant::now() + NEVER;
         while self.admin("GET /ready").0 != if ready { 200 } else { 503 } {
-            assert!(Instant::now() < end, "never");
+            assert!(Instant::now() < end, "readiness not reported in time");
             std::thread::yield_now();
         }
     }
@@ -67,40 +67,40 @@
     }
 }
 
-fn list(backend: &Backend) -> String {
+fn endpoints_file(backend: &Backend) -> String {
     format!(
         "version = 1\n[[clusters]]\nname = \"cart\"\n[[clusters.endpoints]]\nname = \"a\"\naddress = \"{}\"\n[end]\n",
         backend.addr
     )
 }
 
-/// An application that answers when it is told to, and calls out when it is asked for `/out`.
-struct Held {
+/// An application that waits for the test to provide the body of each response. Health checks are answered at once.
+struct ControlledApplication {
     addr: SocketAddr,
-    /// A request has come; who answers it.
-    asked: Receiver<Sender<String>>,
+    /// For each request that arrives, the sender of the response body.
+    requests: Receiver<Sender<String>>,
 }
 
-impl Held {
-    fn new() -> Held {
-        let (tell, asked) = channel();
-        let addr = serve(move |stream| held(stream, &tell));
-        Held { addr, asked }
+impl ControlledApplication {
+    fn new() -> ControlledApplication {
+        let (arrivals, requests) = channel();
+        let addr = serve(move |stream| serve_controlled(stream, &arrivals));
+        ControlledApplication { addr, requests }
     }
 }
 
-fn held(stream: TcpStream, tell: &Sender<Sender<String>>) {
+fn serve_controlled(stream: TcpStream, arrivals: &Sender<Sender<String>>) {
     let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
     let mut stream = stream;
     while let Ok(Some(message)) = read_message(&mut reader) {
         let body = if message.first == "GET /health/live" {
             "ok".to_owned()
         } else {
-            let (answer, told) = channel();
-            if tell.send(answer).is_err() {
+            let (answer, body) = channel();
+            if arrivals.send(answer).is_err() {
                 return;
             }
-            told.recv().unwrap_or_default()
+            body.recv().unwrap_or_default()
         };
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if stream.write_all(answer.as_bytes()).is_err() {
@@ -110,40 +110,40 @@
 }
 
 #[test]
-fn it_is_ready_when_the_application_is_and_not_when_that_has_died() {
+fn sidecar_is_ready_only_while_the_application_is_healthy() {
     let application = free_port();
     let records = Backend::new("records");
-    let sidecar = Sidecar::start(application, &list(&records));
-    // The application is slow to come up: nothing goes there, and clients are told to come back.
+    let sidecar = Sidecar::start(application, &endpoints_file(&records));
+    // The application is not up yet: nothing is sent there, and clients get a 503.
     assert_eq!(sidecar.admin("GET /ready").0, 503);
     assert_eq!(Client::new(sidecar.inbound).get("/1").map(|(status, _)| status), Some(503));
-    // What listens there speaks another protocol first.
+    // First, a server of another protocol listens at its address.
     let stranger = TcpListener::bind(application).expect("free");
-    let (mut stream, _) = stranger.accept().expect("a check comes");
+    let (mut stream, _) = stranger.accept().expect("a health check");
     stream.write_all(b"220 mail ready\r\n").expect("written");
     drop((stream, stranger));
     assert_eq!(sidecar.admin("GET /ready").0, 503);
-    let listener = bound(application);
+    let listener = bind_again(application);
     let (stop, stopped) = channel::<()>();
     let serving = serve_until(listener, stopped);
-    sidecar.until_ready(true);
+    sidecar.wait_until_ready(true);
     assert_eq!(Client::new(sidecar.inbound).get("/2"), Some((200, "application".into())));
-    // It dies: not ready, and 503 at once instead of a wait.
+    // The application dies: not ready, and requests get a 503 at once instead of waiting.
     drop(stop);
     serving.join().expect("no panic");
-    sidecar.until_ready(false);
+    sidecar.wait_until_ready(false);
     assert_eq!(Client::new(sidecar.inbound).get("/3").map(|(status, _)| status), Some(503));
-    // What it calls is not touched by that.
+    // Outbound requests are not affected.
     assert_eq!(Client::new(sidecar.calls).get("/4"), Some((200, "records".into())));
-    // And it comes back.
+    // The application returns.
     let (_stop, stopped) = channel::<()>();
-    let _serving = serve_until(bound(application), stopped);
-    sidecar.until_ready(true);
+    let _serving = serve_until(bind_again(application), stopped);
+    sidecar.wait_until_ready(true);
     assert_eq!(Client::new(sidecar.inbound).get("/5"), Some((200, "application".into())));
 }
 
-/// The address again, though connections of before may linger.
-fn bound(at: SocketAddr) -> TcpListener {
+/// Binds an address that was in use before, as soon as earlier connections allow it.
+fn bind_again(at: SocketAddr) -> TcpListener {
     let end = Instant::now() + NEVER;
     loop {
         match TcpListener::bind(at) {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Answers each request on a connection of its own until the sender is dropped; then nobody listens any more.
+/// Answers one request per connection until the sender is dropped, and then closes the listener.
 fn serve_until(listener: TcpListener, stopped: Receiver<()>) -> std::thread::JoinHandle<()> {
     listener.set_nonblocking(true).expect("set");
     std::thread::spawn(move || {
@@ -176,30 +176,30 @@
 }
 
 #[test]
-fn at_its_end_what_was_taken_is_answered_and_may_still_call_others() {
-    let (application, records) = (Held::new(), Backend::new("records"));
-    let mut sidecar = Sidecar::start(application.addr, &list(&records));
-    sidecar.until_ready(true);
+fn draining_sidecar_answers_open_requests_which_may_still_send_requests() {
+    let (application, records) = (ControlledApplication::new(), Backend::new("records"));
+    let mut sidecar = Sidecar::start(application.addr, &endpoints_file(&records));
+    sidecar.wait_until_ready(true);
     let (inbound, calls) = (sidecar.inbound, sidecar.calls);
     let client = std::thread::spawn(move || Client::new(inbound).get("/taken"));
-    let answer = application.asked.recv_timeout(NEVER).expect("it comes");
+    let answer = application.requests.recv_timeout(NEVER).expect("a request");
     assert_eq!(sidecar.admin("POST /drain"), (200, "leaving\n".into()));
-    sidecar.until_ready(false);
-    // The application, in the middle of the request, calls another through the sidecar that is leaving.
+    sidecar.wait_until_ready(false);
+    // The application, while handling the request, sends a request through the draining sidecar.
     assert_eq!(Client::new(calls).get("/out"), Some((200, "records".into())));
-    answer.send("done".into()).expect("asked for");
+    answer.send("done".into()).expect("the application waits");
     assert_eq!(client.join().expect("no panic"), Some((200, "done".into())));
     sidecar.program.line("inbound listener drained");
-    assert!(sidecar.program.ends().success());
+    assert!(sidecar.program.wait_for_exit().success());
 }
 
 #[test]
-fn the_application_is_sent_no_more_than_its_limit_and_an_id_may_be_handed_on() {
-    let (application, records) = (Held::new(), Backend::new("records"));
-    let sidecar = Sidecar::start(application.addr, &list(&records));
-    sidecar.until_ready(true);
+fn application_limit_is_enforced_and_request_ids_are_separate_per_listener() {
+    let (application, records) = (ControlledApplication::new(), Backend::new("records"));
+    let sidecar = Sidecar::start(application.addr, &endpoints_file(&records));
+    sidecar.wait_until_ready(true);
     let send = |to: SocketAddr, id: &str| {
-        let mut stream = TcpStream::connect(to).expect("it listens");
+        let mut stream = TcpStream::connect(to).expect("connected");
         let text = format!("GET /x HTTP/1.1\r\nHost: h\r\nX-Request-Id: {id}\r\nX-Class: view\r\n\r\n");
         stream.write_all(text.as_bytes()).expect("written");
         stream
@@ -211,9 +211,9 @@
     };
     let mut open = [send(sidecar.inbound, "one"), send(sidecar.inbound, "two")];
     let answers: Vec<_> =
-        open.iter().map(|_| application.asked.recv_timeout(NEVER).expect("it comes")).collect();
-    assert_eq!(status(&mut send(sidecar.inbound, "three")), "503", "a third at a time");
-    assert_eq!(status(&mut send(sidecar.calls, "one")), "200", "the id of what it serves");
+        open.iter().map(|_| application.requests.recv_timeout(NEVER).expect("a request")).collect();
+    assert_eq!(status(&mut send(sidecar.inbound, "three")), "503", "a third concurrent request");
+    assert_eq!(status(&mut send(sidecar.calls, "one")), "200", "the id of an open inbound request");
     let (code, clusters) = sidecar.admin("GET /clusters");
     assert!(
         code == 200 && clusters.contains("cluster application: takes requests true, open requests 2"),
@@ -225,15 +225,15 @@
     let (_, config) = sidecar.admin("GET /config");
     assert!(config.contains("max_requests = 2") && config.contains("(proxy)"), "{config}");
     assert_eq!((sidecar.admin("GET /drain").0, sidecar.admin("GET /nothing").0), (405, 404));
-    answers.iter().for_each(|answer| answer.send("fine".into()).expect("asked for"));
+    answers.iter().for_each(|answer| answer.send("fine".into()).expect("the application waits"));
     open.iter_mut().for_each(|stream| assert_eq!(status(stream), "200"));
 }
 
 #[test]
-fn a_new_configuration_is_taken_in_as_far_as_it_can_be_and_a_bad_one_not_at_all() {
-    let (application, records) = (Held::new(), Backend::new("records"));
-    let sidecar = Sidecar::start(application.addr, &list(&records));
-    sidecar.until_ready(true);
+fn reload_applies_live_keys_and_rejects_invalid_configurations() {
+    let (application, records) = (ControlledApplication::new(), Backend::new("records"));
+    let sidecar = Sidecar::start(application.addr, &endpoints_file(&records));
+    sidecar.wait_until_ready(true);
     let file = sidecar.disk.join("proxy.toml");
     let text = std::fs::read_to_string(&file).expect("written");
     let reload = |text: &str| {
@@ -245,45 +245,45 @@
         std::thread::spawn(move || Client::new(inbound).get("/x").map(|(status, _)| status))
     };
     let mut open: Vec<_> = (0..2).map(|_| client()).collect();
-    let asked = || application.asked.recv_timeout(NEVER).expect("it comes");
-    let mut answers = vec![asked(), asked()];
-    assert_eq!(client().join().expect("no panic"), Some(503), "two at a time");
+    let requests = || application.requests.recv_timeout(NEVER).expect("a request");
+    let mut answers = vec![requests(), requests()];
+    assert_eq!(client().join().expect("no panic"), Some(503), "limit of two");
     for round in 0..50 {
-        // Torn, bad, and valid with a key that waits for a start.
+        // A truncated file, an invalid value, and a valid file with a key that applies only after a restart.
         reload(&text[..text.len() / 2]);
         sidecar.program.line("configuration reload rejected");
         reload(&text.replace("max_requests = 2", "max_requests = 0"));
         sidecar.program.line("configuration reload rejected");
-        let most = 2 + round % 2;
-        let other = text.replace("max_requests = 2", &format!("max_requests = {most}"));
-        reload(&other.replace("attempts = 2", "attempts = 1"));
+        let limit = 2 + round % 2;
+        let changed = text.replace("max_requests = 2", &format!("max_requests = {limit}"));
+        reload(&changed.replace("attempts = 2", "attempts = 1"));
         sidecar.program.line("keys: outbound[records].attempts");
         sidecar.program.line("configuration reloaded");
     }
-    // The last one allows three.
+    // The last configuration allows three concurrent requests.
     open.push(client());
-    answers.push(asked());
-    assert_eq!(client().join().expect("no panic"), Some(503), "three at a time");
-    answers.iter().for_each(|answer| answer.send("fine".into()).expect("asked for"));
+    answers.push(requests());
+    assert_eq!(client().join().expect("no panic"), Some(503), "limit of three");
+    answers.iter().for_each(|answer| answer.send("fine".into()).expect("the application waits"));
     for client in open {
-        assert_eq!(client.join().expect("no panic"), Some(200), "what was open is answered");
+        assert_eq!(client.join().expect("no panic"), Some(200), "open requests are answered");
     }
 }
 
 #[test]
-fn what_is_wrong_with_its_file_is_told_and_nothing_starts() {
+fn invalid_configuration_file_is_reported_and_nothing_starts() {
     let path = fresh(".toml");
     std::fs::write(&path, "version = 1\nkind = \"proxy\"\nname = \"p\"\ntier = 0\nclasses = []\n")
         .expect("written");
     let run = |path: &std::path::Path| {
         let mut program = Command::new(env!("CARGO_BIN_EXE_olivecart"));
-        let run = program.arg("sidecar").arg("--config").arg(path).output().expect("it runs");
+        let run = program.arg("sidecar").arg("--config").arg(path).output().expect("the program runs");
         (run.status.code(), String::from_utf8_lossy(&run.stderr).into_owned())
     };
-    let (code, said) = run(&path);
-    assert!(code == Some(1) && said.contains("error[OC0005]: the list is empty"), "{said}");
+    let (code, errors) = run(&path);
+    assert!(code == Some(1) && errors.contains("error[OC0005]: the list is empty"), "{errors}");
     let fleet =
         std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/examples/fleet/fleet.toml");
-    let (code, said) = run(&fleet);
-    assert!(code == Some(1) && said.contains("kind = \"proxy\""), "{said}");
+    let (code, errors) = run(&fleet);
+    assert!(code == Some(1) && errors.contains("kind = \"proxy\""), "{errors}");
 }
--- a/crates/proxy/tests/site/mod.rs
+++ b/crates/proxy/tests/site/mod.rs
@@ -1,4 +1,5 @@
-//! One place in service, where processes with a console start beside and after each other.
+//! A listen address and directory shared by proxy processes that run at the same time or one after another, as in
+//! a hot restart. Each process has an admin server.
 
 #![allow(dead_code)] // no test file uses all of it
 
@@ -8,12 +9,12 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// Settings with deadlines that no machine misses with what these tests send.
-pub fn patient() -> String {
+/// Settings with deadlines that these tests do not exceed on any machine.
+pub fn generous_settings() -> String {
     SETTINGS.replace("50000000000", "500000000000")
 }
 
-/// What all processes of a test share: the clients' address, and the directory that outlives each of them.
+/// What the processes of a test share: the listen address, the configuration, and the temporary directory.
 pub struct Site {
     pub listen: SocketAddr,
     pub config: PathBuf,
@@ -21,12 +22,12 @@
 }
 
 impl Site {
-    /// With 256 descriptors, so much memory, and these backends in the known list.
+    /// Creates a site with a limit of 256 descriptors, this memory limit, and a cached list of these backends.
     pub fn new(memory_mb: usize, backends: &[(&str, SocketAddr)]) -> Site {
-        Site::with(&patient(), memory_mb, backends)
+        Site::with(&generous_settings(), memory_mb, backends)
     }
 
-    /// The same with settings of its own.
+    /// Same as [`Site::new`], with other settings.
     pub fn with(settings: &str, memory_mb: usize, backends: &[(&str, SocketAddr)]) -> Site {
         let (listen, discovery) = (free_port(), free_port());
         let server = |(id, addr): &(&str, SocketAddr)| {
@@ -50,15 +51,15 @@
         Process { program: Program::start(&mut program), console }
     }
 
-    /// One more process, ready to serve.
-    pub fn serving(&self) -> Process {
+    /// Starts another process and waits until it is ready.
+    pub fn start_ready(&self) -> Process {
         let process = self.start();
-        process.is_ready();
+        process.wait_until_ready();
         process
     }
 
-    /// As a build without upgrades: it has no console, and the address for itself.
-    pub fn start_alone(&self) -> Program {
+    /// Starts a process as of a build without hot restart: it has no admin server and does not share the address.
+    pub fn start_without_hot_restart(&self) -> Program {
         Program::start(&mut olivecart("serve", &self.config))
     }
 
@@ -79,25 +80,29 @@
 }
 
 impl Process {
-    /// An operator's call and its answer; nothing where nobody answers.
-    pub fn operator(&self, first: &str, body: &str) -> String {
-        let answer = call_once(self.console, first, body);
-        answer.map(|message| message.first + "\n" + &message.body).unwrap_or_default()
+    /// Sends a request to the admin server. Returns the status line and the body, or an empty string on failure.
+    pub fn admin_request(&self, first: &str, body: &str) -> String {
+        let response = call_once(self.console, first, body);
+        response.map(|message| message.first + "\n" + &message.body).unwrap_or_default()
     }
 
-    pub fn waits_for(&self, what: &str, holds: impl Fn(&Process) -> bool) {
+    pub fn wait_until(&self, description: &str, condition: impl Fn(&Process) -> bool) {
         let end = Instant::now() + NEVER;
-        while !holds(self) {
-            assert!(Instant::now() < end, "never: {what}; the log since: {:#?}", self.program.lines());
+        while !condition(self) {
+            assert!(
+                Instant::now() < end,
+                "timed out: {description}; log lines since: {:#?}",
+                self.program.lines()
+            );
             std::thread::yield_now();
         }
     }
 
-    pub fn is_ready(&self) {
-        self.waits_for("ready", |p| p.operator("GET /_ready", "").starts_with("200"));
+    pub fn wait_until_ready(&self) {
+        self.wait_until("ready", |p| p.admin_request("GET /_ready", "").starts_with("200"));
     }
 
-    pub fn told(&self, figure: &str) {
-        self.waits_for(figure, |p| p.operator("GET /_vars", "").lines().any(|line| line == figure));
+    pub fn wait_for_var(&self, var: &str) {
+        self.wait_until(var, |p| p.admin_request("GET /_vars", "").lines().any(|line| line == var));
     }
 }
--- a/crates/proxy/tests/write_check.rs
+++ b/crates/proxy/tests/write_check.rs
@@ -1,16 +1,16 @@
-//! What may have changed when a connection to a backend comes up at last: the first byte of an attempt is written, or
-//! it never is. Both sides of each instant are forced: the backend `latecomer` lets a connection come up only when the test
-//! has seen the other event in the program's log.
+//! Tests of the write check: if the state that an attempt depends on changes while its connection is being
+//! established, nothing is written. The order of events is forced in both directions: the backend `latecomer`
+//! accepts connections only after the test has seen the other event in the proxy's log.
 
 mod scenario;
 use scenario::{SETTINGS, play_with};
 
-/// `latecomer` comes first in the preferred order, and nothing connects to it for checks.
-fn play_late(known: &[&str], settings: &str, text: &str) {
-    play_with(known, &settings.replace("\"probes\":true", "\"probes\":false"), text);
+/// Runs a scenario without health checks. `latecomer` is the preferred endpoint.
+fn run_late_scenario(listed: &[&str], settings: &str, text: &str) {
+    play_with(listed, &settings.replace("\"probes\":true", "\"probes\":false"), text);
 }
 
-fn patient() -> String {
+fn settings_with_long_connect_timeout() -> String {
     SETTINGS.replace("\"connect-timeout-ns\":2000000000", "\"connect-timeout-ns\":60000000000")
 }
 
@@ -18,10 +18,10 @@
     discovery send raw HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n";
 
 #[test]
-fn a_connection_that_comes_up_late_carries_its_request_if_nothing_has_changed() {
-    play_late(
+fn request_is_sent_on_a_late_connection_if_nothing_has_changed() {
+    run_late_scenario(
         &["latecomer"],
-        &patient(),
+        &settings_with_long_connect_timeout(),
         "c send POST /1 X-Class=book | x
          proxy expect log connect
          latecomer accept
@@ -31,12 +31,13 @@
     );
 }
 
-/// Half a second of the first request's time passes for certain before its connection comes up: that of the second one.
+/// The 500 ms deadline of the second request ensures that as much of the first request's time passes before the
+/// connection is established.
 #[test]
-fn a_head_tells_what_is_left_when_its_connection_has_come_up_and_not_what_was_when_it_was_decided() {
-    play_late(
+fn deadline_header_contains_the_time_left_when_the_connection_is_established() {
+    run_late_scenario(
         &["latecomer"],
-        &patient(),
+        &settings_with_long_connect_timeout(),
         "c send POST /1 X-Class=book X-Deadline=10000m | x
          proxy expect log connect
          c2 send GET /2 X-Deadline=500m
@@ -49,10 +50,10 @@
 }
 
 #[test]
-fn nothing_is_written_to_an_endpoint_that_drains_by_the_time_its_connection_comes_up() {
-    play_late(
+fn request_is_not_written_to_an_endpoint_that_drains_while_connecting() {
+    run_late_scenario(
         &["latecomer", "a"],
-        &patient(),
+        &settings_with_long_connect_timeout(),
         &format!(
             "{WATCH}
              c send POST /1 X-Class=book | x
@@ -69,10 +70,10 @@
 }
 
 #[test]
-fn nothing_is_written_to_another_process_than_the_one_that_was_chosen() {
-    play_late(
+fn request_is_not_written_to_an_endpoint_that_restarts_while_connecting() {
+    run_late_scenario(
         &["latecomer", "a"],
-        &patient(),
+        &settings_with_long_connect_timeout(),
         &format!(
             "{WATCH}
              c send POST /1 X-Class=book | x
@@ -89,10 +90,10 @@
 }
 
 #[test]
-fn nothing_is_written_for_a_client_that_has_left() {
-    play_late(
+fn request_is_not_written_after_its_client_disconnects() {
+    run_late_scenario(
         &["latecomer"],
-        &patient(),
+        &settings_with_long_connect_timeout(),
         "c send POST /1 X-Class=book | x
          proxy expect log connect
          c close
@@ -107,11 +108,11 @@
 }
 
 #[test]
-fn a_repeat_is_not_written_once_its_window_is_over() {
-    // The window of 800 ms ends while the connection for the repeat is held back, whatever the machine does.
-    let settings = patient()
+fn retry_is_not_written_after_the_deduplication_window() {
+    // The deduplication window of 800 ms ends while the connection for the retry is delayed, on any machine.
+    let settings = settings_with_long_connect_timeout()
         .replace("\"group\":\"cell\",\"window-ns\":10000000000", "\"group\":\"all\",\"window-ns\":800000000");
-    play_late(
+    run_late_scenario(
         &["e", "latecomer"],
         &settings,
         "c send POST /1 X-Class=book | x
@@ -126,15 +127,15 @@
 }
 
 #[test]
-fn of_a_burst_of_clients_that_left_while_they_waited_for_a_connection_or_for_room_nothing_is_written() {
+fn requests_of_many_clients_that_disconnect_while_waiting_are_not_written() {
     let each = |step: fn(u32) -> String| (1..=80).map(step).collect::<String>();
     let (send, leave) = (
         each(|n| format!("c{n} send GET /{n}\n")),
         each(|n| format!("c{n} close\nproxy expect log aborted\n")),
     );
-    play_late(
+    run_late_scenario(
         &["latecomer"],
-        &patient(),
+        &settings_with_long_connect_timeout(),
         &format!(
             "{send}
              {leave}
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn a_request_that_is_held_for_want_of_endpoints_is_not_sent_once_its_client_has_left() {
+fn request_queued_without_endpoints_is_not_sent_after_its_client_disconnects() {
     let list = |version: u32, state: &str| {
         format!(
             "discovery send chunk {{\"version\":{version},\"servers\":[{{\"id\":\"a-0\",\"addr\":\"@a\",\"state\":\"{state}\"}}]}}\\n
@@ -158,9 +159,9 @@
         )
     };
     let (drains, ready) = (list(42, "draining"), list(43, "ready"));
-    play_late(
-        &["a", "latecomer"], // whose presence lets the program log what is aborted
-        &patient(),
+    run_late_scenario(
+        &["a", "latecomer"], // `latecomer` enables debug logs, which the steps below wait for
+        &settings_with_long_connect_timeout(),
         &format!(
             "{WATCH}
              discovery send chunk {{\"version\":41,\"servers\":[{{\"id\":\"latecomer-0\",\"addr\":\"@latecomer\",\"state\":\"draining\"}}]}}\\n
--- a/crates/proxy/tests/xds.rs
+++ b/crates/proxy/tests/xds.rs
@@ -1,4 +1,5 @@
-//! Clusters from a control plane over xDS, and from Envoy's files. The language is in `scenario/mod.rs`.
+//! Tests of clusters from a control plane over xDS and from Envoy's files. `scenario/mod.rs` documents the scenario
+//! language.
 
 mod fleet;
 mod scenario;
@@ -26,11 +27,11 @@
 hold = "0s"
 "#;
 
-/// What drains or has been removed gets nothing new after this.
+/// A draining or removed endpoint gets no new requests after this time.
 const GRACE: Duration = Duration::from_millis(500);
 
 #[test]
-fn a_cluster_waits_for_its_endpoints_and_goes_while_it_carries_requests() {
+fn cluster_serves_once_it_has_endpoints_and_is_removed_with_requests_open() {
     play_clusters(
         OPERATORS,
         "plane cluster cart
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_stream_that_drops_is_resumed_and_versions_that_begin_again_are_taken() {
+fn dropped_stream_is_resumed_and_restarted_versions_are_accepted() {
     for variant in ["incremental", "state-of-the-world"] {
         let operators = OPERATORS.replace("node =", &format!("variant = \"{variant}\"\nnode ="));
         let resumes = match variant {
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn a_control_plane_that_lists_nobody_empties_nothing_and_is_said_to() {
+fn empty_endpoint_list_is_quarantined_and_logged() {
     play_clusters(
         OPERATORS,
         "plane list cart=d,e
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn only_the_clusters_that_are_named_are_asked_for() {
+fn only_the_configured_clusters_are_subscribed() {
     let operators = OPERATORS.replace("node =", "clusters = [\"book\"]\nnode =");
     play_clusters(
         &operators,
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn envoys_files_are_watched_like_others() {
+fn envoy_files_are_watched_like_other_files() {
     let operators = "version = 1\ndefault = \"cart\"\n[[sources]]\nname = \"fleet\"\nenvoy = \"fleet.yaml\"\n\
         [catalog]\nhold = \"0s\"\n";
     let file = |id: &str, policy: &str| {
@@ -156,7 +157,7 @@
             {{ socket_address: {{ address: 127.0.0.1, port_value: {id} }} }} }}\\n"
         )
     };
-    // Where an address is wanted the language has `@d`; a port alone it has not, so these begin with it.
+    // The scenario language inserts whole addresses only, so the ports come from backends created here.
     let (first, second) = (Backend::new("first"), Backend::new("second"));
     let (first, second) = (first.addr.port().to_string(), second.addr.port().to_string());
     let policy = "    lb_policy: RING_HASH\\n";
@@ -184,9 +185,10 @@
     );
 }
 
-/// A window of endpoints that moves over all: at each push one joins, the oldest drains or is removed, and what
-/// was removed comes back under the same id long after.
-fn trace(variant: &str, pushes: usize) -> Vec<Duration> {
+/// Moves a window of six endpoints over 24 under load: with each push, one is added and the oldest drains or is
+/// removed. A removed endpoint returns much later with the same id. Returns, for each endpoint with a request after
+/// its push, how long after.
+fn measure_late_requests(variant: &str, pushes: usize) -> Vec<Duration> {
     let (count, live) = (24, 6);
     let ids: Vec<String> = (0..count).map(|n| format!("e{n}")).collect();
     let backends: Vec<Backend> = ids.iter().map(|id| Backend::new(id)).collect();
@@ -218,16 +220,16 @@
     }
     late.extend(backends.iter().filter_map(|backend| backend.stop(false)));
     let tally = load.end();
-    println!("{variant}: {pushes} pushes, {} with a call after them; {tally:?}", late.len());
+    println!("{variant}: {pushes} pushes, {} with a request after them; {tally:?}", late.len());
     assert_eq!(tally.keys().collect::<Vec<_>>(), [&200], "{tally:?}");
     late
 }
 
 #[test]
-fn over_a_thousand_pushes_what_drains_or_leaves_is_sent_nothing_after_half_a_second() {
+fn over_1000_pushes_draining_and_removed_endpoints_get_no_requests_after_500_ms() {
     for variant in ["incremental", "state-of-the-world"] {
-        let latest = trace(variant, 500).into_iter().max().unwrap_or_default();
-        println!("the latest call {latest:?} after its push");
-        assert!(latest < GRACE, "{variant}: a call {latest:?} after the push");
+        let latest = measure_late_requests(variant, 500).into_iter().max().unwrap_or_default();
+        println!("the latest request {latest:?} after its push");
+        assert!(latest < GRACE, "{variant}: a request {latest:?} after the push");
     }
 }
