--- a/crates/proxy/tests/clusters.rs
+++ b/crates/proxy/tests/clusters.rs
@@ -36,8 +36,8 @@
          a send 200 | registry
          c expect 200 | registry
          disk list fleet.toml cart=d book=e
-         proxy expect log changed: fleet said so
-         proxy expect log changed: fleet said so
+         proxy expect log changed: update from fleet
+         proxy expect log changed: update from fleet
          c send GET /1
          d expect GET /1
          d send 200 | cart
@@ -171,7 +171,7 @@
         (
             vec![diff, &old, &removed],
             1,
-            "would be quarantined: diff: cluster cart: held: all 3 ready endpoints gone",
+            "would be quarantined: diff: cluster cart: quarantined: all 3 ready endpoints removed",
         ),
         (vec![diff, &old, &truncated], 2, "no [end] as the last line"),
     ] {
@@ -304,10 +304,10 @@
          proxy expect log quiet for
          proxy expect log cart: from fleet, 2 ready, 0 draining
          disk list fleet.toml cart=a,b book=e
-         proxy expect log all 2 ready endpoints gone at once
+         proxy expect log all 2 ready endpoints removed at once
          proxy send USR1
          proxy expect log cart: from fleet, 2 ready
-         proxy expect log all 2 ready endpoints gone at once, d-0 first; asked again in
+         proxy expect log all 2 ready endpoints removed at once, starting with d-0; asking again in
          c send GET /1
          e expect GET /1
          e send 200 | 1
@@ -315,7 +315,7 @@
          disk list fleet.toml cart=d,e book=e
          proxy expect log quarantined update withdrawn
          disk remove fleet.toml
-         proxy expect log cannot be read, the last good one stands
+         proxy expect log cannot be read; the last valid content stays in use
          c send GET /2
          e expect GET /2
          e send 200 | 2
