--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -3,7 +3,7 @@
 
 mod scenario;
 mod site;
-use scenario::{NEVER, free_port, serve};
+use scenario::{STEP_TIMEOUT, free_port, serve};
 use site::{Process, Site, generous_settings};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -87,7 +87,7 @@
 
 fn connect(listen: SocketAddr) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(listen).expect("connected");
-    stream.set_read_timeout(Some(NEVER)).expect("set");
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("set");
     BufReader::new(stream)
 }
 
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -4,7 +4,7 @@
 mod scenario;
 mod site;
 use fleet::Backend;
-use scenario::{NEVER, SETTINGS, free_port, olivecart, play_with, program::Program};
+use scenario::{SETTINGS, STEP_TIMEOUT, free_port, olivecart, play_with, program::Program};
 use site::Site;
 use socket2::SockRef;
 use std::io::{ErrorKind, Read, Write};
@@ -17,7 +17,7 @@
 
 fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).expect("connected");
-    stream.set_read_timeout(Some(NEVER)).expect("set");
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("set");
     stream.set_nodelay(true).expect("set");
     stream
 }
@@ -114,7 +114,7 @@
                 Trailing::Flood => "",
             };
             client.write_all((request("/1", "") + text).as_bytes()).expect("written");
-            let mut call = calls.recv_timeout(NEVER).expect("the call");
+            let mut call = calls.recv_timeout(STEP_TIMEOUT).expect("the call");
             if matches!(trailing, Trailing::Flood) {
                 client.set_write_timeout(Some(Duration::from_millis(50))).expect("set");
                 while client.write_all(&[b'x'; 64 * 1024]).is_ok() {}
@@ -144,7 +144,7 @@
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                     continue;
                 }
-                stream.set_read_timeout(Some(NEVER)).expect("set");
+                stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("set");
                 let _ = sender.lock().expect("no panic").send(stream);
                 return;
             }
@@ -212,7 +212,7 @@
     proxy.program.line("shutdown started");
     let mut hung = connect(site.listen);
     hung.write_all(request("/hung", "").as_bytes()).expect("written");
-    let _call = calls.recv_timeout(NEVER).expect("the call");
+    let _call = calls.recv_timeout(STEP_TIMEOUT).expect("the call");
     let answer = read_to_end(&mut hung);
     assert!(answer.starts_with("HTTP/1.1 50"), "{answer}");
     assert!(proxy.program.wait_for_exit().success());
--- a/crates/proxy/tests/console.rs
+++ b/crates/proxy/tests/console.rs
@@ -147,7 +147,7 @@
     let site = Site::new(32, &[]);
     let process = site.start();
     process.wait_for_var("edge.active=0");
-    let crowd: Vec<_> = (0..300).map(|_| TcpStream::connect(site.listen).expect("queued")).collect();
+    let idle_clients: Vec<_> = (0..300).map(|_| TcpStream::connect(site.listen).expect("queued")).collect();
     let idle = |n: u32| {
         let mut stream = TcpStream::connect(process.console).expect("queued");
         let _ = stream.write_all(if n.is_multiple_of(2) { b"GET /_va" } else { b"" }); // some are already closed
@@ -158,5 +158,5 @@
         let answer = process.admin_request("GET /_vars", "");
         assert!(answer.starts_with("200 OK") && answer.ends_with("edge.pool_ejected=0\n"), "{answer}");
     }
-    drop((crowd, idle));
+    drop((idle_clients, idle));
 }
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -7,7 +7,7 @@
 mod stand_in;
 
 use scenario::program::Program;
-use scenario::{NEVER, SETTINGS, call_once, config_file, free_port, olivecart, read_message};
+use scenario::{SETTINGS, STEP_TIMEOUT, call_once, config_file, free_port, olivecart, read_message};
 use stand_in::{Answer, Discovery, End};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -63,7 +63,7 @@
     }
 
     fn wait_for_pool_size(&self, count: usize) {
-        let end = Instant::now() + NEVER;
+        let end = Instant::now() + STEP_TIMEOUT;
         while !self.has_pool_size(count) {
             assert!(
                 Instant::now() < end,
@@ -271,7 +271,7 @@
     let silent = Discovery::start(vec![], Answer::lines("", End::Silence));
     for at in [down, stalled.addr, silent.addr] {
         let proxy = Proxy::start(at, 256);
-        let (begun, end) = (Instant::now(), Instant::now() + NEVER);
+        let (begun, end) = (Instant::now(), Instant::now() + STEP_TIMEOUT);
         let is_ready =
             || call_once(proxy.listen, "GET /health/ready", "").is_ok_and(|m| m.first.starts_with("200"));
         while !is_ready() {
@@ -285,13 +285,13 @@
 
 /// Clients that connect, send nothing, half a request or one health check, and stay connected; they reconnect when
 /// the proxy closes the connection.
-struct Crowd {
+struct IdleClients {
     stop: Arc<AtomicBool>,
     clients: Vec<std::thread::JoinHandle<()>>,
 }
 
-impl Crowd {
-    fn start(to: SocketAddr, count: usize) -> Crowd {
+impl IdleClients {
+    fn start(to: SocketAddr, count: usize) -> IdleClients {
         let stop = Arc::<AtomicBool>::default();
         let client = |number: usize| {
             let stop = stop.clone();
@@ -319,7 +319,7 @@
             })
         };
         let clients = (0..count).map(client).collect();
-        Crowd { stop, clients }
+        IdleClients { stop, clients }
     }
 
     fn end(self) {
@@ -335,18 +335,18 @@
     let proxy = Proxy::start(at, SOCKETS);
     let mut log = Vec::new();
     let mut is_down = || {
-        let (end, from) = (Instant::now() + NEVER, log.len());
+        let (end, from) = (Instant::now() + STEP_TIMEOUT, log.len());
         while !log[from..].iter().any(|line: &String| line.contains("connection or request failed")) {
             assert!(Instant::now() < end, "discovery is down: {log:#?}");
             log.extend(proxy.program.lines());
         }
     };
     is_down();
-    let crowd = Crowd::start(proxy.listen, 2 * SOCKETS);
+    let idle_clients = IdleClients::start(proxy.listen, 2 * SOCKETS);
     // Wait until the clients use all descriptors that clients may have.
     let open =
         || std::fs::read_dir(format!("/proc/{}/fd", proxy.program.id())).expect("the program runs").count();
-    let end = Instant::now() + NEVER;
+    let end = Instant::now() + STEP_TIMEOUT;
     let mut most = 0;
     while most < (SOCKETS - 72) / 2 {
         assert!(Instant::now() < end, "the clients use at most {most} descriptors");
@@ -371,7 +371,7 @@
         drop(discovery);
         is_down();
     }
-    let end = Instant::now() + NEVER;
+    let end = Instant::now() + STEP_TIMEOUT;
     loop {
         let first = "GET /x HTTP/1.1\r\nX-Request-Id: r1\r\nX-Class: view\r\nX-Deadline: 30000m\r\nX-Rest: ";
         let answer = call_once(proxy.listen, first, "").map(|message| message.first);
@@ -380,7 +380,7 @@
         }
         assert!(Instant::now() < end, "request not served in time: {answer:?}");
     }
-    crowd.end();
+    idle_clients.end();
     log.extend(proxy.program.lines());
     assert!(!log.iter().any(|line| line.contains("accept failed")), "descriptors ran out: {log:#?}");
     assert!(most < SOCKETS, "{most} open");
--- a/crates/proxy/tests/discovery/stand_in.rs
+++ b/crates/proxy/tests/discovery/stand_in.rs
@@ -1,6 +1,6 @@
 //! A stand-in of the discovery service that answers each request from a script.
 
-use super::scenario::{NEVER, read_message};
+use super::scenario::{STEP_TIMEOUT, read_message};
 use socket2::SockRef;
 use std::collections::VecDeque;
 use std::io::{BufReader, ErrorKind, Read, Write};
@@ -64,7 +64,7 @@
 
     /// Same as [`Discovery::start`], at an unused address.
     pub fn start_at(at: SocketAddr, first: Vec<Answer>, last: Answer) -> Discovery {
-        let end = Instant::now() + NEVER;
+        let end = Instant::now() + STEP_TIMEOUT;
         loop {
             match TcpListener::bind(at) {
                 Ok(listener) => return Discovery::listen(listener, first, last),
@@ -93,12 +93,12 @@
 
     /// Waits for the next request and returns its first line.
     pub fn call(&self) -> String {
-        self.calls.recv_timeout(NEVER).expect("a request")
+        self.calls.recv_timeout(STEP_TIMEOUT).expect("a request")
     }
 
     /// Waits until the proxy has closed a connection.
     pub fn closed(&self) {
-        self.closed.recv_timeout(NEVER).expect("a closed connection");
+        self.closed.recv_timeout(STEP_TIMEOUT).expect("a closed connection");
     }
 }
 
--- a/crates/proxy/tests/fleet/mod.rs
+++ b/crates/proxy/tests/fleet/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)] // no test file uses all of it
 
 use super::scenario::{self, program::Program};
-use super::scenario::{NEVER, config_file, free_port, fresh, olivecart, read_message};
+use super::scenario::{STEP_TIMEOUT, config_file, free_port, fresh, olivecart, read_message};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -59,7 +59,8 @@
     pub fn wait_past(&self, count: u64) {
         let calls = self.log.calls.lock().expect("no panic");
         let few = |calls: &mut Requests| calls.count <= count;
-        let (_calls, waited) = self.log.called.wait_timeout_while(calls, NEVER, few).expect("no panic");
+        let (_calls, waited) =
+            self.log.called.wait_timeout_while(calls, STEP_TIMEOUT, few).expect("no panic");
         assert!(!waited.timed_out(), "{} received no request", self.addr);
     }
 }
@@ -131,7 +132,7 @@
 impl Client {
     pub fn new(to: SocketAddr) -> Client {
         let stream = TcpStream::connect(to).expect("connected");
-        stream.set_read_timeout(Some(NEVER)).expect("set");
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("set");
         stream.set_nodelay(true).expect("set");
         Client { stream: BufReader::new(stream), closes: false }
     }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -26,14 +26,14 @@
     proxy.program.signal("TERM");
     proxy.program.line("shutdown started");
     let began = Instant::now();
-    let crowd: Vec<_> = (0..200).map(|_| TcpStream::connect(site.listen).expect("queued")).collect();
+    let idle_clients: Vec<_> = (0..200).map(|_| TcpStream::connect(site.listen).expect("queued")).collect();
     let (mut last, mut longest) = (began, Duration::ZERO);
     while let Some((status, _)) = caller.call() {
         assert_eq!(status, 200);
         longest = longest.max(last.elapsed());
         last = Instant::now();
     }
-    drop(crowd);
+    drop(idle_clients);
     assert!(proxy.program.wait_for_exit().success());
     (last - began, longest)
 }
--- a/crates/proxy/tests/scenario/mod.rs
+++ b/crates/proxy/tests/scenario/mod.rs
@@ -53,7 +53,7 @@
 use std::time::{Duration, Instant};
 
 /// The timeout of every wait, longer than any step takes on any machine; a test that reaches it has failed.
-pub const NEVER: Duration = Duration::from_secs(60);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The maximum by which the deadline header of an attempt may exceed the time that the client has left.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
@@ -137,7 +137,7 @@
 /// Sends one request on a new connection and returns the response.
 pub fn call_once(at: SocketAddr, first: &str, body: &str) -> std::io::Result<Message> {
     let mut stream = TcpStream::connect(at)?;
-    stream.set_read_timeout(Some(NEVER))?; // a process that hangs accepts and does not answer
+    stream.set_read_timeout(Some(STEP_TIMEOUT))?; // a process that hangs accepts and does not answer
     let length = body.len();
     let head =
         format!("{first} HTTP/1.1\r\nHost: p\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
@@ -287,7 +287,7 @@
         wanted: impl Fn(&Arrival) -> bool,
         take: impl Fn(Arrival) -> T,
     ) -> Result<T, String> {
-        let end = Instant::now() + NEVER;
+        let end = Instant::now() + STEP_TIMEOUT;
         loop {
             if let Some(at) = self.waiting.iter().position(&wanted) {
                 return Ok(take(self.waiting.remove(at)));
@@ -484,7 +484,7 @@
 
     /// Waits until the proxy responds to a path with a status.
     fn wait_for_status(&self, path: &str, status: &str) -> Result<(), String> {
-        let end = Instant::now() + NEVER;
+        let end = Instant::now() + STEP_TIMEOUT;
         while Instant::now() < end {
             let answer = call_once(self.listen, &format!("GET {path}"), "");
             if answer.is_ok_and(|message| message.first.starts_with(status)) {
@@ -567,7 +567,7 @@
                 }
             }
             ("wait", _) => {
-                let end = Instant::now() + NEVER;
+                let end = Instant::now() + STEP_TIMEOUT;
                 loop {
                     let text = call("GET /_vars", "")?.body;
                     let vars: Vec<&str> = text.lines().collect();
@@ -606,7 +606,7 @@
         let to_text = |e: std::io::Error| e.to_string();
         if verb == "send" && !self.clients.contains_key(who) {
             let stream = TcpStream::connect(self.listen).map_err(to_text)?;
-            stream.set_read_timeout(Some(NEVER)).map_err(to_text)?;
+            stream.set_read_timeout(Some(STEP_TIMEOUT)).map_err(to_text)?;
             self.clients.insert(who.to_owned(), BufReader::new(stream));
         }
         let connection = self.clients.get_mut(who).ok_or("not connected")?;
--- a/crates/proxy/tests/scenario/plane.rs
+++ b/crates/proxy/tests/scenario/plane.rs
@@ -1,6 +1,6 @@
 //! Runs the lab's xDS control plane on loopback, on a separate thread, for scenarios and tests.
 
-use super::NEVER;
+use super::STEP_TIMEOUT;
 use olivecart_lab::control_plane::{ControlPlane, HealthStatus, Kind, Resources};
 use std::net::SocketAddr;
 use tokio::runtime::Runtime;
@@ -54,8 +54,9 @@
             }
             "expect" => {
                 let (from, parts) = (self.seen, rest.split(" .. ").collect::<Vec<_>>());
-                let found =
-                    async { tokio::time::timeout(NEVER, self.plane.journal().wait_for(from, &parts)).await };
+                let found = async {
+                    tokio::time::timeout(STEP_TIMEOUT, self.plane.journal().wait_for(from, &parts)).await
+                };
                 let lines = || self.plane.journal().lines().split_off(from).join("\n");
                 let (line, _) = self
                     .runtime
--- a/crates/proxy/tests/scenario/program.rs
+++ b/crates/proxy/tests/scenario/program.rs
@@ -1,6 +1,6 @@
 //! Runs the program as a child process and collects the lines of its log.
 
-use super::NEVER;
+use super::STEP_TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::mpsc::{Receiver, channel};
@@ -28,7 +28,7 @@
 
     /// Waits for a log line that contains this text, and returns the line.
     pub fn line(&self, with: &str) -> String {
-        let end = Instant::now() + NEVER;
+        let end = Instant::now() + STEP_TIMEOUT;
         let next = || self.log.recv_timeout(end.saturating_duration_since(Instant::now()));
         let mut others = Vec::new();
         loop {
--- a/crates/proxy/tests/sidecar.rs
+++ b/crates/proxy/tests/sidecar.rs
@@ -6,7 +6,7 @@
 
 use fleet::{Backend, Client};
 use scenario::program::Program;
-use scenario::{NEVER, call_once, free_port, fresh, read_message, serve};
+use scenario::{STEP_TIMEOUT, call_once, free_port, fresh, read_message, serve};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -53,7 +53,7 @@
 
     /// Waits until `/ready` of the admin listener reports this readiness.
     fn wait_until_ready(&self, ready: bool) {
-        let end = Instant::now() + NEVER;
+        let end = Instant::now() + STEP_TIMEOUT;
         while self.admin("GET /ready").0 != if ready { 200 } else { 503 } {
             assert!(Instant::now() < end, "readiness not reported in time");
             std::thread::yield_now();
@@ -144,7 +144,7 @@
 
 /// Binds an address that was in use before, as soon as earlier connections allow it.
 fn bind_again(at: SocketAddr) -> TcpListener {
-    let end = Instant::now() + NEVER;
+    let end = Instant::now() + STEP_TIMEOUT;
     loop {
         match TcpListener::bind(at) {
             Ok(listener) => return listener,
@@ -182,7 +182,7 @@
     sidecar.wait_until_ready(true);
     let (inbound, calls) = (sidecar.inbound, sidecar.calls);
     let client = std::thread::spawn(move || Client::new(inbound).get("/taken"));
-    let answer = application.requests.recv_timeout(NEVER).expect("a request");
+    let answer = application.requests.recv_timeout(STEP_TIMEOUT).expect("a request");
     assert_eq!(sidecar.admin("POST /drain"), (200, "leaving\n".into()));
     sidecar.wait_until_ready(false);
     // The application, while handling the request, sends a request through the draining sidecar.
@@ -211,7 +211,7 @@
     };
     let mut open = [send(sidecar.inbound, "one"), send(sidecar.inbound, "two")];
     let answers: Vec<_> =
-        open.iter().map(|_| application.requests.recv_timeout(NEVER).expect("a request")).collect();
+        open.iter().map(|_| application.requests.recv_timeout(STEP_TIMEOUT).expect("a request")).collect();
     assert_eq!(status(&mut send(sidecar.inbound, "three")), "503", "a third concurrent request");
     assert_eq!(status(&mut send(sidecar.calls, "one")), "200", "the id of an open inbound request");
     let (code, clusters) = sidecar.admin("GET /clusters");
@@ -245,7 +245,7 @@
         std::thread::spawn(move || Client::new(inbound).get("/x").map(|(status, _)| status))
     };
     let mut open: Vec<_> = (0..2).map(|_| client()).collect();
-    let requests = || application.requests.recv_timeout(NEVER).expect("a request");
+    let requests = || application.requests.recv_timeout(STEP_TIMEOUT).expect("a request");
     let mut answers = vec![requests(), requests()];
     assert_eq!(client().join().expect("no panic"), Some(503), "limit of two");
     for round in 0..50 {
--- a/crates/proxy/tests/site/mod.rs
+++ b/crates/proxy/tests/site/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)] // no test file uses all of it
 
 use super::scenario::program::Program;
-use super::scenario::{NEVER, SETTINGS, call_once, config_file, free_port, fresh, olivecart};
+use super::scenario::{SETTINGS, STEP_TIMEOUT, call_once, config_file, free_port, fresh, olivecart};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Instant;
@@ -87,7 +87,7 @@
     }
 
     pub fn wait_until(&self, description: &str, condition: impl Fn(&Process) -> bool) {
-        let end = Instant::now() + NEVER;
+        let end = Instant::now() + STEP_TIMEOUT;
         while !condition(self) {
             assert!(
                 Instant::now() < end,
