--- a/crates/proxy/tests/clusters.rs
+++ b/crates/proxy/tests/clusters.rs
@@ -160,8 +160,8 @@
     for (arguments, code, message) in [
         (vec![check, &old, &new], 0, "cart: 2 ready, 1 draining"),
         (vec![check, &yaml], 0, "cart: 1 ready"),
-        (vec![check, &json], 1, "no endpoint is listed"),
-        (vec![check, &old, form, Path::new("envoy")], 1, "no `...` as the last line"),
+        (vec![check, &json], 1, "the cluster has no endpoints"),
+        (vec![check, &old, form, Path::new("envoy")], 1, "the last line is not `...`"),
         (vec![check, &old, form, Path::new("new")], 1, "neither \"documented\" nor \"envoy\""),
         (vec![diff, &yaml, &old], 1, "cluster cart: endpoint b-0: "),
         (vec![check, &old, &truncated], 1, "no [end] as the last line"),
--- a/crates/proxy/tests/xds.rs
+++ b/crates/proxy/tests/xds.rs
@@ -119,7 +119,7 @@
          e send 200 | 1
          c expect 200 | 1
          plane restart
-         proxy expect log no stream
+         proxy expect log stream failed
          proxy expect log stream opened
          c send GET /2
          e expect GET /2
