--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: a model of the fleet in virtual time that drives the real decisions, the same scenarios on
-//! sockets, and experiments that compare.
+//! The lab of the project. It simulates a fleet in virtual time with the real decision module, runs the same
+//! scenarios on real sockets, and compares policies in experiments.
 
 pub mod control_plane;
 pub mod demo;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `olivecart-lab`.
+//! The entry point of the command `olivecart-lab`.
 
 mod cli;
 
--- a/crates/lab/src/model/clients/arrivals.rs
+++ b/crates/lab/src/model/clients/arrivals.rs
@@ -1,4 +1,4 @@
-//! When requests arrive, of which class and tenant.
+//! The arrival process of requests, and their classes and tenants.
 
 use super::{Allowance, Clients, Request};
 use crate::model::context::Context;
@@ -10,64 +10,66 @@
 use rand_distr::Exp1;
 use std::f64::consts::TAU;
 
-/// A factor on the mean rate of arrivals, and the greatest that it ever reaches.
+/// A factor on the mean arrival rate: its current value and its maximum.
 #[derive(Clone, Copy)]
 struct RateFactor {
-    now: f64,
-    greatest: f64,
+    current: f64,
+    max: f64,
 }
 
 impl Clients {
-    /// The factor on the mean rate at a time.
+    /// The factor on the mean arrival rate at a time.
     fn rate_factor(&self, topology: &Topology, at: Nanos) -> RateFactor {
         let shape = shape_factor(&topology.scenario.clients.shape, at);
         let flood = self.flood_factor(topology, at);
-        RateFactor { now: shape.now * flood.now, greatest: shape.greatest * flood.greatest }
+        RateFactor { current: shape.current * flood.current, max: shape.max * flood.max }
     }
 
-    /// What floods make of the traffic at a time.
+    /// The factor by which tenant floods change the traffic at a time.
     fn flood_factor(&self, topology: &Topology, at: Nanos) -> RateFactor {
         let floods = &topology.timeline.floods;
         if floods.is_empty() {
-            return RateFactor { now: 1.0, greatest: 1.0 };
+            return RateFactor { current: 1.0, max: 1.0 };
         }
         let all_floods = |tenant: u16| -> f64 {
             let of_tenant = floods.iter().filter(|(_, flooding, _)| *flooding == tenant);
             of_tenant.map(|(_, _, factor)| factor.max(1.0)).product()
         };
         RateFactor {
-            now: self.traffic_with(|tenant| topology.timeline.flood(tenant, at)),
-            greatest: self.traffic_with(all_floods),
+            current: self.relative_traffic(|tenant| topology.timeline.flood(tenant, at)),
+            max: self.relative_traffic(all_floods),
         }
     }
 
-    /// The traffic of all tenants over their usual traffic, each tenant's multiplied by a factor.
-    fn traffic_with(&self, factor: impl Fn(u16) -> f64) -> f64 {
+    /// The traffic of all tenants relative to their usual traffic, if each tenant's is multiplied by its
+    /// factor.
+    fn relative_traffic(&self, factor: impl Fn(u16) -> f64) -> f64 {
         let usual: f64 = self.tenant_traffic.iter().sum();
         let tenants = (0..).zip(&self.tenant_traffic);
         tenants.map(|(tenant, traffic)| traffic * factor(tenant)).sum::<f64>() / usual
     }
 
-    /// Arrivals of a Poisson process whose rate varies, by thinning (Lewis and Shedler 1979).
+    /// Schedules the next arrival of a Poisson process with a varying rate, by thinning (Lewis and Shedler
+    /// 1979).
     pub(super) fn schedule_arrival(&self, context: &mut Context) {
         let mut at = context.now as f64;
         loop {
-            let greatest = self.rate_factor(context.topology, at as Nanos).greatest;
-            at += context.rng.sample::<f64, _>(Exp1) / (self.rate * greatest) * 1e9;
+            let max = self.rate_factor(context.topology, at as Nanos).max;
+            at += context.rng.sample::<f64, _>(Exp1) / (self.rate * max) * 1e9;
             if at >= context.topology.scenario.length.nanos() as f64 {
                 return;
             }
-            let factor = self.rate_factor(context.topology, at as Nanos).now;
-            if context.rng.random::<f64>() * greatest < factor {
+            let factor = self.rate_factor(context.topology, at as Nanos).current;
+            if context.rng.random::<f64>() * max < factor {
                 let arrives_at = (at as Nanos).max(context.now + 1);
                 return context.outbox.schedule(arrives_at, Message::ClientArrives);
             }
         }
     }
 
-    /// A client arrives with a request.
+    /// Handles the arrival of a client's request.
     pub(super) fn client_arrives(&mut self, context: &mut Context) {
-        let class = pick(&self.class_shares, context.rng.random()) as u16;
+        let class = pick_index(&self.class_shares, context.rng.random()) as u16;
         let tenant = self.draw_tenant(context);
         let over_share = tenant != NO_TENANT && self.is_over_share(context, tenant);
         self.generation += 1;
@@ -97,10 +99,11 @@
         let now = context.now;
         let tenants = (0..).zip(&self.tenant_traffic);
         let traffic = tenants.map(|(tenant, traffic)| traffic * timeline.flood(tenant, now));
-        pick(&cumulative(traffic), context.rng.random()) as u16
+        pick_index(&cumulative(traffic), context.rng.random()) as u16
     }
 
-    /// Whether a request is beyond its tenant's share of what the fleet can do, with a second's slack.
+    /// Whether a request exceeds its tenant's share of the capacity (a token bucket with a burst of one
+    /// second).
     fn is_over_share(&mut self, context: &Context, tenant: u16) -> bool {
         let topology = context.topology;
         let share = topology.scenario.tenant[tenant as usize].share;
@@ -115,25 +118,25 @@
     }
 }
 
-/// What the scenario's shape makes of the traffic at a time.
+/// The factor of the scenario's traffic shape at a time.
 fn shape_factor(shape: &Shape, at: Nanos) -> RateFactor {
     match shape {
-        Shape::Steady => RateFactor { now: 1.0, greatest: 1.0 },
+        Shape::Steady => RateFactor { current: 1.0, max: 1.0 },
         Shape::Wave { swing, period } => {
             let phase = at as f64 / period.nanos().max(1) as f64 * TAU;
-            RateFactor { now: 1.0 + swing * phase.sin(), greatest: 1.0 + swing }
+            RateFactor { current: 1.0 + swing * phase.sin(), max: 1.0 + swing }
         }
         Shape::Bursts { factor, every, length } => {
             // The mean over a period is 1.
             let share = length.nanos() as f64 / every.nanos().max(1) as f64;
             let base = 1.0 / (1.0 + (factor - 1.0) * share);
             let in_burst = at % every.nanos().max(1) < length.nanos();
-            RateFactor { now: if in_burst { base * factor } else { base }, greatest: base * factor }
+            RateFactor { current: if in_burst { base * factor } else { base }, max: base * factor }
         }
     }
 }
 
-/// Cumulative shares, the last of which is 1.
+/// Returns cumulative shares, normalized so that the last is 1.
 pub(super) fn cumulative(shares: impl Iterator<Item = f64>) -> Vec<f64> {
     let mut sum = 0.0;
     let mut cumulative = Vec::new();
@@ -147,7 +150,7 @@
     cumulative
 }
 
-/// The first whose cumulative share is above a number between 0 and 1.
-fn pick(cumulative: &[f64], at: f64) -> usize {
+/// Returns the index of the first cumulative share above `at`, which is between 0 and 1.
+fn pick_index(cumulative: &[f64], at: f64) -> usize {
     cumulative.partition_point(|share| *share <= at).min(cumulative.len().saturating_sub(1))
 }
--- a/crates/lab/src/model/clients/attempts.rs
+++ b/crates/lab/src/model/clients/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of clients: to which proxy they go, and when they are retried.
+//! The attempts of clients: the choice of a proxy, and retries.
 
 use super::{Clients, Request};
 use crate::model::context::Context;
@@ -7,19 +7,19 @@
 use olivecart_decisions::{DeduplicationScope, Idempotency, Nanos};
 use rand::Rng;
 
-/// Proxies that are probed at random before all reachable ones are listed.
+/// The number of proxies that are drawn at random before all available proxies are listed.
 const MAX_PROXY_PROBES: usize = 8;
-/// The number of an attempt has to fit its type.
+/// The maximum number of retries, so that attempt numbers fit their type.
 const MAX_RETRIES: u32 = 200;
 
 impl Clients {
-    /// The request of an attempt that has not ended yet.
+    /// Returns the request of an attempt if the attempt has not ended yet.
     fn waiting_request(&mut self, id: ClientRequestId, attempt: u8) -> Option<&mut Request> {
         let is_waiting = |request: &&mut Request| request.attempt == attempt && request.outcome.is_none();
         self.request_mut(id).filter(is_waiting)
     }
 
-    /// Sends an attempt to one of the proxies that the front takes to be up.
+    /// Sends an attempt to one of the proxies that appear to be up.
     pub(super) fn send_attempt(&mut self, context: &mut Context, id: ClientRequestId) {
         let proxy = self.choose_proxy(context);
         let node = self.node;
@@ -45,7 +45,7 @@
             context.outbox.schedule(leaves_at, Message::ClientDisconnects(id, call.attempt));
         }
         if let Some(proxy) = proxy {
-            let at = context.now + network::client(context.topology, context.rng);
+            let at = context.now + network::draw_client_delay(context.topology, context.rng);
             let proxy_node = context.topology.machine_node(proxy);
             if network::reaches(context.topology, node, proxy_node, at) {
                 context.outbox.send(proxy_node, at, Message::Request(call));
@@ -53,8 +53,8 @@
         }
     }
 
-    /// The front notices only after a while that a proxy has gone. If none is left in the zone, proxies of
-    /// other zones are used.
+    /// Chooses a proxy at random. A dead proxy is detected only after some time. If no proxy of the zone is
+    /// up, proxies of other zones are used.
     fn choose_proxy(&self, context: &mut Context) -> Option<u32> {
         let detection_time = context.topology.scenario.clients.notices_dead_proxy.nanos();
         let timeline = &context.topology.timeline;
@@ -65,7 +65,7 @@
         };
         let zones = &context.topology.fronts;
         let in_zone = &zones[self.zone as usize];
-        // Mostly all are up, and the first one drawn is.
+        // Usually all proxies are up, and the first draw succeeds.
         for _ in 0..MAX_PROXY_PROBES.min(in_zone.len()) {
             let proxy = in_zone[context.rng.random_range(0..in_zone.len())];
             if seems_up(&proxy) {
@@ -82,13 +82,13 @@
         Some(candidates[context.rng.random_range(0..candidates.len())])
     }
 
-    /// A client leaves before its time is up: it closes its connection, and the proxy notices.
+    /// Handles a client that closes its connection before its timeout; the proxy is notified.
     pub(super) fn disconnect(&mut self, context: &mut Context, id: ClientRequestId, attempt: u8) {
         let node = self.node;
         let Some(request) = self.waiting_request(id, attempt) else { return };
         if let Some(proxy) = request.proxy {
             let proxy_node = context.topology.machine_node(proxy);
-            let at = context.now + network::client(context.topology, context.rng);
+            let at = context.now + network::draw_client_delay(context.topology, context.rng);
             if network::reaches(context.topology, node, proxy_node, at) {
                 context.outbox.send(proxy_node, at, Message::ClientDisconnected(id, attempt));
             }
@@ -96,7 +96,7 @@
         self.attempt_ended(context, id, attempt, RequestOutcome::Failed);
     }
 
-    /// An attempt has ended: the request ends too, or is retried.
+    /// Handles the end of an attempt: the request is retried or ends.
     pub(super) fn attempt_ended(
         &mut self,
         context: &mut Context,
@@ -107,7 +107,7 @@
         let Some(request) = self.waiting_request(id, attempt) else { return };
         request.outcome = Some(outcome);
         if let RequestOutcome::Served(work) = outcome {
-            context.thread.counters.useful(work);
+            context.thread.counters.add_useful_work(work);
             return self.end(context, id, outcome);
         }
         let Some(wait) = self.retry_wait(context, id, outcome) else {
@@ -120,7 +120,7 @@
         context.outbox.schedule(context.now + wait, Message::ClientRetries(id));
     }
 
-    /// After which wait a request is retried, if it is.
+    /// Returns the delay before the retry of a request, or `None` if it is not retried.
     fn retry_wait(
         &mut self,
         context: &mut Context,
--- a/crates/lab/src/model/clients/mod.rs
+++ b/crates/lab/src/model/clients/mod.rs
@@ -1,8 +1,9 @@
-//! Clients: an open-loop stream of requests, each with attempts, a timeout and a back-off of its own, and the
-//! front that spreads them over the proxies of their zone.
+//! Clients: an open-loop stream of requests with client-side timeouts, retries and back-off, and the load
+//! balancer in front that distributes them over the proxies of their zone.
 //!
-//! It follows each request from its arrival to its end and counts how it ended. It never looks at a proxy or
-//! server; what it knows of them it was told by messages, or the scenario's front knows it.
+//! The clients track each request from its arrival to its end and count the outcome. They do not access
+//! proxies or servers: they know of them only from messages and, for the load balancer in front, from the
+//! timeline of faults.
 
 mod arrivals;
 mod attempts;
@@ -23,32 +24,32 @@
     tenant: u16,
     arrived_at: Nanos,
     work: u64,
-    /// Its tenant sends more than its share, and this request is part of the excess.
+    /// Whether the request exceeds its tenant's share.
     over_share: bool,
     /// The number of the current attempt.
     attempt: u8,
     /// The proxy that the current attempt was sent to.
     proxy: Option<u32>,
-    /// How the current attempt ended, if it did.
+    /// The outcome of the current attempt, once it has ended.
     outcome: Option<RequestOutcome>,
 }
 
-/// The first execution of a request whose effect must not take place twice.
+/// The first execution of a request that is not idempotent.
 struct Execution {
     group: u64,
     at: Nanos,
-    /// A second effect was counted already.
+    /// Whether a second effect was already counted.
     counted: bool,
 }
 
-/// What a tenant may still send within its share.
+/// A token bucket: the requests that a tenant may still send within its share.
 #[derive(Clone, Copy)]
 struct Allowance {
     requests: f64,
     updated_at: Nanos,
 }
 
-/// One stream of clients.
+/// A client node: one stream of requests.
 pub struct Clients {
     node: u32,
     zone: u16,
@@ -59,19 +60,19 @@
     generation: u32,
     /// Cumulative shares of the classes.
     class_shares: Vec<f64>,
-    /// Shares of the tenants' usual traffic.
+    /// The shares of the tenants in the usual traffic.
     tenant_traffic: Vec<f64>,
-    /// By tenant.
+    /// The allowance of each tenant.
     allowances: Vec<Allowance>,
     executions: FxHashMap<ClientRequestId, Execution>,
-    /// When executions are forgotten, oldest first.
+    /// The times at which executions are forgotten, oldest first.
     expiring_executions: VecDeque<(Nanos, ClientRequestId)>,
     offered: u64,
     ended: u64,
 }
 
 impl Clients {
-    /// A stream that starts at once.
+    /// Creates a stream and schedules its first arrival.
     pub fn new(node: u32, context: &mut Context) -> Clients {
         let topology = context.topology;
         let scenario = &topology.scenario;
@@ -103,14 +104,16 @@
             Message::Response(request, attempt, outcome) => {
                 self.attempt_ended(context, request, attempt, outcome);
             }
-            // At its deadline it just stops waiting; whether a response is owed then is the proxy's affair.
+            // At the deadline a client only stops waiting; the proxy is responsible for responding in time.
             Message::ClientTimesOut(request, attempt) => {
                 self.attempt_ended(context, request, attempt, RequestOutcome::Failed);
             }
             Message::ClientDisconnects(request, attempt) => self.disconnect(context, request, attempt),
             Message::ClientRetries(request) => self.send_attempt(context, request),
             Message::EffectExecuted(request, group) => self.effect_executed(context, request, group),
-            _ => context.thread.counters.violation("clients got a message that is none of their own"),
+            _ => {
+                context.thread.counters.record_violation("clients received a message of another kind of node")
+            }
         }
     }
 
@@ -157,13 +160,13 @@
             in_time,
             asked: scaled(class.worth),
             served,
-            // What its tenant sends beyond its share counts for the whole, not for the tenant.
+            // Requests beyond the tenant's share count in the totals, but not for the tenant.
             over_share: request.over_share,
         });
     }
 
-    /// A request ran to its end at a server. The second time is a second effect, unless the request's key
-    /// kept it from taking place.
+    /// Handles the execution of a request at a server. A second execution counts as a second effect, unless
+    /// it was deduplicated by the request's key.
     fn effect_executed(&mut self, context: &mut Context, id: ClientRequestId, group: u64) {
         self.forget_executions(context.now);
         let classes = &context.topology.classes;
@@ -180,7 +183,7 @@
             widest_window > 0 && first.group == group && context.now <= first.at + widest_window;
         if !was_deduplicated && !first.counted {
             first.counted = true;
-            context.thread.counters.second_effect();
+            context.thread.counters.second_effect_detected();
         }
     }
 
@@ -192,7 +195,7 @@
     }
 
     /// Whether every request has ended or is open.
-    pub fn conserves(&self) -> bool {
+    pub fn has_consistent_counts(&self) -> bool {
         self.offered == self.ended + self.open() as u64
     }
 
--- a/crates/lab/src/model/context.rs
+++ b/crates/lab/src/model/context.rs
@@ -1,4 +1,4 @@
-//! What a node of the model can use while it handles an event.
+//! The context in which a node of the model handles an event, and the state that the nodes of a thread share.
 
 use super::counters::Counters;
 use super::faults::TimeSpan;
@@ -11,32 +11,33 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One in so many calls of a policy is timed, if that is asked for.
+/// If time is measured, one in this many calls of a policy is timed.
 const CALLS_PER_SAMPLE: u32 = 16;
 
-/// What a node can use while it handles an event.
+/// The context in which a node handles an event.
 pub struct Context<'a, 'm> {
-    /// What the run is played in.
+    /// The topology of the run.
     pub topology: &'a Topology,
     /// The current time.
     pub now: Nanos,
-    /// The node's own random numbers.
+    /// The random number generator of the node.
     pub rng: &'m mut Pcg64Mcg,
-    /// Collects what the node sends.
+    /// Collects the messages that the node sends.
     pub outbox: &'m mut Outbox,
     /// The state of its thread.
     pub thread: &'m mut ThreadState,
 }
 
-/// The true state of all servers as of the begin of the window, by tier.
+/// The true state of all servers at the start of the engine's window, by tier.
 pub type TrueStates = Rc<RefCell<Vec<Vec<TrueState>>>>;
 
-/// What the nodes of one thread share. Nothing in it influences them but what is the same in all threads: the
-/// names, and the true states as of the begin of a window.
+/// The state that the nodes of one thread share. To keep runs independent of the number of threads, nodes
+/// read only those parts that are the same in all threads: the names, and the true states at the start of a
+/// window.
 pub struct ThreadState {
-    /// Names of servers, by tier.
+    /// The names of servers, by tier.
     pub names: Vec<Vec<Rc<str>>>,
-    /// For policies that may see them.
+    /// The true states of servers, for policies that may see them.
     pub true_states: TrueStates,
     /// The current time, for those policies.
     pub clock: Rc<Cell<Nanos>>,
@@ -49,7 +50,7 @@
 }
 
 impl ThreadState {
-    /// The state of a thread at its start.
+    /// Creates the state of a thread at the start of a run.
     pub fn new(topology: &Topology) -> ThreadState {
         let names = |tier: &Tier| tier.servers.iter().map(|server| Rc::from(server.name.as_str())).collect();
         let unknown = |tier: &Tier| vec![TrueState::default(); tier.servers.len()];
@@ -69,7 +70,7 @@
     }
 }
 
-/// Time spent in policies, from a sample of the calls.
+/// The time spent in policies, estimated from a sample of the calls.
 #[derive(Default)]
 pub struct PolicyTime {
     calls: u32,
@@ -95,7 +96,7 @@
     }
 }
 
-/// The true state of the servers of a tier, as reachable from one zone.
+/// The true state of the servers of a tier, as seen from one zone.
 pub struct ZoneTrueStateView {
     /// The true states of all servers.
     pub true_states: TrueStates,
@@ -103,9 +104,9 @@
     pub clock: Rc<Cell<Nanos>>,
     /// The tier.
     pub tier: u8,
-    /// By server: its zone.
+    /// The zone of each server.
     pub zones: Rc<[u16]>,
-    /// When which zone is cut off from the others.
+    /// The periods in which a zone is partitioned from the others.
     pub cuts: Rc<[(TimeSpan, u16)]>,
     /// The proxy's zone.
     pub zone: u16,
--- a/crates/lab/src/model/counters.rs
+++ b/crates/lab/src/model/counters.rs
@@ -1,36 +1,36 @@
-//! The counters of a run, one set for each thread, and the figures of the results that follow from them. They
-//! hold whole numbers only, so that sums do not depend on the order.
+//! The counters of a run, one set per thread, and the figures of the result that are derived from them. Sums
+//! are integers, so that they do not depend on the order of addition.
 
 use super::message::RequestOutcome;
-use super::topology::{NO_TENANT, Topology, WORTH};
+use super::topology::{NO_TENANT, Topology, WORTH_SCALE};
 use crate::run_result::{Group, Latency, Second, Totals};
 use hdrhistogram::Histogram;
 use olivecart_decisions::Nanos;
 use std::collections::BTreeMap;
 
 const SECOND: Nanos = 1_000_000_000;
-/// Length of the window whose worst goodput is reported.
+/// The length of the window whose lowest goodput is reported.
 const WORST_WINDOW_SECONDS: usize = 10;
 
 /// A client's request that has ended.
 pub struct CompletedRequest {
-    /// Its class.
+    /// The class of the request.
     pub class: u16,
-    /// Its tenant.
+    /// The tenant of the request.
     pub tenant: u16,
-    /// When its first attempt arrived.
+    /// The arrival time of its first attempt.
     pub arrived: Nanos,
-    /// How long it took from then.
+    /// The duration from its arrival to its end.
     pub took: Nanos,
-    /// How it ended.
+    /// The outcome of the request.
     pub outcome: RequestOutcome,
-    /// It ended within its latency objective.
+    /// Whether it ended within its latency objective.
     pub in_time: bool,
-    /// Worth asked for, in millionths.
+    /// The worth of the request, in millionths.
     pub asked: u64,
-    /// Worth served.
+    /// The worth that was served, in millionths.
     pub served: u64,
-    /// It was beyond its tenant's share.
+    /// Whether it exceeded its tenant's share.
     pub over_share: bool,
 }
 
@@ -90,17 +90,18 @@
     }
 }
 
-/// Sums with a histogram of latencies, in microseconds.
+/// Sums over requests, with a histogram of latencies in microseconds.
 #[derive(Clone)]
 struct Measured {
     sums: RequestSums,
-    /// Latencies of what was served.
+    /// The latencies of served requests.
     latencies: Histogram<u64>,
 }
 
 impl Measured {
     fn new() -> Measured {
-        // Three digits, of any range; the constructor refuses more than five alone.
+        // Three significant digits and an automatic range: the constructor rejects only more than five
+        // digits.
         let histogram = Histogram::new(3).unwrap_or_else(|_| unreachable!("3 <= 5"));
         Measured { sums: RequestSums::default(), latencies: histogram }
     }
@@ -154,7 +155,7 @@
     }
 }
 
-/// Goodput of some seconds together; 1 if nothing was asked for.
+/// The goodput over several seconds; 1 if there were no requests.
 fn goodput(seconds: &[Measured]) -> f64 {
     let served = seconds.iter().map(|second| second.sums.served).sum();
     let asked = seconds.iter().map(|second| second.sums.asked).sum();
@@ -165,7 +166,7 @@
     if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
 }
 
-/// The counters of one thread, or of all.
+/// The counters of one thread, or the merged counters of all threads.
 pub struct Counters {
     warmup: Nanos,
     classes: Vec<Measured>,
@@ -180,7 +181,7 @@
 }
 
 impl Counters {
-    /// Counters at zero.
+    /// Creates counters at zero.
     pub fn new(topology: &Topology) -> Counters {
         let scenario = &topology.scenario;
         let seconds = scenario.length.nanos().div_ceil(SECOND) as usize;
@@ -203,7 +204,7 @@
         self.seconds.get_mut((at / SECOND) as usize)
     }
 
-    /// A client's request has ended.
+    /// Counts a client's request that has ended.
     pub fn request_completed(&mut self, request: &CompletedRequest) {
         if let Some(second) = self.second(request.arrived) {
             second.add_request(request);
@@ -217,41 +218,41 @@
         }
     }
 
-    /// An attempt was sent to a tier.
-    pub fn attempt(&mut self, at: Nanos, tier: u8) {
+    /// Counts an attempt sent to a tier.
+    pub fn attempt_sent(&mut self, at: Nanos, tier: u8) {
         if let Some(second) = self.second(at) {
             second.sums.attempts += u64::from(tier == 0);
             second.sums.attempts_all += 1;
         }
     }
 
-    /// A health check was sent.
-    pub fn health_check(&mut self, at: Nanos) {
+    /// Counts a health check sent.
+    pub fn health_check_sent(&mut self, at: Nanos) {
         self.probes += u64::from(at >= self.warmup);
     }
 
-    /// A client retries.
+    /// Counts a retry by a client.
     pub fn client_retry(&mut self, at: Nanos) {
         self.client_retries += u64::from(at >= self.warmup);
     }
 
-    /// This work was done for a response that a client got.
-    pub fn useful(&mut self, work: u64) {
+    /// Adds the work done for a response that a client received.
+    pub fn add_useful_work(&mut self, work: u64) {
         self.useful_work += work;
     }
 
-    /// An effect took place twice.
-    pub fn second_effect(&mut self) {
+    /// Counts a request whose effect took place twice.
+    pub fn second_effect_detected(&mut self) {
         self.second_effects += 1;
     }
 
-    /// A cold server was overloaded.
-    pub fn cold_breach(&mut self, at: Nanos, proxy: String, what: String) {
+    /// Records that a cold server was overloaded.
+    pub fn cold_server_overloaded(&mut self, at: Nanos, proxy: String, what: String) {
         self.cold_breaches.push((at, proxy, what));
     }
 
-    /// An invariant of the model is violated.
-    pub fn violation(&mut self, what: &'static str) {
+    /// Records that an invariant of the model was violated.
+    pub fn record_violation(&mut self, what: &'static str) {
         debug_assert!(false, "{what}");
         *self.violations.entry(what).or_default() += 1;
     }
@@ -271,19 +272,19 @@
         }
     }
 
-    /// Cold servers that were overloaded, in time order.
+    /// The overloads of cold servers, in order of time.
     pub fn cold_breaches(&self) -> Vec<(Nanos, String, String)> {
         let mut all = self.cold_breaches.clone();
         all.sort();
         all
     }
 
-    /// The invariants of the model that were violated.
+    /// The invariants of the model that were violated, with the number of violations.
     pub fn violations(&self) -> Vec<String> {
         self.violations.iter().map(|(what, times)| format!("{what} ({times} times)")).collect()
     }
 
-    /// Totals after the warm-up; `work` is all that servers did, in nanoseconds.
+    /// The totals after the warm-up; `work` is the work done by all servers, in nanoseconds.
     pub fn totals(&self, work: u64) -> Totals {
         let mut sums = RequestSums::default();
         for class in &self.classes {
@@ -298,8 +299,8 @@
             late: sums.late,
             refused: sums.refused,
             failed: sums.failed,
-            worth_asked: sums.asked as f64 / WORTH,
-            worth_served: sums.served as f64 / WORTH,
+            worth_asked: sums.asked as f64 / WORTH_SCALE,
+            worth_served: sums.served as f64 / WORTH_SCALE,
             goodput: ratio(sums.served, sums.asked),
             client_retries: self.client_retries,
             attempts,
@@ -312,7 +313,8 @@
         }
     }
 
-    /// Goodput of the worst window of ten seconds after the warm-up; of all, where there are fewer.
+    /// The lowest goodput of any window of ten seconds after the warm-up, or of the whole time if it is
+    /// shorter.
     pub fn worst_window(&self) -> f64 {
         let counted = self.seconds_after_warmup();
         let length = WORST_WINDOW_SECONDS.min(counted.len().max(1));
@@ -324,7 +326,7 @@
         &self.seconds[warmup_seconds.min(self.seconds.len())..]
     }
 
-    /// By class, with the classes' names.
+    /// The figures of each class.
     pub fn classes(&self, topology: &Topology) -> Vec<Group> {
         self.classes
             .iter()
@@ -333,7 +335,7 @@
             .collect()
     }
 
-    /// By tenant.
+    /// The figures of each tenant.
     pub fn tenants(&self, topology: &Topology) -> Vec<Group> {
         self.tenants
             .iter()
@@ -342,7 +344,7 @@
             .collect()
     }
 
-    /// By second.
+    /// The figures of each second.
     pub fn seconds(&self) -> Vec<Second> {
         let second = |second: &Measured| {
             let latency = second.latency();
@@ -352,8 +354,8 @@
                 late: second.sums.late,
                 refused: second.sums.refused,
                 failed: second.sums.failed,
-                worth_asked: second.sums.asked as f64 / WORTH,
-                worth_served: second.sums.served as f64 / WORTH,
+                worth_asked: second.sums.asked as f64 / WORTH_SCALE,
+                worth_served: second.sums.served as f64 / WORTH_SCALE,
                 attempts: second.sums.attempts,
                 attempts_all_tiers: second.sums.attempts_all,
                 p50_ms: latency.p50_ms,
--- a/crates/lab/src/model/digest.rs
+++ b/crates/lab/src/model/digest.rs
@@ -1,6 +1,6 @@
-//! The digest of a run: a number for each message, and a hash of all nodes' numbers.
+//! The digest of a run: a fingerprint of each message, and a hash of the digests of all nodes.
 //!
-//! Danger: runs are compared by it, also between builds. A message must keep its number.
+//! Digests are compared between runs and between builds, so the number of each kind of message never changes.
 
 use super::message::{
     Attempt, AttemptId, AttemptResponse, ClientRequestId, ClosedConnections, DiscoveryUpdate, Message,
@@ -10,7 +10,7 @@
 use olivecart_decisions::Timer;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The hash of all nodes' events, in the nodes' order.
+/// Returns the hash of the digests of all nodes, ordered by node.
 pub fn digest(mut digests: Vec<(u32, u64)>) -> String {
     digests.sort_unstable();
     let bytes: Vec<u8> = digests.iter().flat_map(|(_, digest)| digest.to_le_bytes()).collect();
@@ -18,7 +18,7 @@
 }
 
 impl Message {
-    /// A number that identifies what happened.
+    /// Returns a number that identifies the event.
     pub(super) fn fingerprint(&self) -> u64 {
         let (kind, content) = self.kind_and_content();
         content.rotate_left(7) ^ kind
@@ -39,7 +39,9 @@
             Message::HealthCheckTimedOut(number) => (9, *number),
             Message::SweepIdleConnections(incarnation) => (10, u64::from(*incarnation)),
             Message::SampleEndpointHealth => (11, 0),
-            Message::WorkCompleted { job, run } => (12, u64::from(*job) << 32 | u64::from(*run)),
+            Message::WorkCompleted { job, generation } => {
+                (12, u64::from(*job) << 32 | u64::from(*generation))
+            }
             Message::ServerPauses => (13, 0),
             Message::MachineChanges(_) => (14, 0),
             Message::DiscoveryNotified(changes) => (15, changes.len() as u64),
--- a/crates/lab/src/model/discovery.rs
+++ b/crates/lab/src/model/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: one service that learns of changes late, serves calls one after another, and can have outages.
+//! The discovery service: it receives changes of endpoints with a lag, serves calls one after another, and
+//! can have outages.
 
 use super::context::Context;
 use super::message::{DiscoveryUpdate, ListEntry, Message};
@@ -9,16 +10,16 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// How long discovery waits until it tries an unreachable watcher again.
+/// The interval at which discovery retries unreachable watchers.
 const RETRY_INTERVAL: Nanos = 500_000_000;
 
 impl Topology {
-    /// The list of a tier as discovery had it at a time, in the servers' order.
-    pub fn list_as_of(&self, tier: u8, at: Nanos) -> Vec<ListEntry> {
+    /// The endpoint list of a tier that discovery had at a time, ordered by server.
+    pub fn list_at(&self, tier: u8, at: Nanos) -> Vec<ListEntry> {
         let mut list = initial_list(self, tier);
         let lag = self.scenario.discovery.lag.nanos();
-        for (happens_at, _, entry) in self.timeline.facts.iter().filter(|(_, of, _)| *of == tier) {
-            if self.timeline.heard_at(*happens_at, lag) <= at {
+        for (happens_at, _, entry) in self.timeline.list_changes.iter().filter(|(_, of, _)| *of == tier) {
+            if self.timeline.discovered_at(*happens_at, lag) <= at {
                 replace_entry(&mut list, *entry);
             }
         }
@@ -32,7 +33,7 @@
     servers.filter(|(_, spec)| spec.present_at_start).map(ready).collect()
 }
 
-/// Replaces the entry of a server; a removed server is no longer listed.
+/// Replaces the entry of a server, or deletes it if the server was removed.
 fn replace_entry(list: &mut Vec<ListEntry>, entry: ListEntry) {
     let is_removed = entry.state == EndpointState::Removed;
     match list.binary_search_by_key(&entry.slot, |listed| listed.slot) {
@@ -46,18 +47,18 @@
 /// The discovery service.
 pub struct Discovery {
     node: u32,
-    /// By tier.
+    /// The endpoint lists, by tier.
     lists: Vec<Vec<ListEntry>>,
-    /// By tier: proxies that are told of changes.
+    /// The proxies that are notified of changes, by tier.
     watchers: Vec<BTreeSet<u32>>,
-    /// Watchers that missed a change and will get the complete list.
+    /// Watchers that missed a change and will receive the complete list.
     unreachable_watchers: BTreeSet<u32>,
-    /// When it has served the calls that it has.
+    /// The time by which all queued calls are served.
     busy_until: Nanos,
 }
 
 impl Discovery {
-    /// The service at the start of a run.
+    /// Creates the service at the start of a run and schedules the changes and outages.
     pub fn new(node: u32, context: &mut Context) -> Discovery {
         let topology = context.topology;
         schedule_changes(context);
@@ -81,7 +82,10 @@
             Message::DiscoveryRequest(proxy, watch) => self.request_arrived(context, proxy, watch),
             Message::DiscoveryCallServed(proxy, watch) => self.serve_call(context, proxy, watch),
             Message::DiscoveryOutage => self.begin_outage(context),
-            _ => context.thread.counters.violation("discovery got a message that is none of its own"),
+            _ => context
+                .thread
+                .counters
+                .record_violation("discovery received a message of another kind of node"),
         }
     }
 
@@ -90,7 +94,7 @@
         machine.proxy.map(|(tier, _)| tier)
     }
 
-    /// It learns of changes and notifies the watchers; without changes, it retries those that it missed.
+    /// Applies changes and notifies the watchers. Without changes, it retries the unreachable watchers.
     fn changes_arrived(&mut self, context: &mut Context, changes: &[(u8, ListEntry)]) {
         if changes.is_empty() {
             return self.retry_unreachable(context);
@@ -100,7 +104,7 @@
             let delta: Arc<[ListEntry]> = [*entry].into();
             let watchers: Vec<u32> = self.watchers[*tier as usize].iter().copied().collect();
             for proxy in watchers {
-                // One that missed a change gets the complete list later.
+                // A watcher that missed a change receives the complete list later.
                 if self.unreachable_watchers.contains(&proxy) {
                     continue;
                 }
@@ -123,7 +127,7 @@
         }
     }
 
-    /// A watcher that missed a change gets the complete list as soon as it can be reached.
+    /// Marks a watcher that missed a change: it receives the complete list once it is reachable.
     fn add_unreachable(&mut self, context: &mut Context, proxy: u32) {
         if self.unreachable_watchers.is_empty() {
             let retry_at = context.now + RETRY_INTERVAL;
@@ -132,9 +136,9 @@
         self.unreachable_watchers.insert(proxy);
     }
 
-    /// Sends an update to a proxy; returns whether it can be reached.
+    /// Sends an update to a proxy. Returns whether the proxy is reachable.
     fn notify(&self, context: &mut Context, proxy: u32, update: DiscoveryUpdate) -> bool {
-        let at = context.now + network::between(context.topology, self.node, proxy, context.rng);
+        let at = context.now + network::draw_delay(context.topology, self.node, proxy, context.rng);
         let is_reached = network::reaches(context.topology, self.node, proxy, at);
         if is_reached {
             context.outbox.send(proxy, at, Message::DiscoveryUpdate(update));
@@ -146,14 +150,14 @@
         context.topology.timeline.outages.iter().any(|outage| outage.contains(context.now))
     }
 
-    /// Calls are served in turn, and fail if they would wait too long.
+    /// Queues a call of a proxy. The call fails if it would wait longer than the timeout.
     fn request_arrived(&mut self, context: &mut Context, proxy: u32, watch: bool) {
         let spec = &context.topology.scenario.discovery;
         let service_time = (1e9 / spec.calls_per_s) as Nanos;
         let timeout = spec.timeout.nanos();
         let served_at = self.busy_until.max(context.now) + service_time;
         if self.is_in_outage(context) || served_at > context.now + timeout {
-            let delay = network::between(context.topology, self.node, proxy, context.rng);
+            let delay = network::draw_delay(context.topology, self.node, proxy, context.rng);
             let fails_at = context.now + timeout + delay;
             return context.outbox.send(proxy, fails_at, Message::DiscoveryUpdate(DiscoveryUpdate::Failed));
         }
@@ -173,10 +177,10 @@
         self.notify(context, proxy, DiscoveryUpdate::Full(self.lists[tier as usize].clone().into()));
     }
 
-    /// All watches end, and the watchers are notified.
+    /// Ends all watches and notifies the watchers.
     fn begin_outage(&mut self, context: &mut Context) {
         if context.topology.scenario.discovery.mode == DiscoveryMode::Push {
-            // Pushed updates just stay away.
+            // Pushed updates stop without notice.
             return;
         }
         for tier in 0..self.watchers.len() {
@@ -187,20 +191,21 @@
     }
 }
 
-/// Schedules when discovery learns of each change. During an outage it cannot tell anybody; it does afterwards.
+/// Schedules the time at which discovery notifies watchers of each change: after its lag and after any
+/// outage.
 fn schedule_changes(context: &mut Context) {
     let topology = context.topology;
     let timeline = &topology.timeline;
     let lag = topology.scenario.discovery.lag.nanos();
-    for (happens_at, tier, entry) in &timeline.facts {
-        let heard_at = timeline.heard_at(*happens_at, lag);
-        let outages = timeline.outages.iter().filter(|outage| outage.contains(heard_at));
-        let told_at = outages.map(|outage| outage.to).max().unwrap_or(heard_at);
-        context.outbox.schedule(told_at, Message::DiscoveryNotified([(*tier, *entry)].into()));
+    for (happens_at, tier, entry) in &timeline.list_changes {
+        let discovered_at = timeline.discovered_at(*happens_at, lag);
+        let outages = timeline.outages.iter().filter(|outage| outage.contains(discovered_at));
+        let notified_at = outages.map(|outage| outage.to).max().unwrap_or(discovered_at);
+        context.outbox.schedule(notified_at, Message::DiscoveryNotified([(*tier, *entry)].into()));
     }
 }
 
-/// The proxies of a tier, if they are told of changes without asking.
+/// The callers of a tier in push mode, where they receive changes without a request.
 fn initial_watchers(topology: &Topology, tier: &Tier) -> BTreeSet<u32> {
     match topology.scenario.discovery.mode {
         DiscoveryMode::Push => tier.callers.iter().map(|machine| topology.machine_node(*machine)).collect(),
--- a/crates/lab/src/model/faults.rs
+++ b/crates/lab/src/model/faults.rs
@@ -1,5 +1,5 @@
-//! The timeline of faults: drawn from the seed before a run, so that every node knows its own and the
-//! network's without asking another.
+//! The timeline of faults. It is drawn from the seed before a run, so that each node knows the faults of the
+//! machine and of the network without messages.
 
 use super::message::{ListEntry, MachineChange};
 use super::topology::{ServerTemplate, Topology};
@@ -12,51 +12,52 @@
 /// A span of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeSpan {
-    /// From when.
+    /// The start, inclusive.
     pub from: Nanos,
-    /// Until when, not included.
+    /// The end, exclusive.
     pub to: Nanos,
 }
 
 impl TimeSpan {
-    /// Whether it contains a time.
+    /// Whether the span contains a time.
     pub fn contains(&self, at: Nanos) -> bool {
         (self.from..self.to).contains(&at)
     }
 }
 
-/// Everything that goes wrong in a run, and when.
+/// All faults of a run.
 #[derive(Default)]
 pub struct Timeline {
-    /// By machine, in time order.
+    /// The changes of each machine, in order of time.
     pub changes: Vec<Vec<(Nanos, MachineChange)>>,
-    /// Zones that are cut off from the others.
+    /// Zones that are partitioned from the others.
     pub cuts: Vec<(TimeSpan, u16)>,
-    /// Machines that have vanished without a word.
-    pub dark: Vec<Vec<TimeSpan>>,
-    /// Tiers to whose servers connections break, with which probability.
+    /// The periods in which each machine is unreachable, without any notice to others.
+    pub unreachable: Vec<Vec<TimeSpan>>,
+    /// Tiers whose connections are reset, with the probability per attempt.
     pub resets: Vec<(TimeSpan, u8, f64)>,
-    /// Tenants that send more, and how many times.
+    /// Tenants that send more traffic, with the factor.
     pub floods: Vec<(TimeSpan, u16, f64)>,
-    /// Clients that try again at once, so many times.
+    /// Retry storms: clients retry immediately, up to this number of times.
     pub storms: Vec<(TimeSpan, u32)>,
-    /// Discovery is out.
+    /// Outages of discovery.
     pub outages: Vec<TimeSpan>,
-    /// Discovery hears nothing.
+    /// Periods in which discovery receives no changes.
     pub stale: Vec<TimeSpan>,
-    /// By machine: when its proxy is not there.
+    /// The periods in which the proxy of each machine is down.
     pub proxies_down: Vec<Vec<TimeSpan>>,
-    /// What discovery has to hear of, in time order: when it happens, in which tier, what.
-    pub facts: Vec<(Nanos, u8, ListEntry)>,
-    /// For the report.
+    /// The changes of the endpoint lists, in order of time: time, tier, new entry.
+    pub list_changes: Vec<(Nanos, u8, ListEntry)>,
+    /// The faults and their periods, for the report.
     pub windows: Vec<Window>,
 }
 
 impl Timeline {
-    /// Draws whom the scenario's faults touch. Deploys add the servers that will come.
+    /// Draws the servers and proxies that the scenario's faults affect. Deploys add the replacement servers
+    /// to the topology.
     pub(super) fn draw(topology: &mut Topology, rng: &mut Pcg64Mcg) -> Timeline {
         let mut timeline = Timeline::default();
-        timeline.fit(topology);
+        timeline.resize_to(topology);
         for fault in topology.scenario.fault.clone() {
             let span = TimeSpan {
                 from: fault.start.nanos(),
@@ -71,22 +72,22 @@
                 touched,
             });
         }
-        timeline.fit(topology);
-        // Sorting is stable: what one fault does at one instant keeps its order.
+        timeline.resize_to(topology);
+        // The sort is stable, so simultaneous changes of one fault keep their order.
         timeline.changes.iter_mut().for_each(|changes| changes.sort_by_key(|(at, _)| *at));
-        timeline.facts.sort_by_key(|(at, ..)| *at);
+        timeline.list_changes.sort_by_key(|(at, ..)| *at);
         timeline
     }
 
-    /// Makes room for all machines that there are by now.
-    fn fit(&mut self, topology: &Topology) {
+    /// Resizes the lists by machine to the current number of machines.
+    fn resize_to(&mut self, topology: &Topology) {
         let machines = topology.machines.len();
         self.changes.resize_with(machines, Vec::new);
-        self.dark.resize_with(machines, Vec::new);
+        self.unreachable.resize_with(machines, Vec::new);
         self.proxies_down.resize_with(machines, Vec::new);
     }
 
-    /// Adds a fault, and returns what it touches, in words.
+    /// Adds a fault and returns a description of what it affects.
     fn add(&mut self, topology: &mut Topology, rng: &mut Pcg64Mcg, fault: &Fault, time: TimeSpan) -> String {
         let strength = fault.strength.unwrap_or(0.0);
         match fault.kind {
@@ -115,7 +116,7 @@
             FaultKind::TenantFlood => self.flood_tenant(topology, fault, time),
             FaultKind::RetryStorm => {
                 self.storms.push((time, strength as u32));
-                format!("{strength} more tries at once")
+                format!("up to {strength} immediate retries")
             }
             FaultKind::DiscoveryOutage => {
                 self.outages.push(time);
@@ -137,7 +138,7 @@
         server_names(topology, tier, &slots)
     }
 
-    /// Changes servers for as long as the fault lasts: at its begin and at its end.
+    /// Applies one change to servers at the start of the fault and another at its end.
     fn degrade(
         &mut self,
         topology: &Topology,
@@ -165,7 +166,7 @@
         let probability = fault.strength.unwrap_or(0.0);
         self.resets.push((time, tier as u8, probability));
         let percent = probability * 100.0;
-        format!("{percent:.0}% of the attempts at {}", topology.scenario.tier[tier].name)
+        format!("{percent:.0}% of the attempts sent to {}", topology.scenario.tier[tier].name)
     }
 
     fn flood_tenant(&mut self, topology: &Topology, fault: &Fault, time: TimeSpan) -> String {
@@ -175,18 +176,18 @@
         format!("{} sends {factor} times its traffic", topology.scenario.tenant[tenant].name)
     }
 
-    /// A machine with its server dies and comes back cold.
+    /// Stops a machine with its server, and starts it again cold at the end of the fault.
     fn restart(&mut self, topology: &Topology, tier: usize, slot: u32, time: TimeSpan, silent: bool) {
         let machine = topology.tiers[tier].servers[slot as usize].machine as usize;
         self.changes[machine]
             .extend([(time.from, MachineChange::Die { silent }), (time.to, MachineChange::Start)]);
         self.proxies_down[machine].push(time);
         if silent {
-            self.dark[machine].push(time);
+            self.unreachable[machine].push(time);
         }
         let line = |state, started| ListEntry { slot, state, started };
-        self.facts.push((time.from, tier as u8, line(EndpointState::Removed, 0)));
-        self.facts.push((time.to, tier as u8, line(EndpointState::Ready, time.to)));
+        self.list_changes.push((time.from, tier as u8, line(EndpointState::Removed, 0)));
+        self.list_changes.push((time.to, tier as u8, line(EndpointState::Ready, time.to)));
     }
 
     fn lose_zone(&mut self, topology: &Topology, zone: usize, time: TimeSpan) -> String {
@@ -202,9 +203,9 @@
             self.changes[machine as usize]
                 .extend([(time.from, MachineChange::Die { silent: true }), (time.to, MachineChange::Start)]);
             self.proxies_down[machine as usize].push(time);
-            self.dark[machine as usize].push(time);
+            self.unreachable[machine as usize].push(time);
         }
-        format!("zone {}: all its servers and proxies", topology.scenario.zones[zone])
+        format!("all servers and proxies of zone {}", topology.scenario.zones[zone])
     }
 
     fn restart_proxies(
@@ -225,7 +226,8 @@
         format!("{count} proxies")
     }
 
-    /// Batch after batch is drained and, half a batch's time later, replaced by new servers under new ids.
+    /// Replaces servers batch by batch: each batch is drained and, half a batch interval later, replaced by
+    /// new servers with new ids.
     fn deploy(
         &mut self,
         topology: &mut Topology,
@@ -259,7 +261,7 @@
         };
         let machine = old.machine as usize;
         let new = topology.add_server(tier, template);
-        self.fit(topology);
+        self.resize_to(topology);
         let successor = topology.tiers[tier].servers[new as usize].machine as usize;
         self.changes[machine]
             .extend([(drained, MachineChange::Drain), (replaced, MachineChange::Die { silent: false })]);
@@ -267,47 +269,52 @@
         self.changes[successor].push((replaced, MachineChange::Start));
         self.proxies_down[successor].push(TimeSpan { from: 0, to: replaced });
         let line = |slot, state, started| ListEntry { slot, state, started };
-        self.facts.push((drained, tier as u8, line(slot, EndpointState::Draining, 0)));
-        self.facts.push((replaced, tier as u8, line(slot, EndpointState::Removed, 0)));
-        self.facts.push((replaced, tier as u8, line(new, EndpointState::Ready, replaced)));
+        self.list_changes.push((drained, tier as u8, line(slot, EndpointState::Draining, 0)));
+        self.list_changes.push((replaced, tier as u8, line(slot, EndpointState::Removed, 0)));
+        self.list_changes.push((replaced, tier as u8, line(new, EndpointState::Ready, replaced)));
     }
 
-    /// Whether two zones can reach each other.
+    /// Whether two zones can communicate.
     pub fn joined(&self, a: u16, b: u16, at: Nanos) -> bool {
         a == b || !self.cuts.iter().any(|(time, zone)| (*zone == a || *zone == b) && time.contains(at))
     }
 
-    /// Whether a machine has vanished.
-    pub fn is_dark(&self, machine: u32, at: Nanos) -> bool {
-        self.dark[machine as usize].iter().any(|time| time.contains(at))
+    /// Whether a machine is unreachable.
+    pub fn is_unreachable(&self, machine: u32, at: Nanos) -> bool {
+        self.unreachable[machine as usize].iter().any(|time| time.contains(at))
     }
 
-    /// When a machine's proxy last went, if it is not there.
+    /// Returns since when the proxy of a machine has been down, or `None` if it is up.
     pub fn proxy_down_since(&self, machine: u32, at: Nanos) -> Option<Nanos> {
         self.proxies_down[machine as usize].iter().find(|time| time.contains(at)).map(|time| time.from)
     }
 
-    /// How likely an attempt at a tier breaks.
+    /// The probability that the connection of an attempt at a tier is reset.
     pub fn reset_rate(&self, base: f64, tier: u8, at: Nanos) -> f64 {
         let now = self.resets.iter().filter(|(time, t, _)| *t == tier && time.contains(at));
         now.map(|(_, _, rate)| *rate).fold(base, f64::max)
     }
 
-    /// How many times its usual traffic a tenant sends.
+    /// The factor on the usual traffic of a tenant.
     pub fn flood(&self, tenant: u16, at: Nanos) -> f64 {
         let now = self.floods.iter().filter(|(time, t, _)| *t == tenant && time.contains(at));
         now.map(|(_, _, factor)| *factor).product()
     }
 
-    /// Tries that clients make at once, if they do.
+    /// The maximum number of immediate retries during a retry storm; `None` if there is no storm.
     pub fn storm(&self, at: Nanos) -> Option<u32> {
         self.storms.iter().filter(|(time, _)| time.contains(at)).map(|(_, tries)| *tries).max()
     }
 
-    /// When discovery hears of what happens at a time, with its lag.
-    pub fn heard_at(&self, at: Nanos, lag: Nanos) -> Nanos {
-        let heard = at.saturating_add(lag);
-        self.stale.iter().filter(|time| time.contains(heard)).map(|time| time.to).max().unwrap_or(heard)
+    /// The time at which discovery receives a change that happens at a time, with its lag.
+    pub fn discovered_at(&self, at: Nanos, lag: Nanos) -> Nanos {
+        let discovered = at.saturating_add(lag);
+        self.stale
+            .iter()
+            .filter(|time| time.contains(discovered))
+            .map(|time| time.to)
+            .max()
+            .unwrap_or(discovered)
     }
 }
 
@@ -329,7 +336,7 @@
     fault.tenant.as_deref().and_then(position).unwrap_or(0)
 }
 
-/// Whom a fault touches: as many as its part asks for, of those it can touch.
+/// Draws the servers or proxies that a fault affects: the requested part of all that it can affect.
 fn choose(topology: &Topology, rng: &mut Pcg64Mcg, fault: &Fault) -> Vec<u32> {
     let mut slots: Vec<u32> =
         topology.scenario.within_reach(fault).into_iter().map(|slot| slot as u32).collect();
--- a/crates/lab/src/model/machine.rs
+++ b/crates/lab/src/model/machine.rs
@@ -1,8 +1,8 @@
 //! A machine: a server, a proxy, or a server with the proxy for its calls to the next tier, which starts and
 //! stops with it.
 //!
-//! It passes events on to its server and its proxy, and carries out what the server asks for. Only here do the
-//! two meet.
+//! The machine forwards events to its server and its proxy, and applies the effects that the server requests.
+//! A server and its proxy interact only through their machine.
 
 use super::context::Context;
 use super::message::{Attempt, AttemptResponse, MachineChange, Message, ProxyRequest, RequestOutcome};
@@ -14,17 +14,17 @@
 
 /// A machine.
 pub struct Machine {
-    /// Its number.
+    /// The number of the machine.
     pub number: u32,
     node: u32,
-    /// Its server.
+    /// The server, if the machine has one.
     pub server: Option<Server>,
-    /// Its proxy.
+    /// The proxy, if the machine has one.
     pub proxy: Option<Proxy>,
 }
 
 impl Machine {
-    /// A machine at the begin of a run, with its faults scheduled.
+    /// Creates a machine at the start of a run and schedules its faults.
     pub fn new(number: u32, context: &mut Context) -> Machine {
         let topology = context.topology;
         let spec = &topology.machines[number as usize];
@@ -42,7 +42,7 @@
         machine
     }
 
-    /// Whether its server runs; true if it has none.
+    /// Whether its server is running; `true` if it has none.
     fn is_server_up(&self) -> bool {
         self.server.as_ref().is_none_or(Server::runs)
     }
@@ -69,8 +69,8 @@
     ) {
         match (message, &mut self.server) {
             (Message::ServerPauses, Some(server)) => server.pause(context),
-            (Message::WorkCompleted { job, run }, Some(server)) => {
-                server.part_completed(context, job, run, effects);
+            (Message::WorkCompleted { job, generation }, Some(server)) => {
+                server.part_completed(context, job, generation, effects);
             }
             (Message::CancelAttempt(id), Some(server)) => server.cancel_attempt(context, id, effects),
             (Message::ConnectionsClosed(closed), Some(server)) => {
@@ -109,7 +109,10 @@
             Message::SampleEndpointHealth => proxy.sample_endpoint_health(context),
             Message::AttemptResponse(response) => proxy.response_received(context, response),
             Message::DiscoveryUpdate(update) => proxy.discovery_update(context, update),
-            _ => context.thread.counters.violation("a machine got a message that is none of its own"),
+            _ => context
+                .thread
+                .counters
+                .record_violation("a machine received a message of another kind of node"),
         }
     }
 
@@ -119,7 +122,7 @@
             let origin = Origin::Client { request: client_request, attempt };
             proxy.accept_request(context, request, origin);
         } else {
-            let at = context.now + network::client(context.topology, context.rng);
+            let at = context.now + network::draw_client_delay(context.topology, context.rng);
             let response = Message::Response(client_request, attempt, RequestOutcome::Unreachable);
             context.outbox.send(client_request.node, at, response);
         }
@@ -149,13 +152,13 @@
     fn health_check(&mut self, context: &mut Context, proxy: u32, number: u64) {
         let Some(server) = &mut self.server else { return };
         let (outcome, responds_at, load) = server.health_check(context.topology, context.now);
-        let at = responds_at + network::between(context.topology, self.node, proxy, context.rng);
+        let at = responds_at + network::draw_delay(context.topology, self.node, proxy, context.rng);
         if network::reaches(context.topology, self.node, proxy, at) {
             context.outbox.send(proxy, at, Message::HealthCheckResponse(number, outcome, load));
         }
     }
 
-    /// Carries out what the server asks for, and what follows from that, until nothing is left to do.
+    /// Applies the effects that the server requests, and those that result from them, until none is left.
     fn apply_effects(&mut self, context: &mut Context, mut effects: Vec<ServerEffect>) {
         loop {
             for effect in std::mem::take(&mut effects) {
@@ -176,8 +179,8 @@
     fn apply_effect(&mut self, context: &mut Context, effect: ServerEffect) {
         match effect {
             ServerEffect::Respond { proxy, response } => self.respond(context, proxy, response),
-            ServerEffect::CallNextTier { job, run, attempt } => {
-                self.call_next_tier(context, job, run, &attempt);
+            ServerEffect::CallNextTier { job, generation, attempt } => {
+                self.call_next_tier(context, job, generation, &attempt);
             }
             ServerEffect::CancelCall { request } => {
                 if let Some(proxy) = &mut self.proxy {
@@ -191,13 +194,13 @@
     fn respond(&mut self, context: &mut Context, proxy: u32, mut response: AttemptResponse) {
         let noise = self.report_noise(context.topology);
         response.load = with_noise(response.load, noise, context.rng);
-        let at = context.now + network::between(context.topology, self.node, proxy, context.rng);
+        let at = context.now + network::draw_delay(context.topology, self.node, proxy, context.rng);
         if network::reaches(context.topology, self.node, proxy, at) {
             context.outbox.send(proxy, at, Message::AttemptResponse(response));
         }
     }
 
-    fn call_next_tier(&mut self, context: &mut Context, job: u32, run: u32, attempt: &Attempt) {
+    fn call_next_tier(&mut self, context: &mut Context, job: u32, generation: u32, attempt: &Attempt) {
         let class = &context.topology.classes[attempt.class as usize];
         let own_deadline = context.now + class.settings.client_deadline;
         let passes_deadline = context.topology.scenario.limits.passes_deadline;
@@ -211,18 +214,18 @@
             work: attempt.work,
         };
         let Some(proxy) = &mut self.proxy else { return };
-        let number = proxy.accept_request(context, call, Origin::Job { job, run });
+        let number = proxy.accept_request(context, call, Origin::Job { job, generation });
         if let (Some(number), Some(server)) = (number, &mut self.server) {
-            server.call_started(job, run, number);
+            server.call_started(job, generation, number);
         }
     }
 
-    /// Tells the client that a request had its effect at this server.
+    /// Notifies the client that a request had its effect at this server.
     fn report_execution(&self, context: &mut Context, attempt: &Attempt) {
         let is_first_tier = self.server_tier(context.topology) == Some(0);
         let idempotency = context.topology.classes[attempt.class as usize].settings.idempotency;
         if is_first_tier && idempotency != Idempotency::Idempotent {
-            let at = context.now + network::client(context.topology, context.rng);
+            let at = context.now + network::draw_client_delay(context.topology, context.rng);
             let group = self.deduplication_group(context.topology, idempotency);
             let executed = Message::EffectExecuted(attempt.client_request, group);
             context.outbox.send(attempt.client_request.node, at, executed);
@@ -238,7 +241,7 @@
         Some(&topology.tiers[tier as usize].servers[slot as usize])
     }
 
-    /// The number of the group of servers within which a repeat of this request has no second effect.
+    /// The number of the deduplication group, within which a retry of the request has no second effect.
     fn deduplication_group(&self, topology: &Topology, idempotency: Idempotency) -> u64 {
         let Some(spec) = self.server_spec(topology) else { return 0 };
         match idempotency {
@@ -254,7 +257,7 @@
         report.map_or(0.0, |report| report.noise)
     }
 
-    /// Its server fell over while cold, with the last attempt from this proxy.
+    /// Reports that the server was overloaded while cold; `last_proxy` sent the last attempt.
     fn report_cold_overload(&self, context: &mut Context, last_proxy: u32) {
         let Some(server) = self.server.as_ref().filter(|server| server.was_overloaded_while_cold()) else {
             return;
@@ -262,9 +265,9 @@
         let Some(spec) = self.server_spec(context.topology) else { return };
         let age_ms = (context.now - server.started()) as f64 / 1e6;
         let pressure = server.describe_pressure();
-        let what = format!("{} fell over {age_ms:.0} ms after its start: {pressure}", spec.name);
+        let what = format!("{} was overloaded {age_ms:.0} ms after its start: {pressure}", spec.name);
         let proxy = context.topology.proxy_name(last_proxy - context.topology.clients);
-        context.thread.counters.cold_breach(context.now, proxy, what);
+        context.thread.counters.cold_server_overloaded(context.now, proxy, what);
     }
 
     fn broadcast_state(&self, context: &mut Context) {
@@ -275,8 +278,9 @@
         }
     }
 
-    /// Whether every request is accounted for.
-    pub fn conserves(&self) -> bool {
-        self.server.as_ref().is_none_or(Server::conserves) && self.proxy.as_ref().is_none_or(Proxy::balance)
+    /// Whether the counters of its server and its proxy account for every request.
+    pub fn has_consistent_counts(&self) -> bool {
+        self.server.as_ref().is_none_or(Server::has_consistent_counts)
+            && self.proxy.as_ref().is_none_or(Proxy::has_plausible_counts)
     }
 }
--- a/crates/lab/src/model/message.rs
+++ b/crates/lab/src/model/message.rs
@@ -5,205 +5,205 @@
 use olivecart_decisions::{EndpointState, LoadReport, Nanos, Outcome, Timer};
 use std::sync::Arc;
 
-/// A client's request over all of its attempts.
+/// The id of a client's request, the same for all of its attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClientRequestId {
-    /// The clients' node that holds it.
+    /// The client node that sent it.
     pub node: u32,
-    /// Its slot there.
+    /// The slot at that node.
     pub slot: u32,
-    /// Distinguishes it from other requests that used the slot.
+    /// Distinguishes the request from others that used the same slot.
     pub generation: u32,
 }
 
 /// A request as it arrives at a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyRequest {
-    /// The client's request that it belongs to.
+    /// The client's request.
     pub client_request: ClientRequestId,
-    /// Which of the client's attempts.
+    /// The number of the client's attempt.
     pub attempt: u8,
-    /// Its class.
+    /// The class of the request.
     pub class: u16,
-    /// Its tenant; `u16::MAX`: none.
+    /// The tenant of the request; [`NO_TENANT`](super::NO_TENANT) if there is none.
     pub tenant: u16,
-    /// Its caller marked it as a retry.
+    /// Whether its caller marked it as a retry.
     pub is_retry: bool,
-    /// Until when its caller waits.
+    /// The time until which its caller waits.
     pub deadline: Nanos,
-    /// Its work over all tiers, in nanoseconds on a core of speed 1.
+    /// The work of the request in all tiers, in nanoseconds on a core of speed 1.
     pub work: u64,
 }
 
-/// How a request ended for its caller.
+/// The outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served, with the work that was done for the response over all tiers.
+    /// The request was served; contains the work done for the response in all tiers.
     Served(u64),
-    /// Refused, with the retry-after time; 0: none given.
+    /// The request was refused; contains the retry-after time, or 0 if none was given.
     Refused(Nanos),
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// There was no proxy to take it, or the proxy died.
+    /// No proxy was available, or the proxy died.
     Unreachable,
 }
 
-/// An attempt, by the proxy that sent it.
+/// The id of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The proxy's node.
+    /// The node of the proxy that sent it.
     pub proxy: u32,
-    /// The request's number at the proxy.
+    /// The number of the request at the proxy.
     pub request: u64,
-    /// Which of the request's attempts.
+    /// The number of the attempt of that request.
     pub number: u32,
 }
 
 /// An attempt as it arrives at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// Who sent it.
+    /// The id of the attempt.
     pub id: AttemptId,
-    /// The client's request that it belongs to.
+    /// The client's request.
     pub client_request: ClientRequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: u16,
-    /// Its tenant; `u16::MAX`: none.
+    /// The tenant of the request; [`NO_TENANT`](super::NO_TENANT) if there is none.
     pub tenant: u16,
-    /// Until when its proxy waits.
+    /// The time until which its proxy waits.
     pub deadline: Nanos,
-    /// The request's work over all tiers.
+    /// The work of the request in all tiers.
     pub work: u64,
-    /// The incarnation of the server that its connection leads to; `None`: it comes on a new connection.
-    pub kept: Option<u32>,
-    /// When the server last started, as its proxy was told.
-    pub told_started: Nanos,
-    /// Its connection breaks once it is written.
-    pub breaks: bool,
+    /// The server incarnation to which its connection was opened; `None` for a new connection.
+    pub connection_incarnation: Option<u32>,
+    /// The last start time of the server that its proxy knows of.
+    pub known_start: Nanos,
+    /// Whether its connection is reset once the attempt is written.
+    pub breaks_connection: bool,
 }
 
-/// Connections that a proxy closes.
+/// Idle connections that a proxy closes.
 #[derive(Clone, Copy, Debug)]
 pub struct ClosedConnections {
-    /// The incarnation of the server that they led to.
+    /// The server incarnation to which they were opened.
     pub incarnation: u32,
-    /// How many.
+    /// The number of connections.
     pub count: u32,
 }
 
 /// The response of a server to an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResponse {
-    /// The request's number at its proxy.
+    /// The number of the request at its proxy.
     pub request: u64,
-    /// Which of its attempts.
+    /// The number of the attempt.
     pub number: u32,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The incarnation of the server, if the connection stays open.
-    pub kept: Option<u32>,
-    /// Work done for it over all tiers.
+    /// The server incarnation, if the connection stays open.
+    pub connection_incarnation: Option<u32>,
+    /// The work done for the response in all tiers.
     pub work: u64,
-    /// The load report.
+    /// The load report of the server.
     pub load: Option<LoadReport>,
 }
 
-/// One entry of the list of endpoints.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListEntry {
     /// The server's index in its tier.
     pub slot: u32,
-    /// Whether it takes requests.
+    /// The state of the server.
     pub state: EndpointState,
-    /// When it last started; 0: long ago.
+    /// The last start time of the server; 0 if it started before the run.
     pub started: Nanos,
 }
 
-/// What discovery tells a proxy.
+/// An update that discovery sends to a proxy.
 #[derive(Clone, Debug)]
 pub enum DiscoveryUpdate {
     /// The complete list.
     Full(Arc<[ListEntry]>),
     /// The entries that changed.
     Delta(Arc<[ListEntry]>),
-    /// The call failed, or the watch broke.
+    /// The call failed, or the watch ended.
     Failed,
 }
 
 /// A change of a machine's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MachineChange {
-    /// Its process dies.
+    /// The process dies.
     Die {
-        /// It dies together with its machine: nothing is sent any more, and nobody is told.
+        /// Whether the machine is lost with it: it sends nothing more, and no other node is notified.
         silent: bool,
     },
-    /// Its process starts.
+    /// The process starts.
     Start,
-    /// It finishes the requests that it has and takes no new ones.
+    /// The server finishes its current requests and rejects new ones.
     Drain,
-    /// It fails this share of its requests at once; 0: no more.
+    /// The server fails this share of its requests immediately; 0 ends the fault.
     Errors(f64),
-    /// It is this many times slower; 1: no more.
+    /// The server is slower by this factor; 1 ends the fault.
     Slow(f64),
-    /// It stops responding to requests, or responds again.
+    /// The server stops responding to requests (`true`) or recovers (`false`).
     Hang(bool),
-    /// Its load reports come this much later; 0: no more.
+    /// Load reports are delayed by this additional time; 0 ends the fault.
     Late(Nanos),
 }
 
-/// Everything that can happen to a node.
+/// An event that a node handles.
 #[derive(Clone, Debug)]
 pub enum Message {
-    // ---- to the node itself ----
-    /// The next client arrives.
+    // ---- events of the node itself ----
+    /// The next client request arrives.
     ClientArrives,
-    /// A client stops waiting for an attempt.
+    /// The timeout of a client's attempt expires.
     ClientTimesOut(ClientRequestId, u8),
-    /// A client closes its connection before that.
+    /// A client closes its connection before the timeout.
     ClientDisconnects(ClientRequestId, u8),
     /// A client sends its next attempt.
     ClientRetries(ClientRequestId),
-    /// The deadline of a request at a proxy has come.
+    /// The deadline of a request at a proxy expires.
     DeadlineExpired(u64),
     /// The grace period after the deadline of a request at a proxy has passed.
     ResponseOverdue(u64),
-    /// A timer of the policy in this incarnation of the proxy.
+    /// A timer that the policy set in this incarnation of the proxy fires.
     PolicyTimer(Timer, u32),
     /// The connection of an attempt was not established in time, or the attempt's timeout has passed.
     AttemptTimedOut {
-        /// The request's number.
+        /// The number of the request.
         request: u64,
-        /// Which of its attempts.
+        /// The number of the attempt.
         number: u32,
-        /// How it ends, if it has not ended yet.
+        /// The outcome of the attempt if it is still in flight.
         outcome: Outcome,
     },
     /// The health check with this number got no response in time.
     HealthCheckTimedOut(u64),
-    /// Idle connections are swept, in this incarnation of the proxy.
+    /// Expired idle connections are to be closed, in this incarnation of the proxy.
     SweepIdleConnections(u32),
-    /// The health of endpoints is sampled, for the report.
+    /// The health of endpoints is to be sampled for the report.
     SampleEndpointHealth,
-    /// A core has completed a part of a job.
+    /// A part of a job is due to be completed.
     WorkCompleted {
         /// The job.
         job: u32,
-        /// Which run of the job's slot.
-        run: u32,
+        /// The generation of the job's index.
+        generation: u32,
     },
     /// A server pauses.
     ServerPauses,
-    /// A fault begins or ends at this machine.
+    /// A fault starts or ends at this machine.
     MachineChanges(MachineChange),
-    /// Discovery learns of changes, each in a tier.
+    /// Discovery receives changes of endpoints, each with its tier.
     DiscoveryNotified(Arc<[(u8, ListEntry)]>),
-    /// Discovery serves a call: of which proxy, and whether it watches from now on.
+    /// Discovery serves a call; contains the proxy, and whether it watches from now on.
     DiscoveryCallServed(u32, bool),
-    /// An outage of discovery begins.
+    /// An outage of discovery starts.
     DiscoveryOutage,
 
-    // ---- over the network ----
+    // ---- messages over the network ----
     /// To a proxy: a client's request.
     Request(ProxyRequest),
     /// To a client: the response to one of its attempts.
@@ -212,21 +212,21 @@
     ClientDisconnected(ClientRequestId, u8),
     /// To a server: an attempt.
     Attempt(Attempt),
-    /// To a server: an attempt is cancelled by closing its connection.
+    /// To a server: the connection of an attempt is closed, which cancels the attempt.
     CancelAttempt(AttemptId),
     /// To a server: idle connections are closed.
     ConnectionsClosed(ClosedConnections),
     /// To a proxy: the response to an attempt.
     AttemptResponse(AttemptResponse),
-    /// To a server: a health check, by which proxy and with which number.
+    /// To a server: a health check, with the proxy and its number.
     HealthCheck(u32, u64),
-    /// To a proxy: the number of a health check, how it ended, and the load report.
+    /// To a proxy: the response to a health check, with its number, its outcome and the load report.
     HealthCheckResponse(u64, Outcome, Option<LoadReport>),
-    /// To discovery: a call of this proxy, and whether it wants to watch.
+    /// To discovery: a request of this proxy for the list, and whether it wants to watch.
     DiscoveryRequest(u32, bool),
-    /// To a proxy: what discovery tells.
+    /// To a proxy: an update from discovery.
     DiscoveryUpdate(DiscoveryUpdate),
-    /// To a client: a request had its effect in this group of servers.
+    /// To a client: a request had its effect in this deduplication group of servers.
     EffectExecuted(ClientRequestId, u64),
 }
 
@@ -237,9 +237,9 @@
     pub tier: u8,
     /// The server's index in the tier.
     pub slot: u32,
-    /// Its state.
+    /// The state of the server.
     pub true_state: TrueState,
 }
 
-/// Collects what a node of the model sends.
+/// Collects the messages that a node of the model sends.
 pub type Outbox = engine::Outbox<super::Topology>;
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -1,7 +1,7 @@
-//! The model of a fleet: clients, proxies, servers, discovery and the network between them, with the real
-//! decisions in the proxies. The engine runs it in virtual time.
+//! The model of a fleet: clients, proxies, servers, discovery and the network between them. Its proxies use
+//! the real decision module or another policy, and the engine runs it in virtual time.
 //!
-//! Owns everything that happens in a run. [`crate::run`] plays it; the stand-ins on sockets use its
+//! Owns the behavior of all nodes of a run. [`crate::run`] runs it; the stand-ins on sockets use its
 //! [`Topology`], so that a scenario means the same there. It does no I/O.
 
 mod clients;
@@ -53,21 +53,21 @@
         }
     }
 
-    /// Whether every request is accounted for.
-    fn conserves(&self) -> bool {
+    /// Whether the node's counters account for every request.
+    fn has_consistent_counts(&self) -> bool {
         match self {
-            Role::Clients(clients) => clients.conserves(),
-            Role::Machine(machine) => machine.conserves(),
+            Role::Clients(clients) => clients.has_consistent_counts(),
+            Role::Machine(machine) => machine.has_consistent_counts(),
             Role::Discovery(_) => true,
         }
     }
 }
 
-/// One node of the model.
+/// A node of the model.
 pub struct Node {
     role: Role,
     rng: Pcg64Mcg,
-    /// The digest of all events that it has handled.
+    /// The digest of all events that the node has handled.
     digest: u64,
 }
 
@@ -83,7 +83,7 @@
     }
 
     fn lookahead(&self) -> Nanos {
-        network::least(&self.scenario.network)
+        network::min_delay(&self.scenario.network)
     }
 
     fn end_time(&self) -> Nanos {
@@ -119,8 +119,8 @@
         node.digest = mix(node.digest ^ now, message.fingerprint());
         let mut context = Context { topology: self, now, rng: &mut node.rng, outbox, thread };
         node.role.handle(&mut context, message);
-        if !node.role.conserves() {
-            thread.counters.violation("a request got lost or was counted twice in the model");
+        if !node.role.has_consistent_counts() {
+            thread.counters.record_violation("a request was lost or counted twice in the model");
         }
     }
 
@@ -151,7 +151,7 @@
             match node.role {
                 Role::Machine(machine) => output.add_machine(self, id, *machine),
                 Role::Clients(clients) if clients.open() > 0 => {
-                    output.counters.violation("a client's request was still open at the end");
+                    output.counters.record_violation("a client request was still open at the end of the run");
                 }
                 Role::Clients(_) | Role::Discovery(_) => {}
             }
--- a/crates/lab/src/model/monitor.rs
+++ b/crates/lab/src/model/monitor.rs
@@ -1,35 +1,36 @@
-//! The four rules, checked at every proxy and server, and each breach with the events that led to it.
+//! The four rules that policies must keep, and the trace of events that is reported with a breach.
 //!
-//! Whether a rule is broken follows from what the proxy was told and did, never from what its policy believes.
+//! Proxies and servers check the rules. The checks use only what the proxy received and did, never the state
+//! of its policy.
 
 use crate::run_result::Breach;
 use olivecart_decisions::{EndpointState, Nanos, Outcome};
 use std::collections::VecDeque;
 use std::fmt;
 
-/// How many events each proxy remembers.
+/// The maximum number of events in the trace of a proxy.
 const MAX_TRACE_EVENTS: usize = 400;
-/// How many events a breach is reported with.
+/// The maximum number of events reported with a breach.
 const MAX_REPORTED_EVENTS: usize = 40;
 
 /// The four rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final response in time, and nothing after it.
+    /// A request gets one final response in time, and nothing is sent for it afterwards.
     Answer,
-    /// No second effect, and no concurrent attempts.
+    /// A request has no second effect and no concurrent attempts.
     Effect,
-    /// Nothing new to a draining or removed server after the grace period.
+    /// A draining or removed server gets no new attempts after the grace period.
     Drain,
-    /// No cold server overloaded.
+    /// A cold server is not overloaded.
     Cold,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Rule; 4] = [Rule::Answer, Rule::Effect, Rule::Drain, Rule::Cold];
 
-    /// Its name in results.
+    /// The name of the rule in results.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Answer => "answer",
@@ -40,28 +41,28 @@
     }
 }
 
-/// Something that a proxy saw or did.
+/// An event at a proxy.
 #[derive(Clone, Copy, Debug)]
 pub enum TraceEvent {
-    /// It accepted a request.
+    /// The proxy accepted a request.
     Accepted(u64),
-    /// It started an attempt of a request at a server.
+    /// The proxy sent an attempt of a request to a server: request, attempt, server.
     Sent(u64, u32, u32),
-    /// An attempt of a request at a server ended.
+    /// An attempt of a request at a server ended: request, attempt, server, outcome.
     Ended(u64, u32, u32, Outcome),
-    /// An attempt of a request was cancelled.
+    /// The policy cancelled an attempt of a request: request, attempt.
     Cancelled(u64, u32),
     /// A request was refused.
     Refused(u64),
-    /// A request was answered as failed.
+    /// A request failed.
     Failed(u64),
     /// A request was served.
     Served(u64),
-    /// A request's client went away.
+    /// The client of a request disconnected.
     Aborted(u64),
-    /// A request's deadline passed.
+    /// The deadline of a request expired.
     Expired(u64),
-    /// The list told of a server, with its state and start time.
+    /// A list update contained a server: server, state, start time.
     Listed(u32, EndpointState, Nanos),
 }
 
@@ -75,7 +76,7 @@
 }
 
 impl Subject {
-    /// A request alone.
+    /// A breach that concerns a request, but no particular server.
     pub fn request(number: u64) -> Subject {
         Subject { request: Some(number), server: None }
     }
@@ -109,7 +110,7 @@
 impl fmt::Display for TraceEvent {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            TraceEvent::Accepted(request) => write!(f, "took request {request}"),
+            TraceEvent::Accepted(request) => write!(f, "accepted request {request}"),
             TraceEvent::Sent(request, attempt, server) => {
                 write!(f, "sent attempt {attempt} of request {request} to server {server}")
             }
@@ -117,23 +118,23 @@
                 write!(f, "attempt {attempt} of request {request} at server {server} ended: {outcome:?}")
             }
             TraceEvent::Cancelled(request, attempt) => {
-                write!(f, "called off attempt {attempt} of request {request}")
+                write!(f, "cancelled attempt {attempt} of request {request}")
             }
             TraceEvent::Refused(request) => write!(f, "refused request {request}"),
-            TraceEvent::Failed(request) => write!(f, "answered request {request} as failed"),
-            TraceEvent::Served(request) => write!(f, "passed on the answer to request {request}"),
-            TraceEvent::Aborted(request) => write!(f, "the client of request {request} went away"),
-            TraceEvent::Expired(request) => write!(f, "the deadline of request {request} passed"),
-            TraceEvent::Listed(server, state, 0) => write!(f, "was told that server {server} is {state:?}"),
+            TraceEvent::Failed(request) => write!(f, "failed request {request}"),
+            TraceEvent::Served(request) => write!(f, "forwarded the response to request {request}"),
+            TraceEvent::Aborted(request) => write!(f, "the client of request {request} disconnected"),
+            TraceEvent::Expired(request) => write!(f, "the deadline of request {request} expired"),
+            TraceEvent::Listed(server, state, 0) => write!(f, "received state {state:?} of server {server}"),
             TraceEvent::Listed(server, state, started) => {
                 let started_ms = *started as f64 / 1e6;
-                write!(f, "was told that server {server} is {state:?}, started at {started_ms:.3} ms")
+                write!(f, "received state {state:?} of server {server}, started at {started_ms:.3} ms")
             }
         }
     }
 }
 
-/// What one proxy remembers, and the breaches found at it.
+/// The trace of one proxy, and the breaches found at it.
 #[derive(Default)]
 pub struct Monitor {
     trace: VecDeque<(Nanos, TraceEvent)>,
@@ -141,7 +142,7 @@
 }
 
 impl Monitor {
-    /// Remembers an event.
+    /// Adds an event to the trace.
     pub fn record(&mut self, at: Nanos, event: TraceEvent) {
         if self.trace.len() == MAX_TRACE_EVENTS {
             self.trace.pop_front();
@@ -149,7 +150,7 @@
         self.trace.push_back((at, event));
     }
 
-    /// A rule was broken. The first breach of each rule is reported in full, the others are counted.
+    /// Records a breach. The first breach of each rule is reported in full, later ones are only counted.
     pub fn report_breach(&mut self, rule: Rule, at: Nanos, proxy: &str, subject: Subject, what: String) {
         if let Some((_, breach)) = self.breaches.iter_mut().find(|(broken, _)| *broken == rule) {
             breach.count += 1;
@@ -170,13 +171,13 @@
         self.breaches.push((rule, breach));
     }
 
-    /// The breaches found.
+    /// Returns the breaches found.
     pub fn into_breaches(self) -> Vec<(Rule, Breach)> {
         self.breaches
     }
 }
 
-/// The first breach of each rule among all that were found, with the count of all.
+/// Returns the first breach of each rule, with the number of all breaches of that rule.
 pub fn first_of_each(mut breaches: Vec<(Rule, Breach)>) -> Vec<Breach> {
     breaches.sort_by(|(rule, breach), (other_rule, other)| {
         let by_time = breach.at_ms.total_cmp(&other.at_ms);
--- a/crates/lab/src/model/output.rs
+++ b/crates/lab/src/model/output.rs
@@ -1,4 +1,4 @@
-//! What one thread's part of a run comes to, and how the parts add up.
+//! The output of one thread of a run, and how the outputs of all threads are merged.
 
 use super::context::ThreadState;
 use super::counters::Counters;
@@ -9,48 +9,48 @@
 use super::topology::Topology;
 use crate::run_result::{Breach, Held, Server as ServerResult};
 
-/// How many servers are reported one by one; of more, the first.
+/// The maximum number of servers per thread that are reported individually.
 const MAX_REPORTED_SERVERS: usize = 20_000;
-/// How many ejections are reported.
+/// The maximum number of ejections per thread that are reported.
 const MAX_REPORTED_EJECTIONS: usize = 5_000;
 
-/// What one thread's part of a run comes to.
+/// The output of one thread of a run.
 pub struct ThreadOutput {
-    /// By node: the digest of its events.
+    /// The digest of the events of each node, by node.
     pub digests: Vec<(u32, u64)>,
-    /// By tier and index: servers.
+    /// The figures of each server, by tier and by index in the tier.
     pub servers: Vec<((u8, u32), ServerResult)>,
-    /// Work done by servers, in nanoseconds at speed 1.
+    /// Work done by servers, in nanoseconds on a core of speed 1.
     pub work: u64,
-    /// Connections times time, in microseconds.
+    /// The number of open connections integrated over time, in microseconds.
     pub connection_us: u64,
-    /// Time that servers ran, in nanoseconds.
-    pub up: u64,
-    /// New connections.
+    /// The time that servers were running, in nanoseconds.
+    pub uptime: u64,
+    /// Connections opened.
     pub handshakes: u64,
-    /// The counters.
+    /// The counters of the thread.
     pub counters: Counters,
-    /// Rules that were broken.
+    /// The rules that were broken.
     pub breaches: Vec<(Rule, Breach)>,
-    /// By proxy: the endpoints that it kept out, and when.
-    pub held: Vec<(u32, Held)>,
+    /// The endpoints that each proxy treated as unhealthy or ejected, and when.
+    pub ejections: Vec<(u32, Held)>,
     /// Time spent in policies, in seconds.
     pub policy_s: f64,
 }
 
 impl ThreadOutput {
-    /// The output of a thread, without its machines.
+    /// Creates the output of a thread without its machines.
     pub(super) fn new(thread: ThreadState) -> ThreadOutput {
         ThreadOutput {
             digests: Vec::new(),
             servers: Vec::new(),
             work: 0,
             connection_us: 0,
-            up: 0,
+            uptime: 0,
             handshakes: 0,
             counters: thread.counters,
             breaches: Vec::new(),
-            held: Vec::new(),
+            ejections: Vec::new(),
             policy_s: thread.policy_time.seconds(),
         }
     }
@@ -61,48 +61,48 @@
         self.servers.extend(other.servers);
         self.work += other.work;
         self.connection_us += other.connection_us;
-        self.up += other.up;
+        self.uptime += other.uptime;
         self.handshakes += other.handshakes;
         self.counters.add(&other.counters);
         self.breaches.extend(other.breaches);
-        self.held.extend(other.held);
+        self.ejections.extend(other.ejections);
         self.policy_s += other.policy_s;
     }
 
-    /// Brings servers and ejections into an order that does not depend on the threads.
+    /// Sorts servers and ejections into an order that does not depend on the number of threads.
     pub fn sort(&mut self) {
-        self.servers.sort_by_key(|(place, _)| *place);
-        self.held.sort_by(|(proxy, held), (other_proxy, other)| {
+        self.servers.sort_by_key(|(position, _)| *position);
+        self.ejections.sort_by(|(proxy, held), (other_proxy, other)| {
             let by_start = held.from_ms.cmp(&other.from_ms);
             proxy.cmp(other_proxy).then(by_start).then_with(|| held.server.cmp(&other.server))
         });
     }
 
-    /// Adds a machine at the end of the run.
+    /// Adds the figures of a machine at the end of the run.
     pub(super) fn add_machine(&mut self, topology: &Topology, id: u32, machine: Machine) {
         if let Some(proxy) = machine.proxy {
             self.add_proxy(id, proxy);
         }
-        let place = topology.machines[machine.number as usize].server;
-        if let (Some(server), Some((tier, slot))) = (machine.server, place) {
+        let position = topology.machines[machine.number as usize].server;
+        if let (Some(server), Some((tier, slot))) = (machine.server, position) {
             self.add_server(topology, server, tier, slot);
         }
     }
 
     fn add_proxy(&mut self, id: u32, mut proxy: Proxy) {
-        if !proxy.conserves() {
-            self.counters.violation("a proxy's requests do not add up");
+        if !proxy.has_consistent_counts() {
+            self.counters.record_violation("a proxy's request counts are inconsistent");
         }
-        let room = MAX_REPORTED_EJECTIONS.saturating_sub(self.held.len());
-        self.held.extend(proxy.take_ejections().into_iter().take(room).map(|held| (id, held)));
+        let room = MAX_REPORTED_EJECTIONS.saturating_sub(self.ejections.len());
+        self.ejections.extend(proxy.take_ejections().into_iter().take(room).map(|held| (id, held)));
         self.breaches.extend(proxy.monitor.into_breaches());
     }
 
     fn add_server(&mut self, topology: &Topology, mut server: Server, tier: u8, slot: u32) {
-        server.close_accounts(topology, topology.ends());
+        server.finish_accounting(topology, topology.ends());
         self.work += server.counters.work;
         self.connection_us += server.counters.connection_us;
-        self.up += server.counters.up;
+        self.uptime += server.counters.uptime;
         self.handshakes += server.counters.handshakes;
         if self.servers.len() < MAX_REPORTED_SERVERS {
             self.servers.push(((tier, slot), server_result(topology, &server, tier, slot)));
@@ -114,7 +114,7 @@
     let spec = &topology.tiers[tier as usize].servers[slot as usize];
     let kind = topology.kind(tier, slot);
     let counters = server.counters;
-    let core_time = counters.up as f64 * f64::from(kind.cores);
+    let core_time = counters.uptime as f64 * f64::from(kind.cores);
     ServerResult {
         name: spec.name.clone(),
         tier: topology.scenario.tier[tier as usize].name.clone(),
@@ -122,7 +122,7 @@
         kind: kind.name.clone(),
         capacity: f64::from(kind.cores) * spec.speed,
         attempts: counters.attempts,
-        turned_away: counters.turned_away,
+        turned_away: counters.rejected,
         work_s: counters.work as f64 / 1e9,
         utilization: if core_time > 0.0 { (counters.busy as f64 / core_time).min(1.0) } else { 0.0 },
         peak_requests: counters.peak_requests,
--- a/crates/lab/src/model/proxy/attempts.rs
+++ b/crates/lab/src/model/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a proxy: how they are sent, and how they end.
+//! The attempts of a proxy: how they are sent, and how they end.
 
 use super::{AttemptRecord, IdleConnection, OpenRequest, Proxy};
 use crate::model::context::Context;
@@ -11,10 +11,10 @@
 };
 use rand::Rng;
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub(super) struct AttemptResult {
     outcome: Outcome,
-    /// Work done for it over all tiers.
+    /// The work done for the response in all tiers.
     work: u64,
     load: Option<LoadReport>,
 }
@@ -26,22 +26,22 @@
 }
 
 impl Proxy {
-    /// A response has arrived.
+    /// Handles the response to an attempt.
     pub fn response_received(&mut self, context: &mut Context, response: AttemptResponse) {
-        let AttemptResponse { request, number, outcome, kept, work, load } = response;
+        let AttemptResponse { request, number, outcome, connection_incarnation, work, load } = response;
         let attempt = self.attempt(request, number).filter(|attempt| attempt.is_in_flight());
         let Some(endpoint) = attempt.map(|attempt| attempt.endpoint) else {
-            // The attempt was abandoned, and its connection closed.
+            // The attempt was abandoned, and its connection was closed.
             return;
         };
-        if let Some(incarnation) = kept {
+        if let Some(incarnation) = connection_incarnation {
             let connection = IdleConnection { since: context.now, incarnation };
             self.idle.entry(endpoint).or_default().push(connection);
         }
         self.attempt_ended(context, request, number, AttemptResult { outcome, work, load });
     }
 
-    /// An attempt's timeout has passed.
+    /// Handles the timeout of an attempt.
     pub fn attempt_timed_out(&mut self, context: &mut Context, request: u64, number: u32, outcome: Outcome) {
         self.abandon_attempt(context, request, number, outcome);
     }
@@ -54,7 +54,7 @@
         self.open_requests.get_mut(&request)?.attempts.get_mut(number as usize)
     }
 
-    /// The policy starts an attempt; a timeout of 0 is none.
+    /// Starts an attempt for the policy; a timeout of 0 means no timeout.
     pub(super) fn start_attempt(
         &mut self,
         context: &mut Context,
@@ -83,7 +83,7 @@
             let timed_out = Message::AttemptTimedOut { request, number, outcome: Outcome::Timeout };
             context.outbox.schedule(context.now + timeout, timed_out);
         }
-        context.thread.counters.attempt(context.now, self.tier);
+        context.thread.counters.attempt_sent(context.now, self.tier);
         let id = AttemptId { proxy: self.node, request, number };
         let arrives_at = self.transmit(context, &call, id, endpoint);
         if let Some(attempt) = self.attempt_mut(request, number) {
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Reports the rules that an attempt breaks. False: it cannot be sent at all.
+    /// Reports the rules that an attempt breaks. Returns `false` if the attempt cannot be sent at all.
     fn check_rules(&mut self, context: &Context, request: u64, endpoint: u32) -> bool {
         let subject = Subject { request: Some(request), server: Some(endpoint) };
         if endpoint as usize >= context.topology.tiers[self.tier as usize].servers.len() {
-            let what = format!("request {request} was sent to a server that no list ever named");
+            let what = format!("request {request} was sent to server {endpoint}, which does not exist");
             self.report_breach(context, Rule::Drain, subject, what);
             return false;
         }
@@ -107,8 +107,9 @@
         let is_concurrent = open.in_flight() > 0;
         let violation = self.effect_violation(context.topology, context.now, open, endpoint);
         if is_concurrent {
-            let what =
-                format!("request {request} was sent to server {endpoint} while another attempt was out");
+            let what = format!(
+                "request {request} was sent to server {endpoint} while another attempt was in flight"
+            );
             self.report_breach(context, Rule::Effect, subject, what);
         }
         if let Some(why) = violation {
@@ -117,10 +118,11 @@
         }
         let grace = context.topology.scenario.rules.drain_grace.nanos();
         let withdrawal = self.not_ready.get(&endpoint).copied();
-        if let Some(withdrawal) = withdrawal.filter(|withdrawal| context.now > withdrawal.told_at + grace) {
-            let ms = (context.now - withdrawal.told_at) as f64 / 1e6;
+        if let Some(withdrawal) = withdrawal.filter(|withdrawal| context.now > withdrawal.notified_at + grace)
+        {
+            let ms = (context.now - withdrawal.notified_at) as f64 / 1e6;
             let what = format!(
-                "request {request} was sent to server {endpoint} {ms:.1} ms after it was told {:?}",
+                "request {request} was sent to server {endpoint} {ms:.1} ms after it was listed as {:?}",
                 withdrawal.state
             );
             self.report_breach(context, Rule::Drain, subject, what);
@@ -128,7 +130,7 @@
         true
     }
 
-    /// Why an attempt at a server breaks the rule of effects, if it does.
+    /// Returns why an attempt at a server breaks [`Rule::Effect`], or `None` if it does not.
     fn effect_violation(
         &self,
         topology: &Topology,
@@ -139,7 +141,7 @@
         let first = open.attempts.iter().find(|attempt| attempt.may_have_run())?;
         match topology.classes[open.call.class as usize].settings.idempotency {
             Idempotency::Idempotent => None,
-            Idempotency::NonIdempotent => Some("its effect is `once`".into()),
+            Idempotency::NonIdempotent => Some("its class has effect `once`".into()),
             Idempotency::Keyed { scope, window } => {
                 let servers = &topology.tiers[self.tier as usize].servers;
                 let earlier = &servers[first.endpoint as usize];
@@ -151,16 +153,16 @@
                 };
                 if !is_same_group {
                     return Some(format!(
-                        "server {} that may have run it is of another group",
+                        "server {}, which may have run it, is in another deduplication group",
                         first.endpoint
                     ));
                 }
-                (now > first.sent_at + window).then(|| "its window is over".into())
+                (now > first.sent_at + window).then(|| "its deduplication window has passed".into())
             }
         }
     }
 
-    /// Writes an attempt to an idle connection or a new one; returns when it arrives.
+    /// Sends an attempt on an idle connection or a new one. Returns its arrival time.
     fn transmit(
         &mut self,
         context: &mut Context,
@@ -174,10 +176,10 @@
         let oldest = context.now.saturating_sub(connections.idle.nanos());
         let last_used = self.idle.get_mut(&endpoint).and_then(Vec::pop);
         let connection = last_used.filter(|connection| connection.since >= oldest);
-        let mut delay = network::between(topology, self.node, server, context.rng);
+        let mut delay = network::draw_delay(topology, self.node, server, context.rng);
         if connection.is_none() {
             for _ in 0..2 * connections.handshake_rtts {
-                delay += network::between(topology, self.node, server, context.rng);
+                delay += network::draw_delay(topology, self.node, server, context.rng);
             }
         }
         let arrives_at = context.now + delay;
@@ -194,9 +196,9 @@
             tenant: call.tenant,
             deadline: call.deadline,
             work: call.work,
-            kept: connection.map(|connection| connection.incarnation),
-            told_started: self.started.get(&endpoint).copied().unwrap_or(0),
-            breaks: self.draw_reset(context),
+            connection_incarnation: connection.map(|connection| connection.incarnation),
+            known_start: self.started.get(&endpoint).copied().unwrap_or(0),
+            breaks_connection: self.draw_reset(context),
         };
         context.outbox.send(server, arrives_at, Message::Attempt(attempt));
         arrives_at
@@ -209,14 +211,14 @@
         context.outbox.schedule(at, failed);
     }
 
-    /// Draws whether a connection breaks once an attempt is written to it.
+    /// Draws whether the connection of an attempt is reset once the attempt is written.
     fn draw_reset(&self, context: &mut Context) -> bool {
         let base = context.topology.scenario.network.reset_rate;
         let rate = context.topology.timeline.reset_rate(base, self.tier, context.now);
         rate > 0.0 && context.rng.random::<f64>() < rate
     }
 
-    /// Closes the connection of an attempt in flight, which ends with this outcome.
+    /// Closes the connection of an attempt in flight; the attempt ends with this outcome.
     pub(super) fn abandon_attempt(
         &mut self,
         context: &mut Context,
@@ -239,8 +241,8 @@
         attempt: &AttemptRecord,
     ) {
         let server = context.topology.server_node(self.tier, attempt.endpoint);
-        let delay = network::between(context.topology, self.node, server, context.rng);
-        // It cannot overtake what was written before it.
+        let delay = network::draw_delay(context.topology, self.node, server, context.rng);
+        // The close cannot overtake data that was written before it.
         let at = (context.now + delay).max(attempt.arrives_at + 1);
         if network::reaches(context.topology, self.node, server, at) {
             let id = AttemptId { proxy: self.node, request, number };
--- a/crates/lab/src/model/proxy/connections.rs
+++ b/crates/lab/src/model/proxy/connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections of a proxy, and the watch on discovery, which is checked along with them.
+//! The idle connections of a proxy, and the connection of its watch on discovery, which is checked with them.
 
 use super::{IdleConnection, Proxy};
 use crate::model::context::Context;
@@ -7,13 +7,13 @@
 use crate::model::topology::Topology;
 use olivecart_decisions::{EndpointUpdate, Event, Nanos};
 
-/// A watch that could not tell anything for this long is taken for dead.
+/// A watch is considered dead when discovery has been unreachable for this long.
 const WATCH_SILENCE_TIMEOUT: Nanos = 3_000_000_000;
 const MIN_SWEEP_INTERVAL: Nanos = 100_000_000;
 const MAX_SWEEP_INTERVAL: Nanos = 5_000_000_000;
 
 impl Proxy {
-    /// Closes connections that were idle for too long, and detects a dead watch.
+    /// Closes connections whose idle timeout has passed, and detects a dead watch.
     pub fn sweep_idle_connections(&mut self, context: &mut Context, incarnation: u32) {
         if incarnation != self.incarnation {
             return;
@@ -60,10 +60,10 @@
         (shortest / 4).clamp(MIN_SWEEP_INTERVAL, MAX_SWEEP_INTERVAL)
     }
 
-    /// Closes idle connections to a server, which counts those to its newest incarnation.
+    /// Closes idle connections to a server. The server counts only those to its latest incarnation.
     pub(super) fn close(&self, context: &mut Context, server: u32, idle: &[IdleConnection]) {
         let node = context.topology.server_node(self.tier, server);
-        let at = context.now + network::between(context.topology, self.node, node, context.rng);
+        let at = context.now + network::draw_delay(context.topology, self.node, node, context.rng);
         if idle.is_empty() || !network::reaches(context.topology, self.node, node, at) {
             return;
         }
--- a/crates/lab/src/model/proxy/endpoints.rs
+++ b/crates/lab/src/model/proxy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of a proxy: how it asks discovery for it, and what discovery tells it.
+//! The endpoint list of a proxy: requests to discovery, and the updates that it sends.
 
 use super::{Proxy, Withdrawal};
 use crate::model::context::Context;
@@ -8,7 +8,7 @@
 use olivecart_decisions::{EndpointEntry, EndpointState, EndpointUpdate, Event};
 
 impl Proxy {
-    /// Discovery tells something about the list.
+    /// Handles an update from discovery.
     pub fn discovery_update(&mut self, context: &mut Context, update: DiscoveryUpdate) {
         if self.policy.is_none() {
             return;
@@ -26,14 +26,14 @@
         }
     }
 
-    /// Takes a complete list: a server that it does not name is removed.
+    /// Applies a complete list. Servers that it does not contain are removed.
     pub(super) fn replace_list(
         &mut self,
         context: &mut Context,
         entries: &[ListEntry],
         update: fn(Vec<EndpointEntry>) -> EndpointUpdate,
     ) {
-        let removed = Withdrawal { state: EndpointState::Removed, told_at: context.now };
+        let removed = Withdrawal { state: EndpointState::Removed, notified_at: context.now };
         for slot in 0..context.topology.tiers[self.tier as usize].servers.len() as u32 {
             if entries.binary_search_by_key(&slot, |entry| entry.slot).is_err() {
                 self.not_ready.entry(slot).or_insert(removed);
@@ -42,7 +42,7 @@
         self.apply_entries(context, entries, update);
     }
 
-    /// Takes the entries that changed.
+    /// Applies the entries that changed.
     fn change_list(&mut self, context: &mut Context, entries: &[ListEntry]) {
         for entry in entries {
             let listed = TraceEvent::Listed(entry.slot, entry.state, entry.started);
@@ -75,23 +75,23 @@
             self.not_ready.remove(&entry.slot);
             return;
         }
-        let withdrawal = Withdrawal { state: entry.state, told_at: context.now };
+        let withdrawal = Withdrawal { state: entry.state, notified_at: context.now };
         self.not_ready.entry(entry.slot).or_insert(withdrawal);
         if let Some(idle) = self.idle.remove(&entry.slot) {
             self.close(context, entry.slot, &idle);
         }
     }
 
-    /// Asks discovery for the list and for its changes from then on.
+    /// Requests the list from discovery, and all later changes.
     pub(super) fn watch_list(&mut self, context: &mut Context) {
         self.is_watching = true;
         self.request_list(context, true);
     }
 
-    /// Asks discovery for the list; `watch`: also for its changes from then on.
+    /// Requests the list from discovery and, if `watch` is set, all later changes.
     pub(super) fn request_list(&mut self, context: &mut Context, watch: bool) {
         let discovery = context.topology.discovery_node();
-        let at = context.now + network::between(context.topology, self.node, discovery, context.rng);
+        let at = context.now + network::draw_delay(context.topology, self.node, discovery, context.rng);
         if network::reaches(context.topology, self.node, discovery, at) {
             context.outbox.send(discovery, at, Message::DiscoveryRequest(self.node, watch));
         } else {
--- a/crates/lab/src/model/proxy/health.rs
+++ b/crates/lab/src/model/proxy/health.rs
@@ -1,4 +1,4 @@
-//! Health checks of a proxy, and the samples of endpoint health for the report.
+//! The health checks of a proxy, and the samples of endpoint health for the report.
 
 use super::{PendingHealthCheck, Proxy, SampledHealth};
 use crate::model::context::Context;
@@ -9,17 +9,17 @@
 use crate::run_result::Held;
 use olivecart_decisions::{EndpointId, Event, LoadReport, Nanos, Outcome};
 
-/// How often endpoint health is sampled.
+/// The interval at which endpoint health is sampled.
 const SAMPLE_INTERVAL: Nanos = 200_000_000;
-/// Only the first proxies of a tier are sampled.
+/// The number of proxies per tier whose endpoint health is sampled.
 const MAX_SAMPLED_PROXIES: u32 = 8;
-/// Only tiers of up to so many servers are sampled.
+/// The maximum number of servers of a tier whose endpoint health is sampled.
 const MAX_SAMPLED_SERVERS: usize = 400;
-/// How many ejections of one proxy are kept for the report.
+/// The maximum number of ejections recorded per proxy.
 const MAX_EJECTIONS: usize = 500;
 
 impl Proxy {
-    /// The policy starts a health check.
+    /// Sends a health check that the policy starts.
     pub(super) fn start_health_check(&mut self, context: &mut Context, server: u32) {
         let topology = context.topology;
         if server as usize >= topology.tiers[self.tier as usize].servers.len() {
@@ -28,9 +28,9 @@
         let number = self.next_health_check;
         self.next_health_check += 1;
         self.health_checks.insert(number, PendingHealthCheck { server, sent_at: context.now });
-        context.thread.counters.health_check(context.now);
+        context.thread.counters.health_check_sent(context.now);
         let node = topology.server_node(self.tier, server);
-        let arrives_at = context.now + network::between(topology, self.node, node, context.rng);
+        let arrives_at = context.now + network::draw_delay(topology, self.node, node, context.rng);
         let times_out_at = context.now + topology.scenario.limits.probe_timeout.nanos();
         context.outbox.schedule(times_out_at, Message::HealthCheckTimedOut(number));
         if network::reaches(topology, self.node, node, arrives_at) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A health check has ended.
+    /// Handles the end of a health check.
     pub fn health_check_completed(
         &mut self,
         context: &mut Context,
@@ -66,7 +66,7 @@
         context.outbox.schedule(context.now + SAMPLE_INTERVAL, Message::SampleEndpointHealth);
     }
 
-    /// Samples how the policy sees the servers.
+    /// Samples the health of the servers according to the policy.
     pub fn sample_endpoint_health(&mut self, context: &mut Context) {
         self.schedule_health_sample(context);
         let Some(policy) = &self.policy else { return };
@@ -95,13 +95,13 @@
         }
     }
 
-    /// The endpoints that were unhealthy or ejected, and when.
+    /// Returns the endpoints that were unhealthy or ejected, with the periods.
     pub fn take_ejections(&mut self) -> Vec<Held> {
         std::mem::take(&mut self.ejections)
     }
 }
 
-/// Why an endpoint got no requests, in the words of the results.
+/// The reason why an endpoint got no requests, as written in results.
 fn reason(health: EndpointHealth) -> Option<&'static str> {
     match health {
         EndpointHealth::Healthy => None,
--- a/crates/lab/src/model/proxy/mod.rs
+++ b/crates/lab/src/model/proxy/mod.rs
@@ -1,8 +1,8 @@
-//! A proxy of the model: a policy, and around it what the real proxy has: open requests, connections, health
-//! checks, timers.
+//! A proxy of the model: a policy, and the parts of the real proxy around it: open requests, connections,
+//! health checks and timers.
 //!
-//! It performs the actions of its policy and checks that these keep the rules. Its machine calls it for each
-//! event. It never looks into its policy, and knows of servers only what discovery told it.
+//! The proxy performs the actions of its policy and checks them against the rules. Its machine calls it for
+//! each event. It does not access the state of its policy, and knows of servers only what discovery has sent.
 
 mod attempts;
 mod connections;
@@ -21,22 +21,22 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Who waits for a request's final response.
+/// The caller that waits for the final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Origin {
     /// An attempt of a client.
     Client {
         /// The client's request.
         request: ClientRequestId,
-        /// Which of the client's attempts.
+        /// The number of the client's attempt.
         attempt: u8,
     },
     /// A job of the machine's own server.
     Job {
         /// The job.
         job: u32,
-        /// Which run of the job's slot.
-        run: u32,
+        /// The generation of the job's index.
+        generation: u32,
     },
 }
 
@@ -44,8 +44,8 @@
 pub struct FinishedCall {
     /// The job that called.
     pub job: u32,
-    /// Which run of the job's slot.
-    pub run: u32,
+    /// The generation of the job's index.
+    pub generation: u32,
     /// The work that was done, if the call was served.
     pub work: Option<u64>,
 }
@@ -54,7 +54,7 @@
 struct AttemptRecord {
     endpoint: u32,
     sent_at: Nanos,
-    /// When it reaches its server.
+    /// The time at which it arrives at its server.
     arrives_at: Nanos,
     /// `None` while it is in flight.
     outcome: Option<Outcome>,
@@ -74,7 +74,7 @@
     origin: Origin,
     call: ProxyRequest,
     attempts: Vec<AttemptRecord>,
-    /// It has its final response, or nobody waits for it any more.
+    /// Whether it has its final response, or its caller no longer waits.
     ended: bool,
 }
 
@@ -88,18 +88,18 @@
 #[derive(Clone, Copy)]
 struct IdleConnection {
     since: Nanos,
-    /// The incarnation of the server that it leads to.
+    /// The server incarnation to which it was opened.
     incarnation: u32,
 }
 
-/// A server that takes no requests, as this proxy was told.
+/// The state of a server that discovery reported as not ready.
 #[derive(Clone, Copy)]
 struct Withdrawal {
     state: EndpointState,
-    told_at: Nanos,
+    notified_at: Nanos,
 }
 
-/// A health check without a response yet.
+/// A health check in flight.
 struct PendingHealthCheck {
     server: u32,
     sent_at: Nanos,
@@ -121,24 +121,24 @@
     settings: Settings,
     /// `None` while its process does not run.
     policy: Option<Box<dyn Policy>>,
-    /// Counts its processes, so that timers of an earlier one mean nothing to the next.
+    /// The number of the proxy's process. Timers of an earlier process are ignored.
     incarnation: u32,
     open_requests: FxHashMap<u64, OpenRequest>,
     by_client: FxHashMap<(ClientRequestId, u8), u64>,
     next_request: u64,
-    /// By server: its idle connections; the last one used is the last.
+    /// The idle connections to each server; the most recently used is last.
     idle: BTreeMap<u32, Vec<IdleConnection>>,
-    /// The servers that take no requests.
+    /// The servers that are not ready.
     not_ready: FxHashMap<u32, Withdrawal>,
-    /// By server that started during the run: when, as this proxy was told.
+    /// The last known start time of each server that started during the run.
     started: FxHashMap<u32, Nanos>,
     health_checks: FxHashMap<u64, PendingHealthCheck>,
     next_health_check: u64,
     is_watching: bool,
-    /// For how long the watch could not have told anything.
+    /// How long discovery has been unreachable for the watch of this proxy.
     watch_silent_for: Nanos,
     pending_events: VecDeque<Event>,
-    /// The policy's actions; kept for its memory.
+    /// The buffer for the policy's actions; kept to reuse its allocation.
     actions: Vec<Action>,
     is_notifying_policy: bool,
     sampled_health: Vec<SampledHealth>,
@@ -146,12 +146,12 @@
     accepted: u64,
     ended: u64,
     finished_calls: Vec<FinishedCall>,
-    /// The rules that were broken here.
+    /// The trace of this proxy and its breaches of rules.
     pub monitor: Monitor,
 }
 
 impl Proxy {
-    /// A proxy whose process does not run yet.
+    /// Creates a proxy whose process is not running yet.
     pub fn new(topology: &Topology, machine: u32, tier: u8, number: u32) -> Proxy {
         Proxy {
             node: topology.machine_node(machine),
@@ -183,28 +183,29 @@
         }
     }
 
-    /// Whether its process runs.
+    /// Whether the proxy's process is running.
     pub fn runs(&self) -> bool {
         self.policy.is_some()
     }
 
-    /// Calls of the machine's own server that have ended since they were last taken.
+    /// Returns the calls of the machine's own server that have ended since the last call of this function.
     pub fn take_finished_calls(&mut self) -> Vec<FinishedCall> {
         std::mem::take(&mut self.finished_calls)
     }
 
-    /// Whether every accepted request has either ended or is open.
-    pub fn conserves(&self) -> bool {
+    /// Whether every accepted request has ended or is open.
+    pub fn has_consistent_counts(&self) -> bool {
         let open = self.open_requests.values().filter(|request| !request.ended).count();
         self.accepted == self.ended + open as u64
     }
 
-    /// A cheap form of [`Proxy::conserves`] that does not walk the open requests, for every event.
-    pub fn balance(&self) -> bool {
+    /// A cheaper form of [`Proxy::has_consistent_counts`] for use on every event: it does not iterate over
+    /// the open requests.
+    pub fn has_plausible_counts(&self) -> bool {
         self.accepted >= self.ended && self.accepted - self.ended <= self.open_requests.len() as u64
     }
 
-    /// Its process starts, with the list as discovery had it at this time.
+    /// Starts the process with the endpoint list that discovery has at this time.
     pub fn start(&mut self, context: &mut Context) {
         let topology = context.topology;
         let seed = mix(mix(topology.seed, u64::from(self.node)), u64::from(self.incarnation) + 1);
@@ -215,7 +216,7 @@
             true_state: Rc::new(self.true_state_view(context)),
         };
         self.policy = Some((topology.policy_factory)(policy_context));
-        let known = topology.list_as_of(self.tier, context.now);
+        let known = topology.list_at(self.tier, context.now);
         self.replace_list(context, &known, EndpointUpdate::Cached);
         let sweep_at = context.now + self.sweep_interval(topology);
         context.outbox.schedule(sweep_at, Message::SweepIdleConnections(self.incarnation));
@@ -237,7 +238,8 @@
         }
     }
 
-    /// Its process ends, and with it all open requests. Silent: together with its machine, and nobody is told.
+    /// Ends the process with all open requests. If `silent`, the machine is lost with it and no node is
+    /// notified.
     pub fn die(&mut self, context: &mut Context, silent: bool) {
         if self.policy.take().is_none() {
             return;
@@ -266,7 +268,7 @@
         self.is_watching = false;
     }
 
-    /// Closes the connections of a request at the end of the process; its client notices.
+    /// Closes the connections of a request at the end of the process, and notifies its client.
     fn drop_request(&mut self, context: &mut Context, number: u64, request: &OpenRequest) {
         for (index, attempt) in request.attempts.iter().enumerate() {
             if attempt.is_in_flight() {
@@ -280,15 +282,15 @@
         }
     }
 
-    /// A timer of the policy fires; one of an earlier process is ignored.
+    /// Handles a timer of the policy. Timers of an earlier process are ignored.
     pub fn policy_timer(&mut self, context: &mut Context, timer: Timer, incarnation: u32) {
         if incarnation == self.incarnation {
             self.notify_policy(context, Event::TimerFired(timer));
         }
     }
 
-    /// Passes an event to the policy and performs its actions. Events that these cause are queued until all
-    /// are performed.
+    /// Passes an event to the policy and performs the resulting actions. Events that these actions cause are
+    /// queued until all actions are performed.
     fn notify_policy(&mut self, context: &mut Context, event: Event) {
         self.pending_events.push_back(event);
         if std::mem::replace(&mut self.is_notifying_policy, true) {
@@ -335,7 +337,7 @@
                     self.close(context, endpoint.0, &idle);
                 }
             }
-            // Proxies of the model have no way to talk to each other.
+            // The model has no messages between proxies.
             Action::Publish { .. } | Action::Log(_) => {}
         }
     }
--- a/crates/lab/src/model/proxy/requests.rs
+++ b/crates/lab/src/model/proxy/requests.rs
@@ -1,4 +1,4 @@
-//! Requests at a proxy, from their arrival to their final response.
+//! The requests of a proxy, from their arrival to their final response.
 
 use super::{FinishedCall, OpenRequest, Origin, Proxy};
 use crate::model::context::Context;
@@ -11,7 +11,8 @@
 };
 
 impl Proxy {
-    /// A request has arrived; returns its number, unless it is refused at once.
+    /// Handles the arrival of a request. Returns its number, or `None` if it is refused immediately or the
+    /// proxy is down.
     pub fn accept_request(
         &mut self,
         context: &mut Context,
@@ -43,14 +44,14 @@
         Some(number)
     }
 
-    /// A client has closed its connection.
+    /// Handles a client that has closed its connection.
     pub fn client_disconnected(&mut self, context: &mut Context, request: ClientRequestId, attempt: u8) {
         if let Some(&number) = self.by_client.get(&(request, attempt)) {
             self.abort(context, number);
         }
     }
 
-    /// Nobody waits for a request any more.
+    /// Aborts a request whose caller no longer waits for a response.
     pub fn abort(&mut self, context: &mut Context, number: u64) {
         let Some(request) = self.open_requests.get_mut(&number).filter(|request| !request.ended) else {
             return;
@@ -62,7 +63,7 @@
         self.forget_if_done(number);
     }
 
-    /// A request's deadline has come: its attempts in flight time out.
+    /// Handles the deadline of a request: its attempts in flight time out.
     pub fn deadline_expired(&mut self, context: &mut Context, number: u64) {
         let Some(request) = self.open_requests.get(&number) else { return };
         let had_ended = request.ended;
@@ -77,15 +78,16 @@
         }
     }
 
-    /// The grace period after a request's deadline has passed: by now it must have its final response.
+    /// Handles the end of the grace period after a request's deadline. A request without a final response is
+    /// a breach.
     pub fn response_overdue(&mut self, context: &mut Context, number: u64) {
         let Some(request) = self.open_requests.get(&number).filter(|request| !request.ended) else { return };
         let origin = request.origin;
-        let what = format!("request {number} has no final answer after its deadline and the grace");
+        let what = format!("request {number} has no final response after its deadline and the grace period");
         self.report_breach(context, Rule::Answer, Subject::request(number), what);
         self.abort(context, number);
-        if let Origin::Job { job, run } = origin {
-            self.finished_calls.push(FinishedCall { job, run, work: None });
+        if let Origin::Job { job, generation } = origin {
+            self.finished_calls.push(FinishedCall { job, generation, work: None });
         }
     }
 
@@ -93,11 +95,11 @@
         self.open_requests.get(&number).is_some_and(|request| !request.ended)
     }
 
-    /// The policy sheds a request.
+    /// Sheds a request for the policy.
     pub(super) fn shed(&mut self, context: &mut Context, number: u64, retry_after: Nanos) {
         self.monitor.record(context.now, TraceEvent::Refused(number));
         if self.is_shedding_harmful(context, number) {
-            let what = format!("request {number} was refused though it may have run");
+            let what = format!("request {number} was refused although it may have run");
             self.report_breach(context, Rule::Effect, Subject::request(number), what);
         }
         self.finish(context, number, RequestOutcome::Refused(retry_after));
@@ -117,10 +119,10 @@
         may_have_run && !is_harmless_to_retry
     }
 
-    /// Gives a request its final response.
+    /// Ends a request with its final response.
     pub(super) fn finish(&mut self, context: &mut Context, number: u64, outcome: RequestOutcome) {
         let Some(request) = self.open_requests.get_mut(&number).filter(|request| !request.ended) else {
-            let what = format!("request {number} was answered after it had ended");
+            let what = format!("request {number} got another response after it had ended");
             return self.report_breach(context, Rule::Answer, Subject::request(number), what);
         };
         request.ended = true;
@@ -130,18 +132,18 @@
         self.forget_if_done(number);
     }
 
-    /// Passes a final response on to who waits for it.
+    /// Forwards a final response to the client or to the job that made the call.
     fn deliver(&mut self, context: &mut Context, origin: Origin, outcome: RequestOutcome) {
         match origin {
             Origin::Client { request, attempt } => {
                 self.respond_to_client(context, request, attempt, outcome);
             }
-            Origin::Job { job, run } => {
+            Origin::Job { job, generation } => {
                 let work = match outcome {
                     RequestOutcome::Served(work) => Some(work),
                     _ => None,
                 };
-                self.finished_calls.push(FinishedCall { job, run, work });
+                self.finished_calls.push(FinishedCall { job, generation, work });
             }
         }
     }
@@ -153,7 +155,7 @@
         attempt: u8,
         outcome: RequestOutcome,
     ) {
-        let at = context.now + network::client(context.topology, context.rng);
+        let at = context.now + network::draw_client_delay(context.topology, context.rng);
         if network::reaches(context.topology, self.node, request.node, at) {
             context.outbox.send(request.node, at, Message::Response(request, attempt, outcome));
         }
--- a/crates/lab/src/model/sample/mod.rs
+++ b/crates/lab/src/model/sample/mod.rs
@@ -1,15 +1,15 @@
-//! Draws from the distributions that scenarios name.
+//! Samples from the distributions that scenarios use.
 
 use crate::scenario::Distribution;
 use rand::Rng;
 use rand_distr::{Distribution as _, Exp1, Gamma, LogNormal, Pareto};
 
-/// Draws lengths of time, in nanoseconds.
+/// Draws durations in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub enum Sampler {
-    /// Always the same.
+    /// A constant.
     Fixed(f64),
-    /// Exponential with a mean.
+    /// Exponential with this mean.
     Exponential(f64),
     /// Log-normal.
     LogNormal(LogNormal<f64>),
@@ -17,12 +17,13 @@
     Gamma(Gamma<f64>),
     /// Pareto.
     Pareto(Pareto<f64>),
-    /// Uniform: least, and the width.
+    /// Uniform: minimum and width.
     Uniform(f64, f64),
 }
 
 impl Sampler {
-    /// For a distribution whose parameters were checked; one that no sampler can be made of is always its mean.
+    /// Creates a sampler for a distribution whose parameters were checked. If the parameters are unusable
+    /// nevertheless, every draw is the mean.
     pub fn new(of: &Distribution) -> Sampler {
         let mean = of.mean_s() * 1e9;
         let fixed = Sampler::Fixed(mean);
@@ -47,7 +48,7 @@
         }
     }
 
-    /// One draw.
+    /// Draws one value.
     pub fn draw(&self, rng: &mut impl Rng) -> u64 {
         let value = match self {
             Sampler::Fixed(value) => *value,
@@ -57,7 +58,7 @@
             Sampler::Pareto(d) => d.sample(rng),
             Sampler::Uniform(least, width) => least + width * rng.random::<f64>(),
         };
-        // A day of work is more than any request is; a heavy tail may draw it.
+        // A heavy tail may yield any value; no request needs more than a day of work.
         value.clamp(0.0, 86_400e9) as u64
     }
 }
--- a/crates/lab/src/model/sample/tests.rs
+++ b/crates/lab/src/model/sample/tests.rs
@@ -1,4 +1,4 @@
-//! The mean and the spread of each distribution.
+//! Checks the mean and the coefficient of variation of each distribution.
 
 use super::*;
 use crate::scenario::Span;
--- a/crates/lab/src/model/server/admission.rs
+++ b/crates/lab/src/model/server/admission.rs
@@ -1,4 +1,5 @@
-//! What arrives at a server over the network, and whether it is admitted.
+//! Handles the messages that arrive at a server over the network: attempts, which are admitted or rejected,
+//! cancellations, closed connections and health checks.
 
 use super::{Job, Server, ServerEffect, Stage, State};
 use crate::model::context::Context;
@@ -11,7 +12,7 @@
 use rand::Rng;
 
 impl Server {
-    /// An attempt has arrived.
+    /// Handles the arrival of an attempt.
     pub fn attempt_arrived(
         &mut self,
         context: &mut Context,
@@ -22,50 +23,51 @@
         let now = context.now;
         self.counters.attempts += 1;
         if self.state == State::Down {
-            return self.turn_away(&attempt, Outcome::ConnectFailed, None, effects);
+            return self.reject(&attempt, Outcome::ConnectFailed, None, effects);
         }
-        self.update_accounts(topology, now);
-        let work = self.own_work(topology, &attempt);
-        // Attempts that are turned away add to the pressure too.
+        self.update_counters(topology, now);
+        let work = self.work_at_tier(topology, &attempt);
+        // Attempts that are rejected afterwards add to the pressure too.
         if self.is_overloaded_by(topology, now, work, &attempt) {
             self.counters.fell_over = true;
             self.die(topology, now, false, effects);
-            return self.turn_away(&attempt, Outcome::Reset, None, effects);
+            return self.reject(&attempt, Outcome::Reset, None, effects);
         }
         if !self.accept_connection(topology, &attempt) {
-            return self.turn_away(&attempt, Outcome::ConnectFailed, None, effects);
+            return self.reject(&attempt, Outcome::ConnectFailed, None, effects);
         }
-        let kept = Some(self.incarnation);
+        let connection_incarnation = Some(self.incarnation);
         if self.is_full(topology) {
-            return self.turn_away(&attempt, Outcome::Overloaded, kept, effects);
+            return self.reject(&attempt, Outcome::Overloaded, connection_incarnation, effects);
         }
         let error_rate = self.kind(topology).error_rate.max(self.error_share);
         if context.rng.random::<f64>() < error_rate {
             self.counters.answered += 1;
-            effects.push(response_without_work(&attempt, Outcome::Error, kept));
+            effects.push(response_without_work(&attempt, Outcome::Error, connection_incarnation));
             return;
         }
         self.admit(context, attempt, work);
-        if attempt.breaks {
+        if attempt.breaks_connection {
             self.connections = self.connections.saturating_sub(1);
             effects.push(response_without_work(&attempt, Outcome::Reset, None));
         }
     }
 
-    fn turn_away(
+    fn reject(
         &mut self,
         attempt: &Attempt,
         outcome: Outcome,
-        kept: Option<u32>,
+        connection_incarnation: Option<u32>,
         effects: &mut Vec<ServerEffect>,
     ) {
-        self.counters.turned_away += 1;
-        effects.push(response_without_work(attempt, outcome, kept));
+        self.counters.rejected += 1;
+        effects.push(response_without_work(attempt, outcome, connection_incarnation));
     }
 
-    /// Counts the connection of an attempt if it is new; false if there are too many.
+    /// Counts the connection of an attempt if it is new. Returns `false` if the server has too many
+    /// connections.
     fn accept_connection(&mut self, topology: &Topology, attempt: &Attempt) -> bool {
-        if attempt.kept == Some(self.incarnation) {
+        if attempt.connection_incarnation == Some(self.incarnation) {
             return true;
         }
         let limits = &self.kind(topology).connections;
@@ -85,7 +87,7 @@
         self.state == State::Draining || is_queue_full
     }
 
-    fn own_work(&self, topology: &Topology, attempt: &Attempt) -> u64 {
+    fn work_at_tier(&self, topology: &Topology, attempt: &Attempt) -> u64 {
         (attempt.work as f64 * topology.scenario.tier[self.tier as usize].work_share) as u64
     }
 
@@ -93,16 +95,16 @@
         let calls = self.draw_calls(context);
         let parts = u64::from(calls + 1);
         let part = work / parts;
-        self.runs = self.runs.wrapping_add(1);
+        self.last_generation = self.last_generation.wrapping_add(1);
         let job = Job {
             attempt,
             stage: Stage::Waiting,
-            run: self.runs,
+            generation: self.last_generation,
             part,
             calls_left: calls,
             work_done: 0,
             work_left: part * parts,
-            is_connected: !attempt.breaks,
+            is_connected: !attempt.breaks_connection,
         };
         self.backlog += job.work_left;
         let index = self.store(job);
@@ -113,7 +115,7 @@
         self.schedule_jobs(context);
     }
 
-    /// Draws how many calls to the next tier a job makes.
+    /// Draws the number of calls that a job makes to the next tier.
     fn draw_calls(&self, context: &mut Context) -> u32 {
         let Some(next_tier) = context.topology.scenario.tier.get(self.tier as usize + 1) else { return 0 };
         let certain = next_tier.calls.floor();
@@ -131,10 +133,10 @@
         }
     }
 
-    /// An attempt is cancelled by closing its connection.
+    /// Handles the cancellation of an attempt: the proxy has closed its connection.
     pub fn cancel_attempt(&mut self, context: &mut Context, id: AttemptId, effects: &mut Vec<ServerEffect>) {
         let Some(&index) = self.job_by_attempt.get(&id) else { return };
-        self.update_accounts(context.topology, context.now);
+        self.update_counters(context.topology, context.now);
         self.connections = self.connections.saturating_sub(1);
         let cancel = self.kind(context.topology).cancel;
         let Some(job) = self.jobs[index as usize].as_mut() else { return };
@@ -155,16 +157,16 @@
         }
     }
 
-    /// Idle connections were closed.
+    /// Handles the closing of idle connections by a proxy.
     pub fn connections_closed(&mut self, topology: &Topology, now: Nanos, closed: ClosedConnections) {
         if closed.incarnation == self.incarnation {
-            self.update_accounts(topology, now);
+            self.update_counters(topology, now);
             self.connections = self.connections.saturating_sub(closed.count);
         }
     }
 
-    /// A health check has arrived: how it ends, when it is answered, and the load report. It is answered
-    /// beside the queue, so that a server that hangs passes it.
+    /// Handles a health check. Returns its outcome, the time of the response and the load report. Health
+    /// checks bypass the queue, so that a hanging server passes them.
     pub fn health_check(&mut self, topology: &Topology, now: Nanos) -> (Outcome, Nanos, Option<LoadReport>) {
         self.counters.probes += 1;
         if self.state == State::Down {
@@ -177,7 +179,7 @@
         (Outcome::Ok, responds_at, self.visible_report(topology, now))
     }
 
-    /// Whether this attempt makes a cold server fall over: it was sent more than it can bear.
+    /// Whether this attempt overloads a cold server, which then crashes.
     fn is_overloaded_by(&mut self, topology: &Topology, now: Nanos, work: u64, attempt: &Attempt) -> bool {
         let kind = self.kind(topology);
         let Some(cold) = kind.cold.filter(|_| self.started > 0) else { return false };
@@ -188,25 +190,29 @@
         }
         let rules = &topology.scenario.rules;
         let capacity = f64::from(kind.cores) * self.core_speed(topology, now);
-        let was_told = attempt.told_started == self.started;
+        let knows_start = attempt.known_start == self.started;
         let window = TimeSpan { from: now.saturating_sub(rules.fall_window.nanos()), to: now + 1 };
         let bearable = rules.fall_multiple * capacity * rules.fall_window.nanos() as f64;
-        self.pressure.add(window, work, was_told, bearable)
+        self.pressure.add(window, work, knows_start, bearable)
     }
 
-    /// Whether it fell over because of proxies that had been told of its start.
+    /// Whether the server was overloaded mostly by proxies that knew of its start.
     pub fn was_overloaded_while_cold(&self) -> bool {
-        self.counters.fell_over && self.pressure.by_those_told()
+        self.counters.fell_over && self.pressure.is_mostly_informed()
     }
 
-    /// What overloaded it, in words.
+    /// Describes the work that overloaded the server.
     pub fn describe_pressure(&self) -> String {
         self.pressure.to_string()
     }
 }
 
-fn response_without_work(attempt: &Attempt, outcome: Outcome, kept: Option<u32>) -> ServerEffect {
+fn response_without_work(
+    attempt: &Attempt,
+    outcome: Outcome,
+    connection_incarnation: Option<u32>,
+) -> ServerEffect {
     let AttemptId { proxy, request, number } = attempt.id;
-    let response = AttemptResponse { request, number, outcome, kept, work: 0, load: None };
+    let response = AttemptResponse { request, number, outcome, connection_incarnation, work: 0, load: None };
     ServerEffect::Respond { proxy, response }
 }
--- a/crates/lab/src/model/server/jobs.rs
+++ b/crates/lab/src/model/server/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of a server: slots, cores, and calls to the next tier.
+//! The jobs of a server: how they get slots and cores, and their calls to the next tier.
 
 use super::{Job, Server, ServerEffect, Stage};
 use crate::model::context::Context;
@@ -12,27 +12,28 @@
         self.jobs.get_mut(index as usize)?.as_mut()
     }
 
-    /// A core may have completed a part of a job.
+    /// Handles the time at which a part of a job was to be completed. Nothing is completed if the server
+    /// hangs or was paused in the meantime.
     pub fn part_completed(
         &mut self,
         context: &mut Context,
         index: u32,
-        run: u32,
+        generation: u32,
         effects: &mut Vec<ServerEffect>,
     ) {
         let hangs = self.hangs;
-        let Some(job) = self.job_mut(index).filter(|job| job.run == run) else { return };
+        let Some(job) = self.job_mut(index).filter(|job| job.generation == generation) else { return };
         let Stage::Running { ends_at } = job.stage else { return };
         if hangs {
-            // It ends once the server hangs no more.
+            // The part ends once the server no longer hangs.
             job.stage = Stage::Running { ends_at: Nanos::MAX };
             return;
         }
         if ends_at > context.now {
-            // The server paused meanwhile.
-            return context.outbox.schedule(ends_at, Message::WorkCompleted { job: index, run });
+            // The server was paused in the meantime.
+            return context.outbox.schedule(ends_at, Message::WorkCompleted { job: index, generation });
         }
-        self.update_accounts(context.topology, context.now);
+        self.update_counters(context.topology, context.now);
         let Some(job) = self.job_mut(index) else { return };
         let part = job.part;
         job.work_done += part;
@@ -41,7 +42,7 @@
         if calls_next_tier {
             job.calls_left -= 1;
             job.stage = Stage::Calling { request: None };
-            effects.push(ServerEffect::CallNextTier { job: index, run, attempt: job.attempt });
+            effects.push(ServerEffect::CallNextTier { job: index, generation, attempt: job.attempt });
         } else {
             job.stage = Stage::Done;
         }
@@ -54,23 +55,25 @@
         self.schedule_jobs(context);
     }
 
-    /// The machine's proxy has accepted a job's call under this number.
-    pub fn call_started(&mut self, index: u32, run: u32, number: u64) {
-        if let Some(job) = self.job_mut(index).filter(|job| job.run == run)
+    /// Records the number under which the machine's proxy has accepted a job's call.
+    pub fn call_started(&mut self, index: u32, generation: u32, number: u64) {
+        if let Some(job) = self.job_mut(index).filter(|job| job.generation == generation)
             && let Stage::Calling { request } = &mut job.stage
         {
             *request = Some(number);
         }
     }
 
-    /// A job's call to the next tier has ended.
+    /// Handles the end of a job's call to the next tier.
     pub fn call_completed(
         &mut self,
         context: &mut Context,
         call: FinishedCall,
         effects: &mut Vec<ServerEffect>,
     ) {
-        let Some(job) = self.job_mut(call.job).filter(|job| job.run == call.run) else { return };
+        let Some(job) = self.job_mut(call.job).filter(|job| job.generation == call.generation) else {
+            return;
+        };
         if !matches!(job.stage, Stage::Calling { .. }) {
             return;
         }
@@ -85,7 +88,7 @@
         self.schedule_jobs(context);
     }
 
-    /// Ends a job, with a response if its connection is open.
+    /// Ends a job, and responds if its connection is still open.
     fn finish(
         &mut self,
         topology: &Topology,
@@ -106,7 +109,7 @@
                 request,
                 number,
                 outcome,
-                kept: Some(self.incarnation),
+                connection_incarnation: Some(self.incarnation),
                 work: job.work_done,
                 load: self.visible_report(topology, now),
             };
@@ -117,7 +120,7 @@
         self.remove(index, now);
     }
 
-    /// Removes a job in whatever stage it is.
+    /// Removes a job in any stage.
     pub(super) fn remove(&mut self, index: u32, now: Nanos) {
         let Some(job) = self.jobs[index as usize].take() else { return };
         self.job_by_attempt.remove(&job.attempt.id);
@@ -130,7 +133,7 @@
                 self.slots_used -= 1;
             }
             Stage::Running { ends_at } => {
-                // What was done of the part is wasted.
+                // The work done on the unfinished part is wasted.
                 self.release_core_time(ends_at, now);
                 self.cores_used -= 1;
                 self.slots_used -= 1;
@@ -139,14 +142,14 @@
         }
     }
 
-    /// A core that was counted as busy until `ends_at` is free now.
+    /// Frees a core that was counted as busy until `ends_at`.
     pub(super) fn release_core_time(&mut self, ends_at: Nanos, now: Nanos) {
         if ends_at != Nanos::MAX {
             self.counters.busy = self.counters.busy.saturating_sub(ends_at.saturating_sub(now));
         }
     }
 
-    /// Gives slots and cores to the jobs whose turn it is.
+    /// Gives free slots and cores to the next jobs.
     pub(super) fn schedule_jobs(&mut self, context: &mut Context) {
         if self.hangs {
             return;
@@ -178,29 +181,30 @@
         job.stage = Stage::Running { ends_at };
         self.cores_used += 1;
         self.counters.busy += duration;
-        context.outbox.schedule(ends_at, Message::WorkCompleted { job: index, run: job.run });
+        context.outbox.schedule(ends_at, Message::WorkCompleted { job: index, generation: job.generation });
     }
 
-    /// Slow at once when it holds too many requests for a while; fast again only after a rest.
+    /// Marks the server as crowded once it has had too many requests for some time, and as recovered once its
+    /// load has been low for some time. A crowded server is slower.
     fn update_crowding(&mut self, topology: &Topology, now: Nanos) {
         let kind = self.kind(topology);
         let Some(crowd) = kind.crowd else { return };
         let requests_per_core = self.job_by_attempt.len() as f64 / f64::from(kind.cores);
-        self.crowded_since = held_since(self.crowded_since, requests_per_core > crowd.per_core, now);
-        self.rested_since = held_since(self.rested_since, requests_per_core < 1.0, now);
-        if has_held_for(self.crowded_since, crowd.after.nanos(), now) {
+        self.crowded_since = true_since(self.crowded_since, requests_per_core > crowd.per_core, now);
+        self.rested_since = true_since(self.rested_since, requests_per_core < 1.0, now);
+        if has_been_true_for(self.crowded_since, crowd.after.nanos(), now) {
             self.is_crowded = true;
-        } else if has_held_for(self.rested_since, crowd.rest.nanos(), now) {
+        } else if has_been_true_for(self.rested_since, crowd.rest.nanos(), now) {
             self.is_crowded = false;
         }
     }
 }
 
-/// Since when a condition holds without a break.
-fn held_since(before: Option<Nanos>, holds: bool, now: Nanos) -> Option<Nanos> {
-    holds.then(|| before.unwrap_or(now))
+/// Returns since when a condition has been true without interruption.
+fn true_since(before: Option<Nanos>, is_true: bool, now: Nanos) -> Option<Nanos> {
+    is_true.then(|| before.unwrap_or(now))
 }
 
-fn has_held_for(since: Option<Nanos>, duration: Nanos, now: Nanos) -> bool {
+fn has_been_true_for(since: Option<Nanos>, duration: Nanos, now: Nanos) -> bool {
     since.is_some_and(|since| now - since >= duration)
 }
--- a/crates/lab/src/model/server/lifecycle.rs
+++ b/crates/lab/src/model/server/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Pauses, faults, and the end of a server's process.
+//! Pauses and faults of a server, and the start and end of its process.
 
 use super::{Job, Server, ServerEffect, Stage, State};
 use crate::model::context::Context;
@@ -16,7 +16,7 @@
         }
     }
 
-    /// It pauses for a while: what runs ends later, and what would begin begins later.
+    /// Pauses the server: running parts end later, and new parts start after the pause.
     pub fn pause(&mut self, context: &mut Context) {
         let Some(pause) = self.kind(context.topology).pause else { return };
         let length = pause.length.nanos();
@@ -29,11 +29,11 @@
         self.schedule_pause(context);
     }
 
-    /// A fault begins or ends.
+    /// Applies a change caused by the start or end of a fault.
     pub fn change(&mut self, context: &mut Context, change: MachineChange, effects: &mut Vec<ServerEffect>) {
         let topology = context.topology;
         let now = context.now;
-        self.update_accounts(topology, now);
+        self.update_counters(topology, now);
         match change {
             MachineChange::Die { silent } => self.die(topology, now, silent, effects),
             MachineChange::Start => self.start(now),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Its process starts; a server that fell over stays down.
+    /// Starts the process, unless the server was overloaded while cold: such a server stays down.
     fn start(&mut self, now: Nanos) {
         if self.state == State::Down && !self.counters.fell_over {
             self.state = State::Up;
@@ -55,7 +55,8 @@
         }
     }
 
-    /// While it hangs nothing begins and nothing ends. What was running ends once it hangs no more.
+    /// Makes the server hang or recover. While it hangs, no part starts or ends; the parts that were due in
+    /// the meantime end when it recovers.
     fn hang(&mut self, context: &mut Context, hangs: bool) {
         if self.state == State::Down || self.hangs == hangs {
             return;
@@ -69,17 +70,17 @@
 
     fn complete_stuck_parts(&mut self, context: &mut Context) {
         for (index, job) in (0..).zip(&mut self.jobs) {
-            if let Some(Job { stage: Stage::Running { ends_at }, run, .. }) = job
+            if let Some(Job { stage: Stage::Running { ends_at }, generation, .. }) = job
                 && *ends_at == Nanos::MAX
             {
                 *ends_at = context.now;
-                let completed = Message::WorkCompleted { job: index, run: *run };
+                let completed = Message::WorkCompleted { job: index, generation: *generation };
                 context.outbox.schedule(context.now, completed);
             }
         }
     }
 
-    /// Its process ends, and with it all jobs. Silent: no proxy is told.
+    /// Ends the process with all of its jobs. If `silent`, no proxy is notified.
     pub(super) fn die(
         &mut self,
         topology: &Topology,
@@ -87,29 +88,29 @@
         silent: bool,
         effects: &mut Vec<ServerEffect>,
     ) {
-        self.update_accounts(topology, now);
+        self.update_counters(topology, now);
         if self.state == State::Down {
             return;
         }
         let mut jobs: Vec<Job> = self.jobs.drain(..).flatten().collect();
-        jobs.sort_by_key(|job| job.run);
+        jobs.sort_by_key(|job| job.generation);
         for job in jobs {
             self.counters.lost += 1;
             if let Stage::Running { ends_at } = job.stage {
                 self.release_core_time(ends_at, now);
             }
             if job.is_connected && !silent {
-                effects.push(connection_reset(&job));
+                effects.push(reset_response(&job));
             }
         }
         self.counters.deaths += 1;
         self.state = State::Down;
         self.incarnation += 1;
-        self.forget_process();
+        self.reset_process_state();
     }
 
-    /// Clears everything that lives in the process.
-    fn forget_process(&mut self) {
+    /// Resets all state that belongs to the process.
+    fn reset_process_state(&mut self) {
         self.slots_used = 0;
         self.cores_used = 0;
         self.backlog = 0;
@@ -130,14 +131,14 @@
     }
 }
 
-/// The proxy of a job notices that its connection was reset.
-fn connection_reset(job: &Job) -> ServerEffect {
+/// Notifies the proxy of a job that the connection was reset.
+fn reset_response(job: &Job) -> ServerEffect {
     let AttemptId { proxy, request, number } = job.attempt.id;
     let response = AttemptResponse {
         request,
         number,
         outcome: Outcome::Reset,
-        kept: None,
+        connection_incarnation: None,
         work: job.work_done,
         load: None,
     };
--- a/crates/lab/src/model/server/load_report.rs
+++ b/crates/lab/src/model/server/load_report.rs
@@ -1,4 +1,4 @@
-//! The counters of a server over time, and its load reports.
+//! The time-based counters of a server, and its load reports.
 
 use super::{Server, State, TimedReport};
 use crate::model::topology::Topology;
@@ -7,16 +7,16 @@
 use rand_distr::StandardNormal;
 use rand_pcg::Pcg64Mcg;
 
-/// Reports older than the delay by this many periods are dropped.
+/// Load reports are dropped this many periods after their delay has passed.
 const KEPT_PERIODS: u64 = 10;
 
 impl Server {
-    /// Brings its counters up to a time, and makes the load report that is due.
-    pub(super) fn update_accounts(&mut self, topology: &Topology, now: Nanos) {
-        let elapsed = now - self.accounted_until;
-        self.accounted_until = now;
+    /// Updates the counters to the current time, and creates the load report that is due.
+    pub(super) fn update_counters(&mut self, topology: &Topology, now: Nanos) {
+        let elapsed = now - self.counted_until;
+        self.counted_until = now;
         if self.state != State::Down {
-            self.counters.up += elapsed;
+            self.counters.uptime += elapsed;
             self.counters.connection_us += u64::from(self.connections) * (elapsed / 1000);
         }
         let Some(report) = self.kind(topology).report else { return };
@@ -48,7 +48,7 @@
         self.reports.push_back(TimedReport { made_at: now, load });
     }
 
-    /// The newest load report that has passed its delay.
+    /// The newest load report whose delay has passed.
     pub(super) fn visible_report(&self, topology: &Topology, now: Nanos) -> Option<LoadReport> {
         let delay = self.kind(topology).report.map_or(0, |report| report.delay.nanos());
         let newest = now.saturating_sub(delay + self.report_delay);
@@ -56,7 +56,7 @@
     }
 }
 
-/// A load report with each figure multiplied by a random factor.
+/// Returns a load report with each value multiplied by a random factor.
 pub fn with_noise(load: Option<LoadReport>, noise: f64, rng: &mut Pcg64Mcg) -> Option<LoadReport> {
     if noise <= 0.0 {
         return load;
--- a/crates/lab/src/model/server/mod.rs
+++ b/crates/lab/src/model/server/mod.rs
@@ -1,12 +1,12 @@
-//! A server of the model: slots, cores, a bounded queue, connections, and the ways in which it is slow or ill.
+//! A server of the model: slots, cores, a bounded queue, connections, and its slowdowns and faults.
 //!
-//! A request holds a slot from its begin to its response, also while it waits for the next tier. Its work is
-//! cut into equal parts by its calls to the next tier; each part waits for a core in turn and then runs to
-//! its end. Simpler than reality: cores are not shared by time slices, and a part runs at the speed that the
-//! server had when the part began.
+//! A request occupies a slot from its start to its response, also while it waits for the next tier. Its calls
+//! to the next tier split its work into equal parts; each part waits for a core and then runs to its end. The
+//! model simplifies reality: cores are not time-shared, and a part runs at the speed that the server had when
+//! the part started.
 //!
-//! Its machine calls it for each event and carries out its [`ServerEffect`]s; it sends nothing itself but
-//! messages to its own machine.
+//! The machine calls its server for each event and applies the [`ServerEffect`]s; the server itself only
+//! schedules messages to its own machine.
 
 mod admission;
 mod jobs;
@@ -25,51 +25,51 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// A server whose injected error share reaches this does not count as serving.
+/// A server with at least this injected share of errors does not count as serving.
 const NOT_SERVING_ERROR_SHARE: f64 = 0.5;
-/// The least speed of a core, so that every job ends.
+/// The minimum speed of a core, so that every job ends.
 const MIN_CORE_SPEED: f64 = 1e-6;
 
-/// What a server asks of its machine.
+/// An action that a server requests from its machine.
 #[derive(Debug)]
 pub enum ServerEffect {
-    /// A response goes to a proxy.
+    /// Send a response to a proxy.
     Respond {
         /// The proxy's node.
         proxy: u32,
         /// The response.
         response: AttemptResponse,
     },
-    /// A job calls the next tier.
+    /// Call the next tier for a job.
     CallNextTier {
         /// The job.
         job: u32,
-        /// Which run of the job's slot: a response to an earlier run is ignored.
-        run: u32,
-        /// The attempt that the job works on.
+        /// The generation of the job's index; a response for an earlier generation is ignored.
+        generation: u32,
+        /// The attempt that the job handles.
         attempt: Attempt,
     },
-    /// A job no longer waits for its call.
+    /// Cancel a call to the next tier, as its job has ended.
     CancelCall {
-        /// The request's number at the machine's own proxy.
+        /// The number of the call at the machine's own proxy.
         request: u64,
     },
-    /// A request had its effect.
+    /// Report that a request was executed and had its effect.
     Executed(Attempt),
 }
 
-/// What a job waits for.
+/// The stage of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    /// For a slot.
+    /// It waits for a slot.
     Waiting,
-    /// For a core.
+    /// It waits for a core.
     Ready,
-    /// It runs on a core until then.
+    /// It runs on a core until `ends_at`.
     Running { ends_at: Nanos },
-    /// For the next tier.
+    /// It waits for the next tier.
     Calling { request: Option<u64> },
-    /// For nothing any more.
+    /// All of its work is done.
     Done,
 }
 
@@ -77,16 +77,16 @@
 struct Job {
     attempt: Attempt,
     stage: Stage,
-    /// Which run of this index: events of an earlier run are ignored.
-    run: u32,
+    /// The generation of the job's index; events of an earlier generation are ignored.
+    generation: u32,
     /// The work of each part.
     part: u64,
     calls_left: u32,
-    /// Work done for it here and in the tiers below.
+    /// Work done for the job at this server and in the next tiers.
     work_done: u64,
-    /// Work here that is still to be done.
+    /// Remaining work at this server.
     work_left: u64,
-    /// Its connection is open: the response can reach the proxy.
+    /// Whether its connection is open, so that the response can reach the proxy.
     is_connected: bool,
 }
 
@@ -98,43 +98,43 @@
     Draining,
 }
 
-/// A load report, and when it was made.
+/// A load report and the time at which it was created.
 #[derive(Clone, Copy)]
 struct TimedReport {
     made_at: Nanos,
     load: LoadReport,
 }
 
-/// Counters for the report; whole numbers, so that sums are the same in any order.
+/// The counters of a server for the report. They are integers, so that sums do not depend on the order.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerCounters {
     /// Attempts that arrived.
     pub attempts: u64,
-    /// Attempts that were not admitted.
-    pub turned_away: u64,
+    /// Attempts that were rejected.
+    pub rejected: u64,
     /// Attempts that got a response, errors included.
     pub answered: u64,
-    /// Attempts that were admitted and got no response: cancelled, or lost with the process.
+    /// Attempts that were admitted but got no response, because they were cancelled or the process ended.
     pub lost: u64,
-    /// Work done, at speed 1.
+    /// Work done, in nanoseconds on a core of speed 1.
     pub work: u64,
-    /// Core time used.
+    /// Core time used, in nanoseconds.
     pub busy: u64,
-    /// Time that it ran.
-    pub up: u64,
-    /// Most requests at a time.
+    /// The time that the server was running, in nanoseconds.
+    pub uptime: u64,
+    /// The peak number of concurrent requests.
     pub peak_requests: u64,
-    /// Health checks.
+    /// Health checks that arrived.
     pub probes: u64,
-    /// New connections.
+    /// Connections opened.
     pub handshakes: u64,
-    /// Most connections at a time.
+    /// The peak number of open connections.
     pub peak_connections: u64,
-    /// Connections times time, in microseconds.
+    /// The number of open connections integrated over time, in microseconds.
     pub connection_us: u64,
-    /// How often its process died.
+    /// The number of times that its process died.
     pub deaths: u32,
-    /// It fell over while cold.
+    /// Whether the server was overloaded while cold and crashed.
     pub fell_over: bool,
 }
 
@@ -144,28 +144,28 @@
     slot: u32,
     speed: f64,
     state: State,
-    /// Counts its processes, so that what an earlier one left means nothing to the next.
+    /// The number of the server's process. Connections of an earlier process are ignored.
     incarnation: u32,
-    /// When this process started; 0: long ago, and it is warm.
+    /// The start time of the process; 0 if the server was running and warm before the run.
     started: Nanos,
     hangs: bool,
-    /// Injected share of requests that fail at once.
+    /// The injected share of requests that fail at once.
     error_share: f64,
-    /// Injected factor by which it is slower.
+    /// The injected factor by which the server is slower.
     slowdown: f64,
-    /// Injected delay of load reports.
+    /// The injected delay of load reports.
     report_delay: Nanos,
     jobs: Vec<Option<Job>>,
     free_indices: Vec<u32>,
     job_by_attempt: FxHashMap<AttemptId, u32>,
     waiting: VecDeque<u32>,
     ready: VecDeque<u32>,
-    runs: u32,
+    last_generation: u32,
     slots_used: u32,
     cores_used: u32,
-    /// Work that is here and not yet done.
+    /// The remaining work of all jobs.
     backlog: u64,
-    /// Work of health checks and handshakes, done with the next part.
+    /// Work of health checks and handshakes, added to the next part that starts.
     overhead: u64,
     paused_until: Nanos,
     crowded_since: Option<Nanos>,
@@ -176,16 +176,16 @@
     reports: VecDeque<TimedReport>,
     /// Requests served since the last load report.
     served_since_report: u64,
-    /// Core time used up to the last load report.
+    /// Core time used by the time of the last load report.
     busy_at_report: u64,
     pressure: Pressure,
-    accounted_until: Nanos,
-    /// For the report.
+    counted_until: Nanos,
+    /// The counters for the report.
     pub counters: ServerCounters,
 }
 
 impl Server {
-    /// A server that runs and is warm, or one that does not run yet.
+    /// Creates a server. It runs and is warm if it is present at the start of the run; otherwise it is down.
     pub fn new(tier: u8, slot: u32, context: &mut Context) -> Server {
         let spec = &context.topology.tiers[tier as usize].servers[slot as usize];
         let server = Server {
@@ -204,7 +204,7 @@
             job_by_attempt: FxHashMap::default(),
             waiting: VecDeque::new(),
             ready: VecDeque::new(),
-            runs: 0,
+            last_generation: 0,
             slots_used: 0,
             cores_used: 0,
             backlog: 0,
@@ -218,19 +218,19 @@
             served_since_report: 0,
             busy_at_report: 0,
             pressure: Pressure::default(),
-            accounted_until: context.now,
+            counted_until: context.now,
             counters: ServerCounters::default(),
         };
         server.schedule_pause(context);
         server
     }
 
-    /// Whether its process runs.
+    /// Whether the server's process is running.
     pub fn runs(&self) -> bool {
         self.state != State::Down
     }
 
-    /// When its process started.
+    /// The start time of the server's process.
     pub fn started(&self) -> Nanos {
         self.started
     }
@@ -239,7 +239,7 @@
         topology.kind(self.tier, self.slot)
     }
 
-    /// The present speed of a core.
+    /// The current speed of a core.
     fn core_speed(&self, topology: &Topology, now: Nanos) -> f64 {
         let kind = self.kind(topology);
         let warmth = match kind.cold {
@@ -253,7 +253,7 @@
         (self.speed * warmth / crowding / self.slowdown).max(MIN_CORE_SPEED)
     }
 
-    /// Its true state, for a policy that may see it.
+    /// The true state of the server, for policies that may see it.
     pub fn true_state(&self, topology: &Topology, now: Nanos) -> TrueState {
         let core_speed = self.core_speed(topology, now);
         let capacity = f64::from(self.kind(topology).cores) * core_speed;
@@ -267,20 +267,20 @@
         }
     }
 
-    /// Its true state, for all threads.
+    /// The true state of the server as a broadcast to all threads.
     pub fn state_broadcast(&self, topology: &Topology, now: Nanos) -> ServerStateBroadcast {
         let true_state = self.true_state(topology, now);
         ServerStateBroadcast { tier: self.tier, slot: self.slot, true_state }
     }
 
-    /// Whether every attempt that arrived is accounted for.
-    pub fn conserves(&self) -> bool {
-        let ServerCounters { attempts, turned_away, answered, lost, .. } = self.counters;
-        attempts == turned_away + answered + lost + self.job_by_attempt.len() as u64
+    /// Whether the counters account for every attempt that arrived.
+    pub fn has_consistent_counts(&self) -> bool {
+        let ServerCounters { attempts, rejected, answered, lost, .. } = self.counters;
+        attempts == rejected + answered + lost + self.job_by_attempt.len() as u64
     }
 
-    /// Brings its counters up to the end of a run.
-    pub fn close_accounts(&mut self, topology: &Topology, now: Nanos) {
-        self.update_accounts(topology, now);
+    /// Updates the counters to the end of a run.
+    pub fn finish_accounting(&mut self, topology: &Topology, now: Nanos) {
+        self.update_counters(topology, now);
     }
 }
--- a/crates/lab/src/model/topology.rs
+++ b/crates/lab/src/model/topology.rs
@@ -1,5 +1,5 @@
-//! The topology of a run: a scenario with everything that its seed draws before the run, such as machines,
-//! their zones, and the timeline of faults. Nothing in it changes during a run, and all threads read it.
+//! The topology of a run: the scenario and everything that is drawn from the seed before the run, such as the
+//! speed of servers and the timeline of faults. It does not change during a run, and all threads share it.
 
 use super::faults::Timeline;
 use super::message::ListEntry;
@@ -12,75 +12,75 @@
 use rand_pcg::Pcg64Mcg;
 use std::rc::Rc;
 
-/// No tenant.
+/// The tenant of a request that has none.
 pub const NO_TENANT: u16 = u16::MAX;
 
-/// Worth is counted in millionths, in whole numbers: sums then do not depend on their order.
-pub const WORTH: f64 = 1e6;
+/// Worth is counted in integer millionths, so that sums do not depend on their order.
+pub const WORTH_SCALE: f64 = 1e6;
 
 /// A class of requests.
 pub struct Class {
-    /// As the decisions are told of it.
+    /// The settings of the class for the decision module.
     pub settings: decisions::Class,
-    /// Worth of a response within the latency objective, in millionths.
+    /// The worth of a response within the latency objective, in millionths.
     pub worth: u64,
-    /// Worth of a late response, in millionths.
+    /// The worth of a late response, in millionths.
     pub late_worth: u64,
-    /// Draws a request's work over all tiers.
+    /// Draws the work of a request in all tiers.
     pub work: Sampler,
 }
 
-/// One server as the scenario and the seed make it.
+/// The properties of one server.
 pub struct ServerSpec {
-    /// Its name, the same for all.
+    /// The name, the same at all proxies.
     pub name: String,
-    /// Its zone.
+    /// The zone, an index into the scenario's zones.
     pub zone: u16,
-    /// Its cell, numbered within its tier.
+    /// The cell, numbered within its tier.
     pub cell: u64,
-    /// Its kind, an index into its tier's kinds.
+    /// The kind, an index into its tier's kinds.
     pub kind: u16,
     /// The speed of its cores.
     pub speed: f64,
-    /// Its size as the list tells it.
+    /// The weight in the endpoint list.
     pub weight: f64,
-    /// Its machine's number.
+    /// The number of its machine.
     pub machine: u32,
-    /// It runs from the start; if not, it replaces another server in a deploy.
+    /// Whether it runs from the start; if not, it replaces another server during a deploy.
     pub present_at_start: bool,
 }
 
-/// One tier.
+/// A tier.
 pub struct Tier {
-    /// All servers that there will ever be; those present at the start come first.
+    /// All servers of the run; those present at the start come first.
     pub servers: Vec<ServerSpec>,
-    /// Numbers of the proxies that call it, as machines.
+    /// The machines whose proxies call the tier.
     pub callers: Vec<u32>,
 }
 
-/// One machine: a server with the proxy for its calls to the next tier, or a proxy of the first tier.
+/// A machine: a server with the proxy for its calls to the next tier, or a proxy of the first tier.
 pub struct MachineSpec {
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: u16,
-    /// Its server: tier and place.
+    /// The server, if there is one: tier and index in the tier.
     pub server: Option<(u8, u32)>,
-    /// Its proxy: the tier that it calls, and its number among those that do.
+    /// The proxy, if there is one: the tier that it calls, and its number among the callers of that tier.
     pub proxy: Option<(u8, u32)>,
 }
 
 /// The policy of all proxies of a run.
 #[derive(Clone, Copy)]
 pub struct PolicyChoice<'a> {
-    /// Its name.
+    /// The name.
     pub name: &'a str,
-    /// Constructs it.
+    /// Constructs the policy.
     pub factory: PolicyFactory,
-    /// Whether the time spent in it is measured.
+    /// Whether the time spent in the policy is measured.
     pub timed: bool,
 }
 
 impl<'a> PolicyChoice<'a> {
-    /// The policy of a name, with no time measured.
+    /// Returns the policy with this name, without time measurement.
     ///
     /// # Errors
     /// No policy has that name.
@@ -97,30 +97,30 @@
     pub seed: u64,
     /// Classes in the scenario's order.
     pub classes: Vec<Class>,
-    /// Requests per second, over all clients.
+    /// The requests per second of all clients together.
     pub rate: f64,
-    /// What the fleet can serve, in requests per second.
+    /// The capacity of the fleet in requests per second.
     pub capacity: f64,
     /// Tiers in the scenario's order.
     pub tiers: Vec<Tier>,
-    /// Machines; their nodes come after those of the clients.
+    /// The machines; their nodes come after those of the clients.
     pub machines: Vec<MachineSpec>,
-    /// How many nodes are clients.
+    /// The number of client nodes.
     pub clients: u32,
-    /// First-tier proxies as machines, by zone.
+    /// The machines of the first-tier proxies, by zone.
     pub fronts: Vec<Vec<u32>>,
-    /// What goes wrong when.
+    /// The timeline of faults.
     pub timeline: Timeline,
-    /// Constructs a proxy's policy.
+    /// Constructs the policy of a proxy.
     pub policy_factory: PolicyFactory,
-    /// The policy may see the true state of the servers.
+    /// Whether the policy may see the true state of the servers.
     pub policy_sees_true_state: bool,
-    /// Time spent in the policy is measured.
+    /// Whether the time spent in the policy is measured.
     pub timed: bool,
 }
 
 impl Topology {
-    /// Draws what a seed makes of a scenario that was checked.
+    /// Creates the topology of a checked scenario. The seed determines everything that is random.
     pub fn new(scenario: Scenario, seed: u64, policy: PolicyChoice) -> Topology {
         let mut rng = Pcg64Mcg::seed_from_u64(mix(seed, 0xA11_0CA7E));
         let mut topology = Topology {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Adds a server and its machine, with a proxy of its own for the next tier if there is one.
+    /// Adds a server and its machine, with a proxy for its calls if there is a next tier.
     pub(super) fn add_server(&mut self, tier: usize, template: ServerTemplate) -> u32 {
         let machine = self.machines.len() as u32;
         let slot = self.tiers[tier].servers.len() as u32;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The settings of a proxy.
+    /// The settings of a proxy for the decision module.
     pub fn settings(&self, tier: u8, number: u32, zone: u16) -> decisions::Settings {
         let (limits, rules) = (&self.scenario.limits, &self.scenario.rules);
         let quota = |t: &scenario::Tenant| t.share * self.capacity;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// An entry of the list as the decisions read it.
+    /// Converts an entry of the endpoint list to the form of the decision module.
     pub fn entry(&self, tier: u8, entry: ListEntry, name: Rc<str>) -> decisions::EndpointEntry {
         let spec = &self.tiers[tier as usize].servers[entry.slot as usize];
         decisions::EndpointEntry {
@@ -258,7 +258,7 @@
         }
     }
 
-    /// The kind of a server.
+    /// The machine kind of a server.
     pub fn kind(&self, tier: u8, slot: u32) -> &scenario::Kind {
         let kind = self.tiers[tier as usize].servers[slot as usize].kind;
         &self.scenario.tier[tier as usize].kind[kind as usize]
@@ -279,7 +279,7 @@
         self.clients + self.machines.len() as u32
     }
 
-    /// The zone of a node; discovery lives in the first.
+    /// The zone of a node; discovery runs in the first zone.
     pub fn zone_of(&self, node: u32) -> u16 {
         if node < self.clients {
             return (node as usize % self.scenario.zones.len()) as u16;
@@ -287,7 +287,7 @@
         self.machines.get((node - self.clients) as usize).map_or(0, |m| m.zone)
     }
 
-    /// A name for a proxy that an operator would know it by.
+    /// The display name of a proxy.
     pub fn proxy_name(&self, machine: u32) -> String {
         match self.machines[machine as usize].server {
             Some((tier, slot)) => {
@@ -297,21 +297,21 @@
         }
     }
 
-    /// When every client has certainly had its final response.
+    /// The time by which every client has certainly had its final response.
     pub fn ends(&self) -> Nanos {
         let longest = self.scenario.class.iter().map(|c| c.deadline.nanos()).max().unwrap_or(0);
         self.scenario.length.nanos() + longest + 1_000_000_000
     }
 }
 
-/// What a server is like.
+/// The properties of a server to be added.
 #[derive(Clone, Copy)]
 pub(super) struct ServerTemplate {
     pub zone: u16,
     pub kind: u16,
     pub speed: f64,
     pub cell: u64,
-    /// It runs from the start.
+    /// Whether it runs from the start.
     pub present_at_start: bool,
 }
 
@@ -337,13 +337,13 @@
             late_weight_ratio: class.late_worth,
             streaming: false,
         },
-        worth: (class.worth * WORTH).round() as u64,
-        late_worth: (class.worth * class.late_worth * WORTH).round() as u64,
+        worth: (class.worth * WORTH_SCALE).round() as u64,
+        late_worth: (class.worth * class.late_worth * WORTH_SCALE).round() as u64,
         work: Sampler::new(&class.work),
     }
 }
 
-/// Two numbers into one that looks like neither (SplitMix64's finalizer, Steele et al. 2014).
+/// Hashes two numbers into one (SplitMix64's finalizer, Steele et al. 2014).
 pub fn mix(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/lab/src/run_result.rs
+++ b/crates/lab/src/run_result.rs
@@ -1,21 +1,21 @@
-//! What a run came to: one JSON object, a line each in a results file.
+//! The result of a run. It is stored as one JSON object per line of a results file.
 //!
-//! Everything but [`Cost`] follows from the scenario, the seed, the policy and the build alone.
+//! Everything except [`Cost`] depends only on the scenario, the seed, the policy and the build.
 
 use serde::{Deserialize, Serialize};
 
-/// The version of this form; another one is refused by name.
+/// The version of the result format. Readers reject any other version.
 pub const SCHEMA: u32 = 1;
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunResult {
-    /// Version of this form: [`SCHEMA`].
+    /// The version of the result format: [`SCHEMA`].
     pub schema: u32,
     /// The scenario's name.
     pub scenario: String,
-    /// Hash of the scenario with all defaults filled in, hexadecimal.
+    /// The hash of the scenario with all defaults filled in, in hexadecimal.
     pub scenario_digest: String,
     /// The build's revision.
     pub revision: String,
@@ -23,31 +23,32 @@
     pub policy: String,
     /// The seed.
     pub seed: u64,
-    /// Hash of all events in their order, hexadecimal.
+    /// The hash of all events in order, in hexadecimal.
     pub digest: String,
-    /// Why the figures are not to be trusted; empty: they are.
+    /// The reasons why the figures are not reliable; empty if they are.
     pub unsound: Vec<String>,
-    /// Counts and rates of the whole run, after the warm-up.
+    /// Counts and rates of the whole run after the warm-up.
     pub totals: Totals,
-    /// Goodput of the worst window of ten seconds.
+    /// The lowest goodput of any window of ten seconds.
     pub worst_window: f64,
-    /// By class, in the scenario's order.
+    /// The figures of each class, in the scenario's order.
     pub classes: Vec<Group>,
-    /// By tenant, in the scenario's order.
+    /// The figures of each tenant, in the scenario's order.
     pub tenants: Vec<Group>,
-    /// By second of arrival of the first try, warm-up included.
+    /// The figures of each second, including the warm-up. A request counts in the second in which its first
+    /// attempt arrived.
     pub seconds: Vec<Second>,
-    /// Every server that there was, replaced ones included.
+    /// All servers of the run, including replaced ones.
     pub servers: Vec<Server>,
-    /// Who was held back when, by which proxy; the first some thousand.
+    /// The servers that proxies treated as unhealthy or ejected, and when; limited to the first few thousand.
     pub held: Vec<Held>,
-    /// What went wrong when.
+    /// The faults that were injected, and when.
     pub faults: Vec<Window>,
-    /// Rules that were broken, the first breach of each.
+    /// The first breach of each rule that was broken.
     pub breaches: Vec<Breach>,
-    /// Bounds of the scenario that were not kept, in words.
+    /// A description of each bound of the scenario that was violated.
     pub out_of_bounds: Vec<String>,
-    /// What the run itself cost.
+    /// The resources that the run itself used.
     pub cost: Cost,
 }
 
@@ -55,57 +56,57 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Totals {
-    /// First tries.
+    /// The number of requests, not counting client retries.
     pub offered: u64,
-    /// Answered within the aim.
+    /// Requests served within the latency objective.
     pub in_time: u64,
-    /// Answered between aim and deadline.
+    /// Requests served between the latency objective and the deadline.
     pub late: u64,
-    /// Whose last try was refused.
+    /// Requests whose last attempt was refused.
     pub refused: u64,
-    /// Whose last try failed, or went unanswered.
+    /// Requests whose last attempt failed or got no response.
     pub failed: u64,
-    /// Worth asked for, and worth served.
+    /// The total worth of all requests.
     pub worth_asked: f64,
-    /// The latter.
+    /// The total worth of the served requests.
     pub worth_served: f64,
-    /// Worth served over worth asked for.
+    /// The worth served divided by the worth requested.
     pub goodput: f64,
-    /// Tries that clients made after their first.
+    /// Retries by clients.
     pub client_retries: u64,
-    /// Attempts at servers of the first tier.
+    /// Attempts sent to servers of the first tier.
     pub attempts: u64,
-    /// Attempts at servers of all tiers.
+    /// Attempts sent to servers of all tiers.
     pub attempts_all_tiers: u64,
-    /// Attempts at the first tier for each first try.
+    /// Attempts sent to the first tier per request.
     pub attempts_per_request: f64,
-    /// Probes at all tiers.
+    /// Health checks in all tiers.
     pub probes: u64,
-    /// New connections to servers of all tiers.
+    /// Connections opened to servers of all tiers.
     pub handshakes: u64,
-    /// Open connections of a server, mean over servers and time.
+    /// The mean number of open connections per server, over all servers and the whole run.
     pub connections_per_server: f64,
-    /// Work done for which no client got an answer, over all work done.
+    /// The share of all work done that led to no response to a client.
     pub wasted_work: f64,
-    /// Requests whose effect took place twice.
+    /// Requests whose effect took place more than once.
     pub second_effects: u64,
 }
 
-/// A class, or a tenant.
+/// The figures of a class or a tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Group {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// First tries.
+    /// The number of requests, not counting client retries.
     pub offered: u64,
-    /// Worth served over worth asked for.
+    /// The worth served divided by the worth requested.
     pub goodput: f64,
-    /// Refused.
+    /// Refused requests.
     pub refused: u64,
-    /// Failed.
+    /// Failed requests.
     pub failed: u64,
-    /// Latency of what was answered, from the arrival of the first try.
+    /// The latency of served requests, from the arrival of the first attempt.
     pub latency: Latency,
 }
 
@@ -113,144 +114,144 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Latency {
-    /// How many.
+    /// The number of served requests.
     pub count: u64,
-    /// Mean.
+    /// The mean.
     pub mean_ms: f64,
-    /// 50th percentile.
+    /// The 50th percentile.
     pub p50_ms: f64,
-    /// 90th percentile.
+    /// The 90th percentile.
     pub p90_ms: f64,
-    /// 99th percentile.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// 99.9th percentile.
+    /// The 99.9th percentile.
     pub p999_ms: f64,
-    /// Greatest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
-/// One second of arrivals.
+/// The figures of one second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Second {
-    /// First tries that arrived in it.
+    /// Requests whose first attempt arrived in this second.
     pub offered: u64,
-    /// Of those, answered within the aim.
+    /// Of those, requests served within the latency objective.
     pub in_time: u64,
-    /// Answered late.
+    /// Of those, requests served after the latency objective.
     pub late: u64,
-    /// Refused.
+    /// Refused requests.
     pub refused: u64,
-    /// Failed or never answered.
+    /// Of those, requests that failed or got no response.
     pub failed: u64,
-    /// Worth asked for.
+    /// The worth of the requests.
     pub worth_asked: f64,
-    /// Worth served.
+    /// The worth of the served requests.
     pub worth_served: f64,
-    /// Attempts at the first tier that were sent in it.
+    /// Attempts sent to the first tier in this second.
     pub attempts: u64,
-    /// Attempts at all tiers that were sent in it.
+    /// Attempts sent to all tiers in this second.
     pub attempts_all_tiers: u64,
-    /// Latency of those that were answered: 50th percentile.
+    /// The 50th percentile of the latency of served requests.
     pub p50_ms: f64,
-    /// 99th percentile.
+    /// The 99th percentile.
     pub p99_ms: f64,
 }
 
-/// One server.
+/// The figures of one server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Server {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its tier's name.
+    /// The name of its tier.
     pub tier: String,
-    /// Its zone's name.
+    /// The name of its zone.
     pub zone: String,
-    /// Its kind's name.
+    /// The name of its machine kind.
     pub kind: String,
-    /// Cores times speed.
+    /// The number of cores times their speed.
     pub capacity: f64,
-    /// Attempts that reached it.
+    /// Attempts that arrived at the server.
     pub attempts: u64,
-    /// Attempts that it turned away.
+    /// Attempts that the server rejected.
     pub turned_away: u64,
-    /// Core seconds of work done, at speed 1.
+    /// Work done, in seconds of a core of speed 1.
     pub work_s: f64,
-    /// Work done over what it could have done in the time that it ran.
+    /// The share of its core time that was used while the server was running.
     pub utilization: f64,
-    /// Most requests that were there at a time.
+    /// The peak number of concurrent requests.
     pub peak_requests: u64,
-    /// Probes that reached it.
+    /// Health checks that arrived at the server.
     pub probes: u64,
-    /// Most connections open at a time.
+    /// The peak number of open connections.
     pub peak_connections: u64,
-    /// Times that it died.
+    /// The number of times that its process died.
     pub deaths: u32,
-    /// It fell over while cold.
+    /// Whether the server was overloaded during slow start and crashed.
     pub fell_over: bool,
 }
 
-/// A proxy that held a server back for a time.
+/// A period during which a proxy treated a server as unhealthy or ejected.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Held {
-    /// The proxy.
+    /// The name of the proxy.
     pub proxy: String,
-    /// The server's name.
+    /// The name of the server.
     pub server: String,
-    /// From when, in milliseconds.
+    /// The start, in milliseconds.
     pub from_ms: u64,
-    /// Until when.
+    /// The end, in milliseconds.
     pub to_ms: u64,
-    /// Why: `down` (a check failed) or `held` (evidence from calls).
+    /// The reason: `down` (a health check failed) or `held` (ejected because of failed or slow attempts).
     pub why: String,
 }
 
-/// When something went wrong.
+/// A fault and its period.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Window {
-    /// The kind of fault, as the scenario calls it.
+    /// The kind of fault, as named in the scenario.
     pub kind: String,
-    /// From when, in milliseconds.
+    /// The start, in milliseconds.
     pub from_ms: u64,
-    /// Until when.
+    /// The end, in milliseconds.
     pub to_ms: u64,
-    /// What it touched, in words.
+    /// A description of what the fault affected.
     pub touched: String,
 }
 
-/// A rule that was broken.
+/// A broken rule, with its first breach.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Breach {
-    /// Which rule: `answer`, `effect`, `drain` or `cold`.
+    /// The rule: `answer`, `effect`, `drain` or `cold`.
     pub rule: String,
-    /// How often it was broken.
+    /// The number of breaches.
     pub count: u64,
-    /// When first, in milliseconds.
+    /// The time of the first breach, in milliseconds.
     pub at_ms: f64,
-    /// By which proxy.
+    /// The proxy that broke the rule.
     pub proxy: String,
-    /// What happened, one sentence.
+    /// A description of the breach in one sentence.
     pub what: String,
-    /// The events that led to it, oldest first, in words.
+    /// Descriptions of the events that led to the breach, oldest first.
     pub events: Vec<String>,
 }
 
-/// What a run cost. Not part of the digest, and different each time.
+/// The resources that a run used. They differ from run to run and are not part of the digest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Cost {
-    /// Threads used.
+    /// The number of threads.
     pub threads: u32,
-    /// Events played.
+    /// The number of events processed.
     pub events: u64,
-    /// Real time, in seconds.
+    /// Wall-clock time, in seconds.
     pub wall_s: f64,
-    /// Time spent in the policy, over all threads, in seconds; 0 where it was not measured.
+    /// Time spent in the policy, summed over all threads, in seconds; 0 if not measured.
     pub policy_s: f64,
-    /// Greatest memory of the process, in MiB.
+    /// The peak resident memory of the process, in MiB.
     pub peak_mib: f64,
 }
