--- a/crates/lab/src/engine/barrier/mod.rs
+++ b/crates/lab/src/engine/barrier/mod.rs
@@ -1,15 +1,15 @@
-//! A barrier for threads that meet every few microseconds of real time.
+//! A barrier for threads that synchronize every few microseconds of real time.
 //!
 //! The standard library's barrier parks threads in the kernel, which costs more than the work between two
-//! meetings. This one spins for a while, then yields, and sleeps only if that did not help: with more threads
-//! than cores, the waiting threads are in the way of the working ones.
+//! synchronizations. This barrier spins first, then yields, and sleeps only after that: with more threads
+//! than cores, spinning threads would take cores from the working ones.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// A waiting thread checks the barrier this often before it offers its core to others...
+/// The number of times that a waiting thread checks the barrier before it yields its core.
 const SPINS: u32 = 1000;
-/// ...and this often more before it sleeps.
+/// The number of times that a waiting thread yields its core before it sleeps.
 const YIELDS: u32 = 20;
 
 /// A reusable barrier for a fixed number of threads (sense reversal by generation; Hensgen, Finkel and Manber
@@ -25,7 +25,7 @@
 }
 
 impl Barrier {
-    /// A barrier for this number of threads.
+    /// Creates a barrier for this number of threads.
     pub fn new(threads: usize) -> Barrier {
         Barrier {
             threads,
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Breaks the barrier because a thread will not arrive any more: nobody waits from now on.
+    /// Breaks the barrier because a thread will no longer arrive. All current and later waits return at once.
     pub fn break_barrier(&self) {
         self.broken.store(true, Ordering::SeqCst);
         self.wake_sleepers();
     }
 
-    /// Danger: a sleeper that checked just before a change would miss the notification; it holds the lock from
-    /// its check to its sleep.
+    /// Wakes the sleeping threads. A sleeper holds the lock from its check to its sleep; without taking the
+    /// lock here, a sleeper that has just checked would miss the notification.
     fn wake_sleepers(&self) {
         if self.sleepers.load(Ordering::SeqCst) > 0 {
             drop(self.sleep_lock.lock().unwrap_or_else(PoisonError::into_inner));
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Returns true once all threads have arrived: what each wrote before is then visible to all. Returns
-    /// false if the barrier is broken.
+    /// Returns `true` once all threads have arrived; everything that they wrote before is then visible to
+    /// all. Returns `false` if the barrier is broken.
     pub fn wait(&self) -> bool {
         if self.broken.load(Ordering::SeqCst) {
             return false;
--- a/crates/lab/src/engine/barrier/tests.rs
+++ b/crates/lab/src/engine/barrier/tests.rs
@@ -1,4 +1,4 @@
-//! The barrier under contention, and after it was broken.
+//! Tests of the barrier under contention and after it is broken.
 
 use super::*;
 
@@ -26,7 +26,7 @@
     std::thread::scope(|scope| {
         let waiting: Vec<_> = (0..2).map(|_| scope.spawn(|| barrier.wait())).collect();
         barrier.break_barrier();
-        assert!(waiting.into_iter().all(|thread| !thread.join().expect("it ends")));
+        assert!(waiting.into_iter().all(|thread| !thread.join().expect("the thread does not panic")));
     });
-    assert!(!barrier.wait(), "nor later");
+    assert!(!barrier.wait(), "the barrier stays broken");
 }
--- a/crates/lab/src/engine/exchange.rs
+++ b/crates/lab/src/engine/exchange.rs
@@ -1,7 +1,7 @@
-//! What the threads of a run share: the barrier at which they meet, their counters, and the queues of events
-//! and broadcasts from thread to thread.
+//! The state that the threads of a run share: the barrier at which they synchronize, their counters, and the
+//! queues of events and broadcasts between threads.
 //!
-//! Workers write into it before they wait at the barrier and read from it afterwards.
+//! Workers write to it before they wait at the barrier and read from it afterwards.
 
 use super::barrier::Barrier;
 use super::queue::Event;
@@ -10,23 +10,23 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Events on their way from one thread to another.
+/// Events sent from one thread to another.
 type MessageQueue<M> = Mutex<Vec<Event<<M as Model>::Message>>>;
-/// Broadcasts on their way from one thread to another.
+/// Broadcasts sent from one thread to another.
 type BroadcastQueue<M> = Mutex<Vec<<M as Model>::Broadcast>>;
 
-/// What the threads share.
+/// The state that the threads share.
 pub(super) struct Exchange<M: Model> {
     pub(super) barrier: Barrier,
-    /// By thread.
+    /// The due time of the earliest event of each thread.
     next_due: Vec<AtomicU64>,
-    /// By thread.
+    /// The number of pending events of each thread.
     pending_events: Vec<AtomicU64>,
-    /// By thread.
+    /// The number of open requests of each thread.
     open_requests: Vec<AtomicU64>,
-    /// By sending thread, then by receiving thread.
+    /// The events in transit, by sending thread and then by receiving thread.
     messages: Vec<Vec<MessageQueue<M>>>,
-    /// By sending thread, then by receiving thread.
+    /// The broadcasts in transit, by sending thread and then by receiving thread.
     broadcasts: Vec<Vec<BroadcastQueue<M>>>,
 }
 
@@ -42,22 +42,22 @@
         }
     }
 
-    /// Hands events over to another thread, and leaves `events` empty.
+    /// Sends events to another thread and leaves `events` empty.
     pub(super) fn send_events(&self, from: usize, to: usize, events: &mut Vec<Event<M::Message>>) {
         lock(&self.messages[from][to]).append(events);
     }
 
-    /// The events that one thread has handed over to another.
+    /// Removes and returns the events that one thread has sent to another.
     pub(super) fn take_events(&self, from: usize, to: usize) -> Vec<Event<M::Message>> {
         std::mem::take(&mut *lock(&self.messages[from][to]))
     }
 
-    /// Hands broadcasts over to another thread.
+    /// Sends broadcasts to another thread.
     pub(super) fn send_broadcasts(&self, from: usize, to: usize, broadcasts: &[M::Broadcast]) {
         lock(&self.broadcasts[from][to]).extend(broadcasts.iter().cloned());
     }
 
-    /// The broadcasts that one thread has handed over to another.
+    /// Removes and returns the broadcasts that one thread has sent to another.
     pub(super) fn take_broadcasts(&self, from: usize, to: usize) -> Vec<M::Broadcast> {
         std::mem::take(&mut *lock(&self.broadcasts[from][to]))
     }
@@ -69,7 +69,7 @@
         self.open_requests[thread].store(counters.open_requests, Ordering::Release);
     }
 
-    /// When the next event of any thread is due.
+    /// The due time of the earliest event of all threads.
     pub(super) fn next_due(&self) -> Nanos {
         self.next_due.iter().map(|due| due.load(Ordering::Acquire)).min().unwrap_or(Nanos::MAX)
     }
@@ -91,7 +91,7 @@
     counters.iter().map(|counter| counter.load(Ordering::Acquire)).sum()
 }
 
-/// A thread that panicked while it held the lock has ended the run already.
+/// Locks a mutex. Poisoning is ignored: a thread that panicked with the lock has already ended the run.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/lab/src/engine/mod.rs
+++ b/crates/lab/src/engine/mod.rs
@@ -1,13 +1,13 @@
-//! A discrete-event engine that gives the same result on any number of threads.
+//! A discrete-event simulation engine whose results do not depend on the number of threads.
 //!
-//! A model is a set of nodes that interact by messages alone. A message to another node takes at least the
-//! model's *lookahead*; so every thread can play all events within one lookahead of the earliest for its own
-//! nodes, without waiting for the other threads (conservative windows: Lubachevsky 1989, after Chandy and
-//! Misra 1979). Events have a total order that depends neither on threads nor on how nodes are spread over
-//! them (see [`queue::EventKey`]), each node sees its own events in that order, and a node's state follows
-//! from them alone: hence the same digest whatever the number of threads.
+//! A model is a set of nodes that interact only by messages. A message to another node takes at least the
+//! model's *lookahead*. Every thread can therefore process all events of its nodes within one lookahead of
+//! the earliest event without waiting for other threads (conservative windows: Lubachevsky 1989, after Chandy
+//! and Misra 1979). Events have a total order that depends neither on the threads nor on the distribution of
+//! nodes over them (see [`queue::EventKey`]). Each node receives its events in that order, and its state
+//! depends only on them: hence the digest is the same for any number of threads.
 //!
-//! The model of the fleet and that of the sidecars run on it. The engine knows nothing of either.
+//! The model of the fleet and that of the sidecars run on the engine, which does not depend on either.
 
 mod barrier;
 mod exchange;
@@ -17,32 +17,33 @@
 use exchange::Exchange;
 use olivecart_decisions::Nanos;
 pub use queue::{Event, EventKey, EventQueue};
-use worker::{PANIC_ELSEWHERE, Worker};
+use worker::{PANIC_IN_OTHER_THREAD, Worker};
 
-/// What the engine runs.
+/// A model that the engine runs.
 pub trait Model: Sync {
-    /// One node; lives in one thread.
+    /// A node; it is owned by one thread.
     type Node;
-    /// What nodes send to each other and to themselves.
+    /// The messages that nodes send to each other and to themselves.
     type Message: Send;
-    /// What a node tells all threads, received at the begin of the next window.
+    /// A broadcast of a node to all threads, received at the start of the next window.
     type Broadcast: Clone + Send;
-    /// What the nodes of a thread share; nothing in it may depend on which nodes these are.
+    /// The state that the nodes of a thread share. Whatever affects nodes must not depend on which nodes the
+    /// thread owns.
     type ThreadState;
-    /// What a thread's part of the run comes to.
+    /// The output of a thread at the end of the run.
     type ThreadOutput: Send;
 
     /// The number of nodes.
     fn node_count(&self) -> u32;
-    /// The least time that a message to another node takes; above 0.
+    /// The minimum delay of a message to another node; above 0.
     fn lookahead(&self) -> Nanos;
-    /// Events at or after this time are not played.
+    /// Events at or after this time are not processed.
     fn end_time(&self) -> Nanos;
-    /// The state of a thread at its start.
+    /// Creates the state of a thread.
     fn thread_state(&self) -> Self::ThreadState;
-    /// Creates a node, which may send its first messages.
+    /// Creates a node, which may already send messages.
     fn create_node(&self, id: u32, state: &mut Self::ThreadState, outbox: &mut Outbox<Self>) -> Self::Node;
-    /// Plays one event.
+    /// Handles one event of a node.
     fn handle(
         &self,
         node: &mut Self::Node,
@@ -51,54 +52,52 @@
         state: &mut Self::ThreadState,
         outbox: &mut Outbox<Self>,
     );
-    /// Receives what was broadcast in the last window.
+    /// Receives a broadcast of the previous window.
     fn receive_broadcast(&self, broadcast: Self::Broadcast, state: &mut Self::ThreadState);
-    /// The number of open requests of a thread; summed over all threads, it is bounded by
+    /// The number of open requests of a thread. The sum over all threads is limited to
     /// [`Model::max_open_requests`].
     fn open_requests(&self, state: &Self::ThreadState) -> u64;
-    /// The limit of open requests.
+    /// The maximum number of open requests.
     fn max_open_requests(&self) -> u64;
-    /// The limit of pending events.
+    /// The maximum number of pending events.
     fn max_pending_events(&self) -> u64;
-    /// Ends a thread's part.
+    /// Creates the output of a thread at the end of the run.
     fn finish(&self, nodes: Vec<(u32, Self::Node)>, state: Self::ThreadState) -> Self::ThreadOutput;
 }
 
 /// Why a run stopped before its end.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// Memory is bounded, and this run would need more.
-    #[error("at {at_ms} ms of the run {pending} events wait, more than model.most_events = {limit}: stopped")]
+    /// Too many events are pending; the limit bounds the memory of a run.
+    #[error("run stopped at {at_ms} ms: {pending} pending events exceed model.most_events = {limit}")]
     TooManyEvents {
-        /// When, in milliseconds.
+        /// The time in the run, in milliseconds.
         at_ms: u64,
-        /// How many events were pending.
+        /// The number of pending events.
         pending: u64,
         /// The limit.
         limit: u64,
     },
     /// Clients have too many requests open.
-    #[error(
-        "at {at_ms} ms of the run {open} requests are open, more than model.most_open = {limit}: stopped"
-    )]
+    #[error("run stopped at {at_ms} ms: {open} open requests of clients exceed model.most_open = {limit}")]
     TooManyOpenRequests {
-        /// When, in milliseconds.
+        /// The time in the run, in milliseconds.
         at_ms: u64,
-        /// How many were open.
+        /// The number of open requests.
         open: u64,
         /// The limit.
         limit: u64,
     },
-    /// A thread ended early.
+    /// The model panicked.
     #[error("the model panicked: {0}")]
     Panic(String),
 }
 
-/// Collects what a node sends.
+/// Collects the messages and broadcasts that a node sends.
 pub struct Outbox<M: Model + ?Sized> {
     now: Nanos,
     node: u32,
-    /// How many events the node has sent before.
+    /// The number of events that the node has sent before.
     sequence: u32,
     lookahead: Nanos,
     events: Vec<Event<M::Message>>,
@@ -110,25 +109,28 @@
         Outbox { now: 0, node: 0, sequence: 0, lookahead, events: Vec::new(), broadcasts: Vec::new() }
     }
 
-    /// Sends a message to another node, to arrive at a time no earlier than the lookahead from now.
+    /// Sends a message to another node; `at` must be at least one lookahead from now.
     ///
-    /// Danger: one that arrives earlier could be late for its node's thread. It is delayed to the earliest
-    /// time that is safe, and asserted in debug builds.
+    /// The thread of the receiver may already have processed events up to the lookahead. A message with an
+    /// earlier time is therefore delayed to one lookahead from now, and panics in debug builds.
     pub fn send(&mut self, receiver: u32, at: Nanos, message: M::Message) {
         let is_own = receiver == self.node;
-        debug_assert!(is_own || at >= self.now + self.lookahead, "a message outruns the lookahead");
+        debug_assert!(
+            is_own || at >= self.now + self.lookahead,
+            "a message arrives before the lookahead has passed"
+        );
         let earliest = if is_own { self.now } else { self.now + self.lookahead };
         let key = EventKey { at: at.max(earliest), sender: self.node, sequence: self.sequence };
         self.sequence += 1;
         self.events.push(Event { key, receiver, message });
     }
 
-    /// Schedules a message of the node to itself, at any time from now.
+    /// Schedules a message of the node to itself, now or at any later time.
     pub fn schedule(&mut self, at: Nanos, message: M::Message) {
         self.send(self.node, at, message);
     }
 
-    /// Tells all threads something at the begin of the next window.
+    /// Sends a broadcast to all threads, which receive it at the start of the next window.
     pub fn broadcast(&mut self, broadcast: M::Broadcast) {
         self.broadcasts.push(broadcast);
     }
@@ -136,23 +138,23 @@
 
 /// The counters that a thread publishes before each window.
 struct ThreadCounters {
-    /// When its next event is due.
+    /// The time at which its next event is due.
     next_due: Nanos,
     pending_events: u64,
     open_requests: u64,
 }
 
-/// What a run came to.
+/// The outcome of a run.
 pub struct RunOutcome<T> {
-    /// By thread.
+    /// The output of each thread.
     pub outputs: Vec<T>,
-    /// Events played.
+    /// The number of events processed.
     pub events: u64,
-    /// Windows that the run was cut into.
+    /// The number of windows processed.
     pub windows: u64,
 }
 
-/// Runs a model to its end on this number of threads, at least one.
+/// Runs a model to its end on this number of threads, but at least on one.
 pub fn run<M: Model>(model: &M, threads: usize) -> Result<RunOutcome<M::ThreadOutput>, EngineError> {
     let threads = threads.clamp(1, model.node_count().max(1) as usize);
     let exchange = Exchange::new(threads);
@@ -173,12 +175,13 @@
                 outcome.events += worker.events;
                 outcome.windows = worker.windows;
             }
-            // The thread that panicked reports the cause; the others only that one did.
-            Ok(Err(EngineError::Panic(message))) if message == PANIC_ELSEWHERE => {
+            // The thread that panicked reports the cause; the others only report that another thread
+            // panicked.
+            Ok(Err(EngineError::Panic(message))) if message == PANIC_IN_OTHER_THREAD => {
                 failure = failure.or(Some(EngineError::Panic(message)));
             }
             Ok(Err(error)) => failure = Some(error),
-            Err(_) => failure = failure.or(Some(EngineError::Panic("a thread ended".into()))),
+            Err(_) => failure = failure.or(Some(EngineError::Panic("a worker thread panicked".into()))),
         }
     }
     match failure {
--- a/crates/lab/src/engine/queue/mod.rs
+++ b/crates/lab/src/engine/queue/mod.rs
@@ -1,36 +1,37 @@
-//! Pending events in a total order that depends on neither hash tables nor the number of threads.
+//! The queue of pending events. Their total order depends neither on hash tables nor on the number of
+//! threads.
 
 use olivecart_decisions::Nanos;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// The position of an event in the order: by time, then by sender, then in the order in which the sender sent
-/// them. No two events have the same key.
+/// The sort key of an event: its time, then its sender, then the order in which the sender sent its events.
+/// No two events have the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventKey {
-    /// When the event is due.
+    /// The time at which the event is due.
     pub at: Nanos,
     /// The node that sent it.
     pub sender: u32,
-    /// How many events that node had sent before.
+    /// The number of events that the sender had sent before.
     pub sequence: u32,
 }
 
-/// An event on its way to a node.
+/// An event for a node.
 #[derive(Debug)]
 pub struct Event<M> {
-    /// Its position in the order.
+    /// The sort key of the event.
     pub key: EventKey,
     /// The node that receives it.
     pub receiver: u32,
-    /// What happens.
+    /// The message that the node handles.
     pub message: M,
 }
 
-/// Buckets of the near future.
+/// The number of buckets in a group.
 const NEAR_BUCKETS: u64 = 1024;
 
-/// Orders events so that the greatest element of a heap is the earliest.
+/// Reverses the order of events, so that the greatest element of a heap is the earliest event.
 struct EarliestFirst<M>(Event<M>);
 
 impl<M> PartialEq for EarliestFirst<M> {
@@ -53,28 +54,28 @@
     }
 }
 
-/// Pending events in order: a timing wheel of two levels (Varghese and Lauck 1987) whose buckets are sorted
-/// when their time has come. A heap over all pending events costs a cache miss for each of its levels, and
-/// most pending events are timers of seconds.
+/// A queue of pending events: a timing wheel of two levels (Varghese and Lauck 1987) whose buckets are sorted
+/// when they become current. A heap over all pending events would cost a cache miss for each of its levels,
+/// and most pending events are timers that are due seconds later.
 pub struct EventQueue<M> {
-    /// Width of a bucket; messages between nodes take at least as long, so that hardly anything is added to
+    /// The width of a bucket. Messages between nodes take at least this long, so that few events are added to
     /// the current bucket.
     bucket_width: Nanos,
     /// The current bucket, the earliest event last.
     current: Vec<Event<M>>,
-    /// Events added since for the time of the current bucket or before.
+    /// Events for the current bucket or earlier that were added after the bucket was sorted.
     late_arrivals: BinaryHeap<EarliestFirst<M>>,
     /// The number of the current bucket.
     current_bucket: u64,
-    /// The near future: the buckets of one group, by their number within it.
+    /// The buckets of the current group, by their number within the group.
     near: Vec<Vec<Event<M>>>,
-    /// The far future, by group.
+    /// The events of later groups, by group.
     far: BTreeMap<u64, Vec<Event<M>>>,
     len: usize,
 }
 
 impl<M> EventQueue<M> {
-    /// An empty queue; the width of its buckets affects speed alone.
+    /// Creates an empty queue. The width of its buckets affects only its speed.
     pub fn new(bucket_width: Nanos) -> EventQueue<M> {
         EventQueue {
             bucket_width: bucket_width.max(1),
@@ -97,7 +98,7 @@
         self.len == 0
     }
 
-    /// When the next event is due.
+    /// Returns the time at which the next event is due.
     pub fn next_due(&mut self) -> Option<Nanos> {
         self.next_key().map(|key| key.at)
     }
--- a/crates/lab/src/engine/queue/tests.rs
+++ b/crates/lab/src/engine/queue/tests.rs
@@ -1,4 +1,4 @@
-//! The order of events, against a plain sorted set.
+//! Tests of the order of events, which is compared with that of a sorted set.
 
 use super::*;
 
@@ -16,10 +16,10 @@
     let order: Vec<_> = std::iter::from_fn(|| queue.pop_before(6)).map(|event| event.key).collect();
     let order: Vec<_> = order.iter().map(|key| (key.at, key.sender, key.sequence)).collect();
     assert_eq!(order, [(4, 9, 9), (5, 0, 3), (5, 0, 7), (5, 1, 0)]);
-    assert_eq!(queue.next_due(), Some(6), "what is due later stays");
+    assert_eq!(queue.next_due(), Some(6), "later events stay in the queue");
 }
 
-/// Against a plain sorted set, with times sender the same instant to many groups of buckets ahead.
+/// Compares the queue with a sorted set, for events due between now and many groups of buckets ahead.
 #[test]
 fn event_queue_agrees_with_a_sorted_set() {
     for width in [1, 7, 1000] {
--- a/crates/lab/src/engine/tests.rs
+++ b/crates/lab/src/engine/tests.rs
@@ -1,8 +1,8 @@
-//! The engine on a random model, on one that outgrows its limits, and on one that panics.
+//! Tests of the engine with a random model, with one that exceeds its limits, and with one that panics.
 
 use super::*;
 
-/// Nodes that hand tokens on at random (PHOLD), and note what they saw.
+/// The PHOLD benchmark model: nodes forward tokens at random and hash what they receive.
 struct Phold {
     nodes: u32,
     max_pending_events: u64,
@@ -37,16 +37,16 @@
         outbox.schedule(u64::from(id) % 7, u64::from(id));
         Node { state: u64::from(id) + 1, seen: 0 }
     }
-    fn handle(&self, node: &mut Node, now: Nanos, token: u64, heard: &mut u64, outbox: &mut Outbox<Self>) {
-        assert_ne!(token, u64::MAX, "a token that must not be");
+    fn handle(&self, node: &mut Node, now: Nanos, token: u64, received: &mut u64, outbox: &mut Outbox<Self>) {
+        assert_ne!(token, u64::MAX, "invalid token");
         let mix = |a: u64, b: u64| (a ^ b).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29);
         node.state = mix(node.state, token ^ now);
-        node.seen = mix(node.seen, node.state ^ *heard);
+        node.seen = mix(node.seen, node.state ^ *received);
         if node.state.is_multiple_of(50) {
             outbox.broadcast(1);
         }
         if node.state.is_multiple_of(3) {
-            outbox.schedule(now + node.state % 5, node.state >> 1); // often at once
+            outbox.schedule(now + node.state % 5, node.state >> 1); // often due at the same time
         } else {
             outbox.send(
                 (node.state >> 20) as u32 % self.nodes,
@@ -58,8 +58,8 @@
             outbox.schedule(now + 50, token);
         }
     }
-    fn receive_broadcast(&self, broadcast: u64, heard: &mut u64) {
-        *heard += broadcast;
+    fn receive_broadcast(&self, broadcast: u64, received: &mut u64) {
+        *received += broadcast;
     }
     fn open_requests(&self, _: &u64) -> u64 {
         0
@@ -70,13 +70,13 @@
     fn max_pending_events(&self) -> u64 {
         self.max_pending_events
     }
-    fn finish(&self, nodes: Vec<(u32, Node)>, heard: u64) -> Self::ThreadOutput {
-        nodes.into_iter().map(|(id, node)| (id, node.seen, heard)).collect()
+    fn finish(&self, nodes: Vec<(u32, Node)>, received: u64) -> Self::ThreadOutput {
+        nodes.into_iter().map(|(id, node)| (id, node.seen, received)).collect()
     }
 }
 
 fn seen(threads: usize) -> (Vec<(u32, u64, u64)>, u64, u64) {
-    let outcome = run(&Phold { nodes: 37, max_pending_events: 10_000, split: 0 }, threads).expect("it ends");
+    let outcome = run(&Phold { nodes: 37, max_pending_events: 10_000, split: 0 }, threads).expect("no error");
     let mut all: Vec<_> = outcome.outputs.into_iter().flatten().collect();
     all.sort_unstable();
     (all, outcome.events, outcome.windows)
--- a/crates/lab/src/engine/worker.rs
+++ b/crates/lab/src/engine/worker.rs
@@ -1,4 +1,4 @@
-//! One thread's part of a run: its nodes, their queue of events, and the windows that it plays.
+//! A worker thread of a run: its nodes, their event queue, and the windows that it processes.
 
 use super::exchange::Exchange;
 use super::queue::{Event, EventQueue};
@@ -8,33 +8,34 @@
 use std::ops::ControlFlow;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// One thread's part of a run. It owns every node whose id modulo the number of threads is its own number.
+/// A worker thread. It owns every node whose id modulo the number of threads is the worker's number.
 pub(super) struct Worker<'a, M: Model> {
     model: &'a M,
     exchange: &'a Exchange<M>,
     thread: usize,
     threads: usize,
     nodes: Vec<M::Node>,
-    /// By node: how many events it has sent.
+    /// The number of events that each node has sent.
     sent_events: Vec<u32>,
     state: M::ThreadState,
     queue: EventQueue<M::Message>,
     outbox: Outbox<M>,
-    /// By thread: events for its nodes that have not been handed over yet.
+    /// The events for nodes of other threads that have not been sent yet, by thread.
     outgoing: Vec<Vec<Event<M::Message>>>,
     events: u64,
     windows: u64,
 }
 
-/// What is left of a worker when the run is over.
+/// The result of a worker at the end of the run.
 pub(super) struct WorkerOutcome<M: Model> {
     pub(super) output: M::ThreadOutput,
     pub(super) events: u64,
     pub(super) windows: u64,
 }
 
-/// Another thread broke the barrier; it reports the cause.
-pub(super) const PANIC_ELSEWHERE: &str = "";
+/// The message of the error that a worker returns because another thread broke the barrier and reports the
+/// cause.
+pub(super) const PANIC_IN_OTHER_THREAD: &str = "";
 
 impl<'a, M: Model> Worker<'a, M> {
     pub(super) fn new(model: &'a M, exchange: &'a Exchange<M>, thread: usize, threads: usize) -> Self {
@@ -55,10 +56,10 @@
         }
     }
 
-    /// Plays the run to its end.
+    /// Processes all events until the end of the run.
     pub(super) fn run(mut self) -> Result<WorkerOutcome<M>, EngineError> {
         self.catch_panic(|worker| worker.create_nodes())?;
-        while self.catch_panic(|worker| worker.play_window())??.is_continue() {}
+        while self.catch_panic(|worker| worker.process_window())??.is_continue() {}
         let thread = self.thread;
         let threads = self.threads;
         let ids = (0..).map(|index: u32| (thread + index as usize * threads) as u32);
@@ -66,7 +67,8 @@
         Ok(WorkerOutcome { output, events: self.events, windows: self.windows })
     }
 
-    /// Runs a step. Danger: a thread that panics would leave the others waiting at the barrier for good.
+    /// Runs a step and breaks the barrier if it panics. Otherwise the other threads would wait at the barrier
+    /// forever.
     fn catch_panic<T>(&mut self, step: impl FnOnce(&mut Self) -> T) -> Result<T, EngineError> {
         catch_unwind(AssertUnwindSafe(|| step(self))).map_err(|panic| {
             self.exchange.barrier.break_barrier();
@@ -82,12 +84,12 @@
             self.sent_events.push(self.outbox.sequence);
             self.route_events();
         }
-        self.hand_over();
+        self.send_outgoing();
     }
 
-    /// Plays one window; breaks once the run is over.
-    fn play_window(&mut self) -> Result<ControlFlow<()>, EngineError> {
-        // After this, all threads have handed over what they sent.
+    /// Processes the events of one window. Returns `Break` at the end of the run.
+    fn process_window(&mut self) -> Result<ControlFlow<()>, EngineError> {
+        // After this, all threads have sent their events to the other threads.
         self.wait_for_others()?;
         self.receive();
         self.exchange.publish(
@@ -98,7 +100,7 @@
                 open_requests: self.model.open_requests(&self.state),
             },
         );
-        // After this, all threads know when the next event of any of them is due.
+        // After this, all threads know the due time of the earliest event.
         self.wait_for_others()?;
         let begin = self.exchange.next_due();
         if begin >= self.model.end_time() {
@@ -108,17 +110,21 @@
         self.windows += 1;
         let end = begin.saturating_add(self.outbox.lookahead).min(self.model.end_time());
         while let Some(event) = self.queue.pop_before(end) {
-            self.play_event(event);
+            self.process_event(event);
         }
-        self.hand_over();
+        self.send_outgoing();
         Ok(ControlFlow::Continue(()))
     }
 
     fn wait_for_others(&self) -> Result<(), EngineError> {
-        if self.exchange.barrier.wait() { Ok(()) } else { Err(EngineError::Panic(PANIC_ELSEWHERE.into())) }
+        if self.exchange.barrier.wait() {
+            Ok(())
+        } else {
+            Err(EngineError::Panic(PANIC_IN_OTHER_THREAD.into()))
+        }
     }
 
-    /// Takes what the other threads handed over.
+    /// Receives the events and broadcasts of all threads.
     fn receive(&mut self) {
         for sender in 0..self.threads {
             for event in self.exchange.take_events(sender, self.thread) {
@@ -145,7 +151,7 @@
         Ok(())
     }
 
-    fn play_event(&mut self, event: Event<M::Message>) {
+    fn process_event(&mut self, event: Event<M::Message>) {
         let index = event.receiver as usize / self.threads;
         self.outbox.now = event.key.at;
         self.outbox.node = event.receiver;
@@ -157,7 +163,8 @@
         self.route_events();
     }
 
-    /// Events for nodes of this thread go straight to its queue: they may be due within this window.
+    /// Routes events to their threads. Those for nodes of this thread go directly to its queue, as they may
+    /// be due within this window.
     fn route_events(&mut self) {
         for event in self.outbox.events.drain(..) {
             let thread = event.receiver as usize % self.threads;
@@ -169,8 +176,8 @@
         }
     }
 
-    /// Hands events for other threads' nodes over to them, and broadcasts to all threads.
-    fn hand_over(&mut self) {
+    /// Sends events to the threads that own the receiving nodes, and broadcasts to all threads.
+    fn send_outgoing(&mut self) {
         for (receiver, events) in self.outgoing.iter_mut().enumerate() {
             if !events.is_empty() {
                 self.exchange.send_events(self.thread, receiver, events);
@@ -188,5 +195,5 @@
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let formatted = panic.downcast_ref::<String>().map(String::as_str);
     let literal = panic.downcast_ref::<&str>().copied();
-    formatted.or(literal).unwrap_or("of unknown cause")
+    formatted.or(literal).unwrap_or("unknown cause")
 }
