--- a/crates/lab/src/policy/broken/sabotage.rs
+++ b/crates/lab/src/policy/broken/bug_injection.rs
@@ -1,6 +1,6 @@
-//! The actions of the decisions on their way out, changed by the bug of a broken policy.
+//! Changes the actions of the decision module according to the bug of a broken policy.
 
-use super::{Broken, Bug, LATE_BY, RedirectedAttempt};
+use super::{Broken, Bug, LATE_RESPONSE_DELAY, RedirectedAttempt};
 use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::{
     Action, AttemptEnd, ClassId, DeduplicationScope, EndpointId, Event, Idempotency, Nanos, Outcome,
@@ -9,7 +9,7 @@
 use rand::Rng;
 
 impl Broken {
-    /// Passes an action of the decisions on, changed by the bug.
+    /// Forwards an action of the decision module, changed by the bug.
     pub(super) fn forward(&mut self, action: Action, out: &mut Vec<Action>) {
         let id = match &action {
             Action::StartAttempt { request, .. }
@@ -26,40 +26,41 @@
         }
     }
 
-    /// The decisions start an attempt; most bugs act here.
+    /// Handles an attempt that the decision module starts; most bugs take effect here.
     fn send(&mut self, id: RequestId, endpoint: EndpointId, timeout: Nanos, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let is_first = request.attempts_started == 0;
         let deadline = request.deadline;
-        let redirected_to = self.redirected_to(request.class, is_first, request.executed_at);
-        if is_first && matches!(self.bug, Bug::LosesOne | Bug::AnswersLate) && self.takes_opportunity() {
-            return self.lose(id, endpoint, deadline, out);
+        let redirect_target = self.redirect_target(request.class, is_first, request.executed_at);
+        if is_first && matches!(self.bug, Bug::LosesOne | Bug::AnswersLate) && self.takes_effect() {
+            return self.drop_attempt(id, endpoint, deadline, out);
         }
-        if self.bug == Bug::AnswersTwice && is_first && self.takes_opportunity() {
+        if self.bug == Bug::AnswersTwice && is_first && self.takes_effect() {
             out.push(Action::Shed { request: id, retry_after: 0 });
             self.update_request(id, |request| request.owes_response = true);
         }
-        let number = self.start_attempt(id, redirected_to.unwrap_or(endpoint), timeout, out);
-        if redirected_to.is_some() {
+        let number = self.start_attempt(id, redirect_target.unwrap_or(endpoint), timeout, out);
+        if redirect_target.is_some() {
             let redirected = RedirectedAttempt { number, believed_endpoint: endpoint };
             self.update_request(id, |request| request.redirected_attempts.push(redirected));
         }
-        if self.bug == Bug::SendsTwice && self.takes_opportunity() {
+        if self.bug == Bug::SendsTwice && self.takes_effect() {
             self.send_duplicate(id, endpoint, out);
         }
     }
 
-    /// The endpoint that the bug sends an attempt to, in place of the one that the decisions chose.
-    fn redirected_to(
+    /// The endpoint to which the bug redirects an attempt, instead of the endpoint that the decision module
+    /// chose.
+    fn redirect_target(
         &mut self,
         class: ClassId,
         is_first: bool,
         executed_at: Option<EndpointId>,
     ) -> Option<EndpointId> {
         match self.bug {
-            Bug::SendsToDraining if is_first && !self.is_confined(class) => self.long_withdrawn(),
-            Bug::FloodsCold if is_first && !self.is_confined(class) => self.cold(),
-            Bug::ResendsKeyed => executed_at.and_then(|member| self.outside_of_group(class, member)),
+            Bug::SendsToDraining if is_first && !self.is_confined(class) => self.endpoint_past_drain_grace(),
+            Bug::FloodsCold if is_first && !self.is_confined(class) => self.latest_cold_endpoint(),
+            Bug::ResendsKeyed => executed_at.and_then(|member| self.endpoint_outside_group(class, member)),
             _ => None,
         }
     }
@@ -71,10 +72,13 @@
         }
     }
 
-    /// An attempt that the decisions start is not sent, and they are told that the request has ended.
-    fn lose(&mut self, id: RequestId, endpoint: EndpointId, deadline: Nanos, out: &mut Vec<Action>) {
+    /// Drops an attempt that the decision module starts, and notifies it that the request has ended.
+    fn drop_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadline: Nanos, out: &mut Vec<Action>) {
         if self.bug == Bug::AnswersLate {
-            out.push(Action::SetTimer { at: deadline.saturating_add(LATE_BY), timer: Timer::Request(id) });
+            out.push(Action::SetTimer {
+                at: deadline.saturating_add(LATE_RESPONSE_DELAY),
+                timer: Timer::Request(id),
+            });
             self.update_request(id, |request| request.owes_response = true);
         } else {
             self.requests.remove(&id);
@@ -106,22 +110,23 @@
         number
     }
 
-    /// Starts an attempt that the decisions do not know of.
+    /// Starts an attempt that the decision module does not know of.
     fn start_hidden_attempt(&mut self, id: RequestId, endpoint: EndpointId, out: &mut Vec<Action>) {
         let number = self.start_attempt(id, endpoint, 0, out);
         self.update_request(id, |request| request.hidden_attempts.push(number));
     }
 
-    /// The cancellation of an attempt, with its real number in place of the one that the decisions gave it.
+    /// The cancellation of an attempt, with its real number instead of the number that the decision module
+    /// uses.
     fn cancel(&self, request: RequestId, believed_number: u32) -> Action {
         let hidden = self.hidden_attempts(request);
         let number = (0..).filter(|number| !hidden.contains(number)).nth(believed_number as usize);
         Action::CancelAttempt { request, attempt: number.unwrap_or(believed_number) }
     }
 
-    /// The decisions give a request's final response.
+    /// Handles the final response that the decision module gives to a request.
     fn respond(&mut self, id: RequestId, response: Action, out: &mut Vec<Action>) {
-        if self.bug == Bug::LosesOne && self.takes_opportunity() {
+        if self.bug == Bug::LosesOne && self.takes_effect() {
             self.requests.remove(&id);
             return;
         }
@@ -135,7 +140,7 @@
         out.push(response);
     }
 
-    /// Where a request is sent once more although the decisions have finished it.
+    /// The endpoint to which the bug sends a request again although the decision module has ended it.
     fn resend_target(
         &mut self,
         class: ClassId,
@@ -145,12 +150,12 @@
         if self.bug != Bug::ResendsKeyed || self.now >= deadline {
             return None;
         }
-        self.outside_of_group(class, executed_at?)
+        self.endpoint_outside_group(class, executed_at?)
     }
 
-    // ---- endpoints at which harm is done ----
+    // ---- endpoints that the bugs use ----
 
-    /// A random one of the ready endpoints that match.
+    /// Draws one of the ready endpoints that match.
     fn random_ready(&mut self, matches: impl Fn(&EndpointPool, EndpointId) -> bool) -> Option<EndpointId> {
         let ready = self.pool.ready().iter().copied();
         let matching: Vec<_> = ready.filter(|id| matches(&self.pool, *id)).collect();
@@ -160,8 +165,8 @@
         Some(matching[self.rng.random_range(0..matching.len())])
     }
 
-    /// Whether a retry has to stay in the cell or zone of the first attempt: the decisions must then know
-    /// where that really went.
+    /// Whether retries of a class have to stay in the cell or zone of the first attempt. Its first attempts
+    /// must not be redirected, as the decision module would not know where they went.
     fn is_confined(&self, class: ClassId) -> bool {
         self.confining_scope(class).is_some()
     }
@@ -174,17 +179,17 @@
         }
     }
 
-    /// An endpoint that was withdrawn more than twice the grace period ago.
-    fn long_withdrawn(&mut self) -> Option<EndpointId> {
+    /// An endpoint that ceased to be ready more than twice the grace period ago, if the bug takes effect.
+    fn endpoint_past_drain_grace(&mut self) -> Option<EndpointId> {
         let long = 2 * self.settings.rules.drain_grace;
         let now = self.now;
-        let mut withdrawn = self.withdrawn_at.iter();
-        let found = withdrawn.find(|(_, since)| **since + long < now).map(|(id, _)| *id);
-        found.filter(|_| self.takes_opportunity())
+        let mut not_ready = self.not_ready_since.iter();
+        let found = not_ready.find(|(_, since)| **since + long < now).map(|(id, _)| *id);
+        found.filter(|_| self.takes_effect())
     }
 
-    /// The endpoint that started last, while it is in slow start.
-    fn cold(&self) -> Option<EndpointId> {
+    /// The endpoint that started last, if it is still in slow start.
+    fn latest_cold_endpoint(&self) -> Option<EndpointId> {
         let rules = &self.settings.rules;
         let (started_at, id) = self.latest_start?;
         let flood_window = rules.slow_start_window.min(4 * rules.overload_window);
@@ -192,8 +197,8 @@
         (is_cold && self.pool.is_ready(id)).then_some(id)
     }
 
-    /// An endpoint outside of the cell or zone that a keyed request is confined to.
-    fn outside_of_group(&mut self, class: ClassId, member: EndpointId) -> Option<EndpointId> {
+    /// Draws an endpoint outside of the cell or zone to which a keyed request is confined.
+    fn endpoint_outside_group(&mut self, class: ClassId, member: EndpointId) -> Option<EndpointId> {
         let scope = self.confining_scope(class)?;
         let within_group = PickRequest {
             now: self.now,
--- a/crates/lab/src/policy/broken/mod.rs
+++ b/crates/lab/src/policy/broken/mod.rs
@@ -1,27 +1,26 @@
-//! The decisions with a seeded bug: now and then each breaks one rule, and a monitor has to catch it. If a
-//! monitor stays silent on one of these, its silence about the other policies proves nothing.
+//! The decision module with a seeded bug: each policy occasionally breaks one rule, which a monitor has to
+//! detect. A monitor that misses such a bug proves nothing about the other policies.
 //!
-//! - `broken_sends_twice`: a second attempt beside the first, at another endpoint. Breaks the rule of effects
-//!   where the site allows no concurrent attempts.
-//! - `broken_resends_keyed`: a keyed request that may have been executed is sent again outside of its cell or
-//!   zone. Breaks the rule of effects; needs a class confined to a cell or zone, and failures after which the
+//! - `broken_sends_twice`: sends a second, concurrent attempt to another endpoint. Breaks the rule of
+//!   effects, as concurrent attempts are not allowed.
+//! - `broken_resends_keyed`: sends a keyed request that may have been executed again outside of its cell or
+//!   zone. Breaks the rule of effects. Needs a class confined to a cell or zone, and failures after which the
 //!   request may have been executed.
-//! - `broken_sends_to_draining`: a first attempt to an endpoint withdrawn more than twice the grace period
-//!   ago, if its class is not confined to a cell or zone. Breaks the rule of drains; needs endpoints that
-//!   drain or go.
-//! - `broken_floods_cold`: all first attempts of such classes to the endpoint that started last, for four
-//!   overload windows. Breaks the slow-start rule; needs an endpoint that starts, and load.
-//! - `broken_answers_twice`: sheds a request, sends it all the same, and responds again at its end. Breaks
-//!   the rule of responses: nothing is sent for a request that has ended, and it ends once.
-//! - `broken_loses_one`: an attempt is never sent, or a final response never given. Breaks the rule of
-//!   responses.
-//! - `broken_answers_late`: the response comes a second after the client's deadline. Breaks the same.
+//! - `broken_sends_to_draining`: sends a first attempt to an endpoint that ceased to be ready more than twice
+//!   the grace period ago, if its class is not confined to a cell or zone. Breaks the rule of drains. Needs
+//!   endpoints that are draining or removed.
+//! - `broken_floods_cold`: sends all first attempts of such classes to the endpoint that started last, for
+//!   four overload windows. Breaks the slow-start rule. Needs an endpoint that starts, and load.
+//! - `broken_answers_twice`: sheds a request, sends it nevertheless, and responds again at its end. Breaks
+//!   the rule of responses: a request ends only once, and is not sent after its end.
+//! - `broken_loses_one`: drops an attempt or a final response. Breaks the rule of responses.
+//! - `broken_answers_late`: responds one second after the client's deadline. Breaks the rule of responses.
 //!
-//! Everything around the bug stays sound: the decisions are told of their own attempts only, with the numbers
-//! and endpoints that they chose, so that no other rule breaks along with it. This file translates events on
-//! their way to the decisions; [`sabotage`] changes the actions on their way back.
+//! To break no other rule, the decision module is notified only of its own attempts, with the numbers and
+//! endpoints that it chose. This file translates the events for the decision module; [`bug_injection`]
+//! changes its actions.
 
-mod sabotage;
+mod bug_injection;
 
 use super::pick::PolicyRng;
 use super::pool::EndpointPool;
@@ -34,12 +33,12 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// One in so many opportunities to do harm is taken.
-const OPPORTUNITIES_PER_HARM: u32 = 20;
-/// How long after the deadline a late response comes.
-const LATE_BY: Nanos = 1_000_000_000;
+/// The bug takes effect at one in this many opportunities, on average.
+const OPPORTUNITIES_PER_BREACH: u32 = 20;
+/// The delay of a late response after the deadline.
+const LATE_RESPONSE_DELAY: Nanos = 1_000_000_000;
 
-/// Which bug a broken policy has.
+/// The bug of a broken policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Bug {
     SendsTwice,
@@ -51,24 +50,25 @@
     ResendsKeyed,
 }
 
-/// An attempt that was sent to another endpoint than the decisions believe.
+/// An attempt that was sent to another endpoint than the decision module assumes.
 struct RedirectedAttempt {
     number: u32,
     believed_endpoint: EndpointId,
 }
 
-/// What really happened to a request, as opposed to what the decisions believe.
+/// The actual state of a request, which may differ from the state in the decision module.
 struct RequestRecord {
     class: ClassId,
     deadline: Nanos,
     attempts_started: u32,
     attempts_in_flight: u32,
-    /// Numbers of the attempts that the decisions do not know of.
+    /// The numbers of the attempts that the decision module does not know of.
     hidden_attempts: Vec<u32>,
     redirected_attempts: Vec<RedirectedAttempt>,
     /// The endpoint of the first attempt that may have been executed.
     executed_at: Option<EndpointId>,
-    /// The final response is given by this policy, at the end of the attempt in flight or at the timer.
+    /// Whether this policy gives the final response, at the end of the attempt in flight or when the timer
+    /// fires.
     owes_response: bool,
     completed: bool,
 }
@@ -89,10 +89,10 @@
     }
 }
 
-/// The endpoint that started last, and when.
+/// The latest start of an endpoint: its time and the endpoint.
 type LatestStart = (Nanos, EndpointId);
 
-/// The decisions with one bug.
+/// The decision module with one bug.
 pub(super) struct Broken {
     inner: Balancer,
     bug: Bug,
@@ -100,17 +100,17 @@
     rng: PolicyRng,
     now: Nanos,
     pool: EndpointPool,
-    withdrawn_at: BTreeMap<EndpointId, Nanos>,
+    not_ready_since: BTreeMap<EndpointId, Nanos>,
     latest_start: Option<LatestStart>,
     requests: FxHashMap<RequestId, RequestRecord>,
-    /// Events that the decisions are told next.
+    /// The next events for the decision module.
     pending_events: Vec<Event>,
 }
 
 impl Broken {
-    pub(super) fn boxed(bug: Bug, context: PolicyContext) -> Box<dyn Policy> {
+    pub(super) fn new_boxed(bug: Bug, context: PolicyContext) -> Box<dyn Policy> {
         let mut believed_settings = context.settings.clone();
-        // One attempt is kept back for the bug: one past the limit would never be issued.
+        // One attempt is reserved for the bug, as an attempt beyond the limit would not be sent.
         believed_settings.limits.max_attempts = (believed_settings.limits.max_attempts - 1).max(1);
         Box::new(Broken {
             inner: Balancer::new(believed_settings, context.seed, context.now),
@@ -119,16 +119,16 @@
             rng: PolicyRng::seed_from_u64(!context.seed),
             now: context.now,
             pool: EndpointPool::new(false),
-            withdrawn_at: BTreeMap::new(),
+            not_ready_since: BTreeMap::new(),
             latest_start: None,
             requests: FxHashMap::default(),
             pending_events: Vec::new(),
         })
     }
 
-    /// Draws whether an opportunity to do harm is taken.
-    fn takes_opportunity(&mut self) -> bool {
-        self.rng.random_range(0..OPPORTUNITIES_PER_HARM) == 0
+    /// Draws whether the bug takes effect at an opportunity.
+    fn takes_effect(&mut self) -> bool {
+        self.rng.random_range(0..OPPORTUNITIES_PER_BREACH) == 0
     }
 
     fn update_request(&mut self, id: RequestId, update: impl FnOnce(&mut RequestRecord)) {
@@ -147,12 +147,12 @@
         let latest_start = entries.iter().filter_map(start_of_ready).max();
         self.latest_start = latest_start.max(self.latest_start);
         let now = self.now;
-        let withdrawn_at = &mut self.withdrawn_at;
+        let not_ready_since = &mut self.not_ready_since;
         self.pool.apply_update(update, |pool, id, _| {
             if pool.is_ready(id) {
-                withdrawn_at.remove(&id);
+                not_ready_since.remove(&id);
             } else {
-                withdrawn_at.insert(id, now);
+                not_ready_since.insert(id, now);
             }
         });
     }
@@ -166,14 +166,14 @@
         self.requests.get(&id).map_or(&[], |request| &request.hidden_attempts)
     }
 
-    /// The number that the decisions gave to an attempt; `None` if they do not know of it.
+    /// The number of an attempt in the decision module; `None` if the module does not know of the attempt.
     fn believed_number(&self, id: RequestId, attempt: u32) -> Option<u32> {
         let hidden = self.hidden_attempts(id);
         let hidden_before = hidden.iter().filter(|number| **number < attempt).count() as u32;
         (!hidden.contains(&attempt)).then(|| attempt - hidden_before)
     }
 
-    /// The end of an attempt as the decisions are told it, if at all.
+    /// Records the end of an attempt. Returns the event for the decision module, if any.
     fn attempt_ended(&mut self, mut end: AttemptEnd) -> Option<Event> {
         let believed_number = self.believed_number(end.request, end.attempt);
         if let Some(request) = self.requests.get_mut(&end.request) {
@@ -189,13 +189,13 @@
         }
         match believed_number {
             Some(attempt) => Some(Event::AttemptEnded(AttemptEnd { attempt, ..end })),
-            // The response came from an attempt that the decisions do not know of.
+            // The response came from an attempt that the decision module does not know of.
             None if end.request_completed => Some(Event::RequestAborted(end.request)),
             None => None,
         }
     }
 
-    /// Records an event, and returns it as the decisions are told it.
+    /// Records an event. Returns the event for the decision module, if any.
     fn translate(&mut self, event: Event) -> Option<Event> {
         match event {
             Event::AttemptEnded(end) => return self.attempt_ended(end),
@@ -211,13 +211,15 @@
         Some(event)
     }
 
-    /// Gives the final response that this policy owes, after an event of the request.
-    fn settle(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Gives the final response that this policy owes, if an event of the request has made it due.
+    fn give_owed_response(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| request.attempts_in_flight == 0) else {
             return;
         };
         let is_due = match self.bug {
-            Bug::AnswersLate => !request.completed && self.now >= request.deadline.saturating_add(LATE_BY),
+            Bug::AnswersLate => {
+                !request.completed && self.now >= request.deadline.saturating_add(LATE_RESPONSE_DELAY)
+            }
             Bug::AnswersTwice => true,
             _ => !request.completed,
         };
@@ -253,7 +255,7 @@
             }
         }
         if let Some(id) = request {
-            self.settle(id, out);
+            self.give_owed_response(id, out);
         }
     }
 
--- a/crates/lab/src/policy/mod.rs
+++ b/crates/lab/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! Load-balancing policies by name: the project's own decisions, textbook policies to compare them with, and
-//! deliberately broken ones that the monitors have to catch.
+//! Load-balancing policies by name: the project's decision module, textbook policies for comparison, and
+//! deliberately broken policies that the monitors have to detect.
 //!
-//! Owns the [`Policy`] interface and every implementation of it. The model's proxies and the experiments call
-//! it. A policy never does I/O and never reads a clock: time and randomness are passed in.
+//! Owns the [`Policy`] interface and all of its implementations. The model's proxies and the experiments use
+//! them. A policy does no I/O and reads no clock: the time and the random seed are passed in.
 
 mod broken;
 mod named;
@@ -15,62 +15,62 @@
 use olivecart_decisions::{Action, Balancer, EndpointId, EndpointStatus, Event, Nanos, Settings};
 use std::rc::Rc;
 
-/// The decisions of one proxy.
+/// A load-balancing policy, which makes the decisions of one proxy.
 pub trait Policy {
     /// Handles one event at time `now` and appends the resulting actions to `out`.
     fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>);
 
-    /// The health of an endpoint as this proxy sees it; `None` if the policy tracks no health, or if the
-    /// endpoint takes no requests.
+    /// The health of an endpoint according to this proxy; `None` if the policy does not track health, or if
+    /// the endpoint is draining, removed or unknown.
     fn endpoint_health(&self, _endpoint: EndpointId) -> Option<EndpointHealth> {
         None
     }
 }
 
-/// The health of an endpoint as a proxy sees it.
+/// The health of an endpoint according to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointHealth {
-    /// It gets requests.
+    /// It receives requests.
     Healthy,
     /// A health check failed.
     Unhealthy,
-    /// It was ejected because of failed or slow calls.
+    /// It was ejected because of failed or slow attempts.
     Ejected,
 }
 
 /// The true state of an endpoint, for a policy that is allowed to see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrueState {
-    /// It runs, can be reached, and answers the requests that it accepts.
+    /// Whether it is running and reachable, and responds to the requests that it accepts.
     pub is_serving: bool,
-    /// Queued work divided by cores and present speed: about how long a new request waits.
+    /// The queued work divided by the capacity: the approximate waiting time of a new request.
     pub queue_delay: Nanos,
-    /// Cores times present speed.
+    /// The number of cores times their current speed.
     pub capacity: f64,
-    /// Present speed of one core; 0 if unknown, in which case the capacity stands in for it.
+    /// The current speed of one core; 0 if unknown, in which case the capacity is used instead.
     pub core_speed: f64,
 }
 
-/// Gives the true state of all endpoints, as of a moment ago.
+/// Provides the recent true state of all endpoints.
 pub trait TrueStateView {
-    /// The state of one endpoint.
+    /// The true state of one endpoint.
     fn true_state(&self, endpoint: EndpointId) -> TrueState;
 
-    /// How old the reported state is.
+    /// The age of the reported state.
     fn age(&self) -> Nanos {
         0
     }
 }
 
-/// What a policy is constructed from.
+/// The inputs from which a policy is constructed.
 pub struct PolicyContext {
     /// The settings of its proxy.
     pub settings: Settings,
-    /// Seeds all of its random numbers.
+    /// The seed of its random numbers.
     pub seed: u64,
     /// The current time.
     pub now: Nanos,
-    /// The true state of the endpoints, for the oracle alone.
+    /// The true state of the endpoints; only the oracle uses it.
     pub true_state: Rc<dyn TrueStateView>,
 }
 
@@ -84,7 +84,7 @@
             EndpointStatus::Unknown | EndpointStatus::DrainingOrRemoved => None,
             EndpointStatus::Unhealthy => Some(EndpointHealth::Unhealthy),
             EndpointStatus::Ejected { .. } => Some(EndpointHealth::Ejected),
-            // Overload and slow start reduce an endpoint's share for a moment; neither takes it out.
+            // Overload and slow start only reduce an endpoint's share for some time.
             EndpointStatus::Overloaded { .. }
             | EndpointStatus::SlowStart { .. }
             | EndpointStatus::Healthy => Some(EndpointHealth::Healthy),
--- a/crates/lab/src/policy/named.rs
+++ b/crates/lab/src/policy/named.rs
@@ -8,15 +8,15 @@
 use olivecart_decisions::Balancer;
 use thiserror::Error;
 
-/// Constructs a policy. A plain function, so that every thread can construct its own.
+/// Constructs a policy. It is a function pointer, so that every thread can construct its own policies.
 pub type PolicyFactory = fn(PolicyContext) -> Box<dyn Policy>;
 
-/// The ordinary policies: the project's own decisions first.
+/// The ordinary policies; the project's decision module comes first.
 pub const NAMES: &[&str] =
     &["olivecart", "random", "round_robin", "least_outstanding", "power_of_two", "ring_hash", "oracle"];
 
-/// The decisions with a bug, for the monitors to catch. Accepted by [`named`], but not meant for
-/// comparisons.
+/// The decision module with a bug, which the monitors have to detect. [`named`] accepts these names, but the
+/// policies are not meant for comparisons.
 pub const BROKEN: &[&str] = &[
     "broken_sends_twice",
     "broken_sends_to_draining",
@@ -27,7 +27,7 @@
     "broken_resends_keyed",
 ];
 
-/// No policy has that name.
+/// No policy has the requested name.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("there is no policy {name:?}; {}", suggestion(name, known.iter().copied()))]
 pub struct UnknownPolicy {
@@ -37,7 +37,7 @@
     pub known: Vec<&'static str>,
 }
 
-/// The factory of the policy with this name.
+/// Returns the factory of the policy with this name.
 ///
 /// # Errors
 /// The name is neither among [`NAMES`] nor among [`BROKEN`].
@@ -65,13 +65,13 @@
 
 fn broken(name: &str) -> Option<PolicyFactory> {
     Some(match name {
-        "broken_sends_twice" => |context| Broken::boxed(Bug::SendsTwice, context),
-        "broken_sends_to_draining" => |context| Broken::boxed(Bug::SendsToDraining, context),
-        "broken_answers_twice" => |context| Broken::boxed(Bug::AnswersTwice, context),
-        "broken_loses_one" => |context| Broken::boxed(Bug::LosesOne, context),
-        "broken_answers_late" => |context| Broken::boxed(Bug::AnswersLate, context),
-        "broken_floods_cold" => |context| Broken::boxed(Bug::FloodsCold, context),
-        "broken_resends_keyed" => |context| Broken::boxed(Bug::ResendsKeyed, context),
+        "broken_sends_twice" => |context| Broken::new_boxed(Bug::SendsTwice, context),
+        "broken_sends_to_draining" => |context| Broken::new_boxed(Bug::SendsToDraining, context),
+        "broken_answers_twice" => |context| Broken::new_boxed(Bug::AnswersTwice, context),
+        "broken_loses_one" => |context| Broken::new_boxed(Bug::LosesOne, context),
+        "broken_answers_late" => |context| Broken::new_boxed(Bug::AnswersLate, context),
+        "broken_floods_cold" => |context| Broken::new_boxed(Bug::FloodsCold, context),
+        "broken_resends_keyed" => |context| Broken::new_boxed(Bug::ResendsKeyed, context),
         _ => return None,
     })
 }
--- a/crates/lab/src/policy/pick/least_outstanding.rs
+++ b/crates/lab/src/policy/pick/least_outstanding.rs
@@ -1,22 +1,22 @@
-//! Least outstanding requests: the endpoint with the fewest of this proxy's own attempts in flight.
+//! Least outstanding requests: picks the endpoint with the fewest attempts of this proxy in flight.
 
 use super::{EndpointPicker, MAX_PROBES, PolicyRng, lowest_score};
 use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 use rand::Rng;
 
-/// The position of an endpoint that is in no bucket.
+/// The position of an endpoint that is not in any bucket.
 const NOT_IN_A_BUCKET: u32 = u32::MAX;
 
-/// Fewest own attempts in flight; ties are broken evenly at random.
+/// Picks the endpoint with the fewest attempts of this proxy in flight. Ties are broken uniformly at random.
 ///
-/// Ready endpoints are kept in buckets by their count, so that a pick and a change of a count take constant
-/// time.
+/// The ready endpoints are grouped into buckets by their number of attempts, so that picking an endpoint and
+/// changing a number take constant time.
 #[derive(Default)]
 pub struct LeastOutstanding {
-    /// By count; unordered within a bucket.
+    /// The buckets by number of attempts; unordered within a bucket.
     buckets: Vec<Vec<EndpointId>>,
-    /// By endpoint: its position within its bucket.
+    /// The position of each endpoint within its bucket.
     positions: Vec<u32>,
     /// All buckets below this one are empty.
     lowest_bucket: usize,
@@ -37,7 +37,7 @@
         self.lowest_bucket = self.lowest_bucket.min(count);
     }
 
-    /// Removes an endpoint from the bucket of `count`; returns whether it was in one.
+    /// Removes an endpoint from the bucket of `count`. Returns whether it was in a bucket.
     fn remove(&mut self, id: EndpointId, count: u32) -> bool {
         let Some(position) = self.positions.get_mut(id.0 as usize) else { return false };
         let position = std::mem::replace(position, NOT_IN_A_BUCKET);
--- a/crates/lab/src/policy/pick/mod.rs
+++ b/crates/lab/src/policy/pick/mod.rs
@@ -1,8 +1,8 @@
-//! How a textbook policy picks an endpoint; everything else about it is the
+//! The algorithms by which textbook policies pick an endpoint. The rest of these policies is the
 //! [policy harness](super::policy_harness).
 //!
-//! Apart from the oracle, no picker knows of sizes, zones, slow start, load reports or failures of other
-//! proxies' attempts: that is what they are here to show.
+//! Apart from the oracle, no picker uses weights, zones, slow start, load reports or failures of other
+//! proxies' attempts: comparisons show the effect of ignoring them.
 
 mod least_outstanding;
 mod oracle;
@@ -22,35 +22,36 @@
 use olivecart_decisions::EndpointId;
 use rand::Rng;
 
-/// The random number generator of a policy: 16 bytes, the same sequence on every machine.
+/// The random number generator of a policy: it has 16 bytes of state and the same sequence on every platform.
 pub type PolicyRng = rand_pcg::Pcg64Mcg;
 
-/// How many endpoints are probed at random before the list is walked.
+/// The number of endpoints that are drawn at random before the whole list is examined.
 const MAX_PROBES: u32 = 16;
 
 /// Picks one of the ready endpoints.
 pub trait EndpointPicker {
-    /// The endpoint that a request is sent to; `None` if there is none for it.
+    /// Picks the endpoint for a request; returns `None` if no endpoint is allowed.
     fn pick(&mut self, pool: &EndpointPool, request: &PickRequest, rng: &mut PolicyRng)
     -> Option<EndpointId>;
 
-    /// An endpoint started taking requests. Its name is the same at all proxies.
+    /// Called when an endpoint has become ready. Its name is the same at all proxies.
     fn endpoint_added(&mut self, _pool: &EndpointPool, _id: EndpointId, _name: &str) {}
 
-    /// An endpoint stopped taking requests.
+    /// Called when an endpoint is no longer ready.
     fn endpoint_removed(&mut self, _pool: &EndpointPool, _id: EndpointId) {}
 
-    /// All changes of one update of the list have been reported.
+    /// Called after all changes of one update of the list.
     fn update_completed(&mut self, _pool: &EndpointPool) {}
 
-    /// An attempt was started; the pool counts it already.
+    /// Called when an attempt was started; the pool already counts it.
     fn attempt_started(&mut self, _pool: &EndpointPool, _id: EndpointId, _request: &PickRequest) {}
 
-    /// An attempt ended; the pool no longer counts it. The endpoint may have been removed meanwhile.
+    /// Called when an attempt has ended; the pool no longer counts it. The endpoint may have been removed in
+    /// the meantime.
     fn attempt_ended(&mut self, _pool: &EndpointPool, _id: EndpointId) {}
 }
 
-/// One of the allowed endpoints, all equally likely.
+/// Draws one of the allowed endpoints, all with the same probability.
 fn random_allowed(pool: &EndpointPool, request: &PickRequest, rng: &mut PolicyRng) -> Option<EndpointId> {
     let ready = pool.ready();
     if !ready.is_empty() && !pool.is_confined_to_cell(request) {
@@ -64,7 +65,7 @@
     lowest_score(pool.candidates(request), |_| 0, rng)
 }
 
-/// The endpoint with the lowest score, ties broken evenly at random (reservoir sampling).
+/// Returns the endpoint with the lowest score. Ties are broken uniformly at random (reservoir sampling).
 fn lowest_score<S: PartialOrd>(
     candidates: impl Iterator<Item = EndpointId>,
     mut score_of: impl FnMut(EndpointId) -> S,
--- a/crates/lab/src/policy/pick/oracle.rs
+++ b/crates/lab/src/policy/pick/oracle.rs
@@ -1,9 +1,9 @@
-//! The oracle: an upper bound for what can be reached. It sees the true state of the servers and sends each
-//! request where it is expected to finish first.
+//! The oracle: an upper bound of achievable performance. It uses the true state of the servers and sends each
+//! request to the server where it is expected to finish first.
 //!
-//! It knows who serves, how much work is queued, and what a cold or slow server can do at present; it knows
-//! neither what other proxies have on the way, nor how long a request really takes. It sheds only what no
-//! server can take, even where all responses will come too late.
+//! It knows which servers are serving, how much work is queued, and the current speed of cold or slow
+//! servers. It knows neither the attempts in transit from other proxies nor the actual work of a request. It
+//! sheds a request only if no server can accept it, even if all responses will be late.
 
 use super::{EndpointPicker, PolicyRng, lowest_score, random_allowed};
 use crate::policy::TrueStateView;
@@ -13,11 +13,11 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// How many endpoints are compared for a request; a longer list is sampled.
+/// The maximum number of endpoints compared for a request; a longer list is sampled.
 const SAMPLE_SIZE: usize = 64;
-/// For so long an attempt of its own may be on the way (connection and network) before the server's state
-/// includes it. Danger: without counting these, all requests of a moment go to one server.
-const TIME_ON_THE_WAY: Nanos = 2_000_000;
+/// The time that an attempt of this proxy may be in transit (connection and network) before the server's
+/// state includes it. Without counting these attempts, all requests of a short period would go to one server.
+const MAX_TRANSIT_TIME: Nanos = 2_000_000;
 
 /// An attempt that the reported true state may not include yet.
 struct UnseenAttempt {
@@ -26,17 +26,17 @@
     work: Nanos,
 }
 
-/// The lowest expected completion time, among all endpoints or a sample of 64.
+/// Picks the endpoint with the lowest expected completion time, among all endpoints or a sample of 64.
 pub struct Oracle {
     true_state: Rc<dyn TrueStateView>,
-    /// Its own attempts that may not be included in the true state yet, oldest first.
+    /// Attempts of this proxy that the true state may not include yet, oldest first.
     unseen_attempts: VecDeque<UnseenAttempt>,
-    /// Their work summed up by endpoint; only looked up, never iterated.
+    /// The sum of their work by endpoint; only looked up, never iterated over.
     unseen_work: FxHashMap<EndpointId, Nanos>,
 }
 
 impl Oracle {
-    /// An oracle that reads `true_state`.
+    /// Creates an oracle that reads `true_state`.
     pub fn new(true_state: Rc<dyn TrueStateView>) -> Oracle {
         Oracle { true_state, unseen_attempts: VecDeque::new(), unseen_work: FxHashMap::default() }
     }
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Expected time until a request that is sent now is finished there; infinite if it never is.
+    /// The expected time until the endpoint finishes a request that is sent now; infinite if it is not
+    /// serving.
     fn completion_time(&self, id: EndpointId, work: Nanos) -> f64 {
         let state = self.true_state.true_state(id);
         if !state.is_serving || state.capacity <= 0.0 {
@@ -97,7 +98,7 @@
 
     fn attempt_started(&mut self, _pool: &EndpointPool, id: EndpointId, request: &PickRequest) {
         let work = request.estimated_work.max(1);
-        let until = request.now + TIME_ON_THE_WAY + self.true_state.age();
+        let until = request.now + MAX_TRANSIT_TIME + self.true_state.age();
         self.unseen_attempts.push_back(UnseenAttempt { until, endpoint: id, work });
         *self.unseen_work.entry(id).or_default() += work;
     }
--- a/crates/lab/src/policy/pick/power_of_two.rs
+++ b/crates/lab/src/policy/pick/power_of_two.rs
@@ -1,4 +1,5 @@
-//! Power of two choices: of two endpoints drawn at random, the one with fewer own attempts in flight.
+//! Power of two choices: of two endpoints drawn at random, picks that with fewer attempts of this proxy in
+//! flight.
 //!
 //! Azar, Broder, Karlin, Upfal, "Balanced Allocations" (SIAM J. Comput. 1999; STOC 1994): the fullest of n
 //! bins then holds about ln ln n balls instead of ln n / ln ln n. Mitzenmacher, "The Power of Two Choices in
@@ -8,7 +9,8 @@
 use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 
-/// The less loaded of two different endpoints drawn at random; of equally loaded ones the first drawn.
+/// Picks the less loaded of two different endpoints drawn at random, or the first drawn if both are equally
+/// loaded.
 #[derive(Default)]
 pub struct PowerOfTwo;
 
--- a/crates/lab/src/policy/pick/random.rs
+++ b/crates/lab/src/policy/pick/random.rs
@@ -1,10 +1,10 @@
-//! Random: each ready endpoint equally likely.
+//! Random: picks each ready endpoint with the same probability.
 
 use super::{EndpointPicker, PolicyRng, random_allowed};
 use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 
-/// Each ready endpoint equally likely, whatever is in flight already.
+/// Picks each ready endpoint with the same probability, regardless of the attempts in flight.
 #[derive(Default)]
 pub struct Random;
 
--- a/crates/lab/src/policy/pick/ring_hash/mod.rs
+++ b/crates/lab/src/policy/pick/ring_hash/mod.rs
@@ -1,30 +1,30 @@
-//! Ring hash: a request goes to the endpoint whose point follows the hash of its key on a ring.
+//! Ring hash: sends a request to the endpoint whose point follows the hash of the request's key on a ring.
 //!
 //! Karger, Lehman, Leighton, Panigrahy, Levine, Lewin, "Consistent Hashing and Random Trees" (STOC 1997):
-//! each endpoint has several points, and one that comes or goes moves only its own keys. Points are derived
-//! from the names, so that all proxies agree. Load plays no part.
+//! each endpoint has several points, and adding or removing an endpoint moves only its own keys. Points are
+//! derived from the names of endpoints, so that all proxies agree. Load is ignored.
 
 use super::{EndpointPicker, PolicyRng, lowest_score};
 use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Points of an endpoint on a short list: the shares of the endpoints differ by about 1/sqrt(128) = 9%.
+/// The maximum number of points per endpoint: the shares of endpoints then differ by about 1/sqrt(128) = 9%.
 const MAX_POINTS_PER_ENDPOINT: usize = 128;
-/// Points of a ring, 8 bytes each: a long list has fewer for each endpoint, 10,000 of them 8 (shares differ
-/// by about a third).
+/// The maximum number of points of a ring, 8 bytes each. Endpoints of a long list have fewer points: with
+/// 10,000 endpoints each has 8, and their shares differ by about a third.
 const MAX_RING_POINTS: usize = 1 << 17;
-/// Points that are passed over before the list is walked.
+/// The maximum number of points that are examined before the whole list is examined.
 const MAX_STEPS: usize = 64;
 
 /// A point of an endpoint on the ring; points sort by position.
 type RingPoint = (u32, EndpointId);
 
-/// The endpoint whose point follows the request's on the ring; if that one is not allowed, the next.
+/// Picks the endpoint whose point follows that of the request on the ring, or the next allowed endpoint.
 pub struct RingHash {
     points: Vec<RingPoint>,
     points_per_endpoint: usize,
-    /// By endpoint: the hash of its name.
+    /// The hash of the name of each endpoint.
     name_hashes: Vec<u64>,
     /// Endpoints added since the ring was last rebuilt.
     added: Vec<EndpointId>,
@@ -44,8 +44,9 @@
     }
 }
 
-/// How many points each of `endpoints` has, if it was `current` up to now. More only once they would fill
-/// half of the ring: a list whose length goes up and down a little must not move half of all keys each time.
+/// Returns the number of points per endpoint, given the current number. The number is doubled only if the
+/// points then fill at most half of the ring; otherwise a list whose length varies slightly would move half
+/// of all keys each time.
 fn points_per_endpoint(endpoints: usize, current: usize) -> usize {
     let mut points = current;
     while points > 1 && points * endpoints > MAX_RING_POINTS {
@@ -80,7 +81,7 @@
                 return Some(*id);
             }
         }
-        // Highest random weight (Thaler, Ravishankar 1998): stable for a key, as long as the others stay.
+        // Highest random weight (Thaler, Ravishankar 1998): stable for a key while the list does not change.
         let inverse_weight = |id: EndpointId| u64::MAX - xxh3_64_with_seed(&id.0.to_le_bytes(), request.hash);
         lowest_score(pool.candidates(request), inverse_weight, rng)
     }
@@ -98,7 +99,8 @@
         self.has_removals = true;
     }
 
-    /// Rebuilds the ring once for all changes of an update: each single insertion would move half the ring.
+    /// Rebuilds the ring once for all changes of an update, as each single insertion would move half of the
+    /// ring.
     fn update_completed(&mut self, pool: &EndpointPool) {
         if self.added.is_empty() && !self.has_removals {
             return;
@@ -117,7 +119,7 @@
         }
         // The sort is stable: it finds the sorted runs and merges them.
         self.points.sort();
-        // An endpoint may have left and joined within one update.
+        // An endpoint may have been removed and added again within one update.
         self.points.dedup();
         self.has_removals = false;
     }
--- a/crates/lab/src/policy/pick/ring_hash/tests.rs
+++ b/crates/lab/src/policy/pick/ring_hash/tests.rs
@@ -1,4 +1,4 @@
-//! The size of the ring.
+//! Tests of the number of points per endpoint.
 
 use super::points_per_endpoint;
 
@@ -17,5 +17,5 @@
         [points_per_endpoint(1000, 64), points_per_endpoint(600, 64), points_per_endpoint(512, 64)],
         [64, 64, 128]
     );
-    assert_eq!(points_per_endpoint(1_000_000, 128), 1, "a longer list has one point for each");
+    assert_eq!(points_per_endpoint(1_000_000, 128), 1, "each endpoint has at least one point");
 }
--- a/crates/lab/src/policy/pick/round_robin.rs
+++ b/crates/lab/src/policy/pick/round_robin.rs
@@ -1,12 +1,12 @@
-//! Round robin: one ready endpoint after another.
+//! Round robin: picks one ready endpoint after another.
 
 use super::{EndpointPicker, MAX_PROBES, PolicyRng, random_allowed};
 use crate::policy::pool::{EndpointPool, PickRequest};
 use olivecart_decisions::EndpointId;
 use rand::Rng;
 
-/// One ready endpoint after another, starting at a random one: proxies that start together must not go in
-/// step.
+/// Picks one ready endpoint after another. Starts at a random endpoint, so that proxies that start at the
+/// same time do not pick the same endpoints.
 #[derive(Default)]
 pub struct RoundRobin {
     next: Option<usize>,
--- a/crates/lab/src/policy/policy_harness.rs
+++ b/crates/lab/src/policy/policy_harness.rs
@@ -1,11 +1,11 @@
-//! The part that all textbook policies share: the endpoint list, the open requests, and the four rules. Which
-//! endpoint a request goes to is left to an [`EndpointPicker`].
+//! The part that all textbook policies share: the endpoint list, the open requests, and the four rules. An
+//! [`EndpointPicker`] chooses the endpoint of each request.
 //!
-//! A request is sent at once, or shed with a retry-after time if no endpoint can take it: nothing is queued,
-//! and no request timer is set. A failed attempt is retried once, at another endpoint, where the rules permit
-//! it. Failures teach it nothing: there are no health checks and no ejection; only the retry of a request
-//! avoids the endpoint that just failed it. Slow start is ignored as well, as textbooks do, so that such a
-//! policy may overload a cold server: that is a finding about the policy, not a fault of this harness.
+//! A request is sent immediately, or shed with a retry-after time if no endpoint is available: no request is
+//! queued, and no request timer is set. A failed attempt is retried once, at another endpoint, if the rules
+//! permit it. The harness has no health checks and no outlier detection; only the retry of a request avoids
+//! the endpoint that failed it. Slow start is ignored as well, as in textbooks, so these policies may
+//! overload a cold server: this is a property of the policies, not a bug of the harness.
 
 use super::pick::{EndpointPicker, PolicyRng};
 use super::pool::{EndpointPool, PickRequest};
@@ -18,20 +18,21 @@
 use rustc_hash::FxHashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Attempts of a request: the first, and one retry.
+/// The maximum number of attempts of a request: the first, and one retry.
 const MAX_ATTEMPTS: u32 = 2;
-/// After this many failures in a row the wait before the next subscription grows no more.
+/// The wait before the next subscription stops growing after this many consecutive failures.
 const MAX_WATCH_BACKOFF_STEPS: u32 = 3;
 
 /// A request that was sent and has no final response yet. Exactly one attempt of it is in flight.
 struct OpenRequest {
     class: ClassId,
-    /// No further attempt may be issued: the response has started, or the attempts are used up.
+    /// Whether no further attempt may be started: the response has started, or the proxy did not send the
+    /// last attempt.
     retries_exhausted: bool,
     attempts: u32,
     /// The endpoint of the attempt in flight.
     endpoint: EndpointId,
-    /// When the attempt in flight was sent.
+    /// The time at which the attempt in flight was sent.
     sent_at: Nanos,
     /// The first attempt that may have been executed.
     first_execution: Option<PossibleExecution>,
@@ -47,13 +48,13 @@
     sent_at: Nanos,
 }
 
-/// What the rules still permit for a request that has no attempt in flight.
+/// The actions that the rules permit for a request that has no attempt in flight.
 struct Permit {
-    /// It may be sent until then.
+    /// The time until which it may be sent.
     send_until: Nanos,
-    /// It may be sent only to the deduplication group of this endpoint.
+    /// The only deduplication group to which it may be sent: that of this endpoint.
     restricted_to: Option<(DeduplicationScope, EndpointId)>,
-    /// It may be shed, which tells the client that a retry is harmless.
+    /// Whether it may be shed, which signals to the client that a retry is harmless.
     may_shed: bool,
 }
 
@@ -62,22 +63,22 @@
     const NOTHING: Permit = Permit { send_until: 0, restricted_to: None, may_shed: false };
 }
 
-/// A textbook policy: the common part around one way to pick an endpoint.
+/// A textbook policy: the common part combined with a picker.
 pub struct PolicyHarness<P> {
     settings: Settings,
     picker: P,
     pool: EndpointPool,
-    /// Only looked up by id: the order of a hash table must not reach results.
+    /// Only looked up by id and never iterated over, as results must not depend on the order of a hash table.
     open_requests: FxHashMap<RequestId, OpenRequest>,
     rng: PolicyRng,
     now: Nanos,
     subscribed: bool,
-    /// Consecutive failures of the watch, up to [`MAX_WATCH_BACKOFF_STEPS`].
+    /// The number of consecutive failures of the watch, at most [`MAX_WATCH_BACKOFF_STEPS`].
     watch_failures: u32,
 }
 
 impl<P: EndpointPicker> PolicyHarness<P> {
-    /// A policy without endpoints.
+    /// Creates a policy without endpoints.
     pub fn new(context: PolicyContext, picker: P) -> PolicyHarness<P> {
         let settings = context.settings;
         let index_cells = settings.classes.iter().any(|class| is_confined_to_cell(&class.idempotency));
@@ -108,7 +109,8 @@
         picker.update_completed(&self.pool);
     }
 
-    /// Discovery is one small service for all proxies: resubscribe spread out, and later after each failure.
+    /// Subscribes again after the watch has failed. All proxies share one small discovery service, so the
+    /// wait is randomized and grows with each failure.
     fn resubscribe(&mut self, out: &mut Vec<Action>) {
         self.watch_failures = (self.watch_failures + 1).min(MAX_WATCH_BACKOFF_STEPS);
         let least_wait = (self.settings.rules.poll_interval / 16) << self.watch_failures;
@@ -123,7 +125,8 @@
         }
     }
 
-    /// The first subscription is spread as well, or all proxies that start together would ask together.
+    /// Schedules the first subscription. It is randomized as well; otherwise proxies that start at the same
+    /// time would subscribe at the same time.
     fn subscribe_at_start(&mut self, out: &mut Vec<Action>) {
         self.subscribed = true;
         let longest_wait = self.settings.rules.poll_interval / 2;
@@ -146,14 +149,14 @@
             first_execution: None,
             deadline: self.now.saturating_add(request.time_left),
             hash: xxh3_64(&key.to_le_bytes()),
-            // Without a hint, what the decisions assume for a class of which they have seen nothing.
+            // Without a hint, this is the estimate of the decision module for a class without observations.
             estimated_work: request.estimated_work.unwrap_or(latency_objective / 4),
         };
         let permit = self.permit(&open);
         self.dispatch(request.id, open, &permit, out);
     }
 
-    /// Sends a request if that is permitted and an endpoint can take it; else gives its final response.
+    /// Sends a request if the rules permit it and an endpoint is available; otherwise ends the request.
     fn dispatch(&mut self, id: RequestId, mut open: OpenRequest, permit: &Permit, out: &mut Vec<Action>) {
         let pick = PickRequest {
             now: self.now,
@@ -207,13 +210,13 @@
         self.dispatch(end.request, open, &permit, out);
     }
 
-    /// The one place that decides what may still be done with a request that has no attempt in flight.
+    /// Determines what the rules permit for a request that has no attempt in flight.
     fn permit(&self, open: &OpenRequest) -> Permit {
         let Some(first) = open.first_execution else { return Permit::UNRESTRICTED };
         match self.settings.classes.get(open.class.0 as usize).map(|class| class.idempotency) {
             Some(Idempotency::Idempotent) => Permit::UNRESTRICTED,
             Some(Idempotency::Keyed { scope, window }) => Permit {
-                // It also has to arrive within the window: an eighth is kept as a margin.
+                // The attempt also has to arrive within the window: an eighth of it is reserved as a margin.
                 send_until: first.sent_at.saturating_add(window - window / 8),
                 restricted_to: Some((scope, first.endpoint)),
                 may_shed: scope == DeduplicationScope::All,
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Sheds a request if it is true that a retry by the client is harmless, else fails it.
+    /// Sheds a request if a retry by the client is harmless; otherwise fails it.
     fn finish(&mut self, request: RequestId, permit: &Permit, out: &mut Vec<Action>) {
         let retry_after = (self.settings.rules.poll_interval / 8).min(self.settings.limits.max_retry_after);
         out.push(if permit.may_shed { Action::Shed { request, retry_after } } else { Action::Fail(request) });
--- a/crates/lab/src/policy/pool.rs
+++ b/crates/lab/src/policy/pool.rs
@@ -1,8 +1,8 @@
-//! The endpoints that a textbook policy knows: which of them take requests, and how many of its own attempts
+//! The endpoints that a textbook policy knows: which of them are ready, and how many attempts of this proxy
 //! each has in flight.
 //!
-//! Costs some 30 bytes per endpoint. Nothing here walks the whole list for a request, except
-//! [`EndpointPool::candidates`] for a request that is restricted to a zone.
+//! An endpoint costs about 30 bytes. No function iterates over the whole list for a request, except
+//! [`EndpointPool::candidates`] for a request that is not confined to a cell.
 
 use olivecart_decisions::{
     CellId, DeduplicationScope, EndpointEntry, EndpointId, EndpointState, EndpointUpdate, Nanos, ZoneId,
@@ -25,18 +25,18 @@
 const UNKNOWN: EndpointSlot =
     EndpointSlot { cell: CellId(0), in_flight: 0, ready_index: NOT_READY, zone: ZoneId(0) };
 
-/// One request for which an endpoint has to be picked.
+/// A request for which an endpoint is to be picked.
 #[derive(Clone, Copy, Debug)]
 pub struct PickRequest {
     /// The current time.
     pub now: Nanos,
-    /// Hash of the request's key, or of the request's id if it has no key.
+    /// The hash of the request's key, or of its id if it has no key.
     pub hash: u64,
-    /// Expected work, as time on a standard core.
+    /// The expected work, as time on a standard core.
     pub estimated_work: Nanos,
-    /// The endpoint of the previous attempt, which is not tried again.
+    /// The endpoint of the previous attempt, which must not be picked again.
     pub excluded: Option<EndpointId>,
-    /// The request may be sent only to the deduplication group of this endpoint.
+    /// The only deduplication group to which the request may be sent: that of this endpoint.
     pub restricted_to: Option<(DeduplicationScope, EndpointId)>,
 }
 
@@ -44,28 +44,28 @@
 pub struct EndpointPool {
     slots: Vec<EndpointSlot>,
     ready: Vec<EndpointId>,
-    /// The ready endpoints by cell; kept only if some request class is confined to its cell.
+    /// The ready endpoints by cell; maintained only if retries of some class are confined to a cell.
     ready_by_cell: Option<BTreeSet<(CellId, EndpointId)>>,
 }
 
 impl EndpointPool {
-    /// An empty pool. `index_cells`: some request class is confined to its cell.
+    /// Creates an empty pool. `index_cells` is set if retries of some class are confined to a cell.
     pub fn new(index_cells: bool) -> EndpointPool {
         let ready_by_cell = index_cells.then(BTreeSet::new);
         EndpointPool { slots: Vec::new(), ready: Vec::new(), ready_by_cell }
     }
 
-    /// The endpoints that take requests, in an arbitrary order; the same events give the same order.
+    /// The ready endpoints, in an arbitrary but deterministic order.
     pub fn ready(&self) -> &[EndpointId] {
         &self.ready
     }
 
-    /// How many attempts of this proxy are in flight at an endpoint.
+    /// The number of attempts of this proxy in flight at an endpoint.
     pub fn in_flight(&self, id: EndpointId) -> u32 {
         self.slot(id).in_flight
     }
 
-    /// Whether an endpoint takes requests.
+    /// Whether an endpoint is ready.
     pub fn is_ready(&self, id: EndpointId) -> bool {
         self.slot(id).ready_index != NOT_READY
     }
@@ -81,13 +81,15 @@
         !is_excluded && is_in_group
     }
 
-    /// Whether only a handful of the ready endpoints can be picked, so that random probing is pointless.
+    /// Whether a request is confined to one cell. A cell has so few of the ready endpoints that random
+    /// probing would rarely find one.
     pub fn is_confined_to_cell(&self, request: &PickRequest) -> bool {
         self.ready_by_cell.is_some() && matches!(request.restricted_to, Some((DeduplicationScope::Cell, _)))
     }
 
-    /// All endpoints that may be picked for a request. Walks one cell if the request is confined to it, else
-    /// the whole list: meant for short lists, and for the rare retry for which random probing found none.
+    /// All endpoints that may be picked for a request. Iterates over one cell if the request is confined to
+    /// it, otherwise over the whole list: use it for short lists, and for retries where random probing found
+    /// no endpoint.
     pub fn candidates(&self, request: &PickRequest) -> impl Iterator<Item = EndpointId> {
         let cell = match (&self.ready_by_cell, request.restricted_to) {
             (Some(by_cell), Some((DeduplicationScope::Cell, member))) => {
@@ -110,14 +112,14 @@
         self.slots.get(id.0 as usize).unwrap_or(&UNKNOWN)
     }
 
-    /// Counts an attempt that starts.
+    /// Counts a started attempt.
     pub(super) fn attempt_started(&mut self, id: EndpointId) {
         if let Some(slot) = self.slots.get_mut(id.0 as usize) {
             slot.in_flight += 1;
         }
     }
 
-    /// Counts an attempt that ended; returns whether one was in flight.
+    /// Counts the end of an attempt. Returns whether any attempt was in flight.
     pub(super) fn attempt_ended(&mut self, id: EndpointId) -> bool {
         let Some(slot) = self.slots.get_mut(id.0 as usize).filter(|slot| slot.in_flight > 0) else {
             return false;
@@ -126,8 +128,8 @@
         true
     }
 
-    /// Applies an update of the list. `on_change` is called for each endpoint that started or stopped taking
-    /// requests, with its entry if the update has one.
+    /// Applies an update of the list. Calls `on_change` for each endpoint that became ready or ceased to be
+    /// ready, with its entry if the update contains one.
     pub(super) fn apply_update(
         &mut self,
         update: EndpointUpdate,
@@ -153,7 +155,7 @@
         }
     }
 
-    /// The ready endpoints that a complete list does not name as ready.
+    /// The ready endpoints that a complete list does not contain as ready.
     fn ready_but_missing_from(&self, entries: &[EndpointEntry]) -> Vec<EndpointId> {
         let mut is_listed = vec![false; self.slots.len()];
         for entry in entries.iter().filter(|entry| entry.state == EndpointState::Ready) {
