--- a/crates/lab/src/fault_injector/mod.rs
+++ b/crates/lab/src/fault_injector/mod.rs
@@ -1,8 +1,9 @@
-//! Injects faults into a file of endpoints: rewrites it through torn, empty, invalid and valid versions, drawn
-//! from a seed.
+//! Injects faults into an endpoint file: overwrites it with torn, empty, invalid and valid versions, in a
+//! sequence determined by a seed.
 //!
-//! Every version that is not valid names only the trap: a caller that sends a request there has accepted such
-//! a version. Tests of the proxy use it; it touches nothing but the one file and its temporary neighbour.
+//! Every invalid version names only the decoy address: a proxy that sends a request there has accepted an
+//! invalid version. Tests of the proxy use the injector. It changes only the endpoint file and a temporary
+//! file next to it.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -12,31 +13,31 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What is done to the file.
+/// A way to change the endpoint file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FileFault {
-    /// A valid version replaces it by a rename.
+    /// A valid version replaces the file by a rename.
     Renamed,
-    /// A valid version is written over it, in two pieces.
+    /// A valid version overwrites the file in place, in two writes.
     InPlace,
-    /// It ends at any byte before its end.
+    /// The file is truncated at a random byte.
     Torn,
-    /// It exists and has no byte.
+    /// The file is empty.
     Empty,
-    /// It names a cluster and no endpoint.
+    /// The file names a cluster without endpoints.
     NoEndpoints,
     /// All weights are 0.
     ZeroWeight,
     /// A name occurs twice.
     Duplicate,
-    /// A directory stands in its place.
+    /// The path is a directory.
     Directory,
-    /// It does not exist.
+    /// The file does not exist.
     Missing,
 }
 
 impl FileFault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [FileFault; 9] = [
         FileFault::Renamed,
         FileFault::InPlace,
@@ -49,7 +50,7 @@
         FileFault::Missing,
     ];
 
-    /// Whether it leaves a valid version.
+    /// Whether the file is a valid version afterwards.
     pub fn is_valid(self) -> bool {
         matches!(self, FileFault::Renamed | FileFault::InPlace)
     }
@@ -58,25 +59,25 @@
 /// One endpoint of an [`EndpointFile`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEndpoint {
-    /// Its name.
+    /// The name of the endpoint.
     pub name: String,
-    /// Its address.
+    /// The address of the endpoint.
     pub address: SocketAddr,
-    /// Its state, in the words of the file.
+    /// The state of the endpoint, as written in the file.
     pub state: &'static str,
 }
 
 /// The content of an endpoint file: the endpoints of one cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointFile {
-    /// The cluster.
+    /// The name of the cluster.
     pub cluster: String,
-    /// Its endpoints.
+    /// The endpoints of the cluster.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl EndpointFile {
-    /// The text of the file, with this weight for each endpoint.
+    /// The content of the file, with this weight for each endpoint.
     pub fn to_toml(&self, weight: u32) -> String {
         let mut text = format!("version = 1\n[[clusters]]\nname = \"{}\"\n", self.cluster);
         for ListedEndpoint { name, address, state } in &self.endpoints {
@@ -91,33 +92,33 @@
     }
 }
 
-/// Injects faults into one file.
+/// Injects faults into one endpoint file.
 pub struct FileFaultInjector {
     path: PathBuf,
     rng: Pcg64,
-    trap: SocketAddr,
+    decoy: SocketAddr,
 }
 
 impl FileFaultInjector {
-    /// An injector for the file at `path`; the same seed injects the same faults.
-    pub fn new(path: impl Into<PathBuf>, seed: u64, trap: SocketAddr) -> FileFaultInjector {
-        FileFaultInjector { path: path.into(), rng: Pcg64::seed_from_u64(seed), trap }
+    /// Creates an injector for the file at `path`. The same seed injects the same faults.
+    pub fn new(path: impl Into<PathBuf>, seed: u64, decoy: SocketAddr) -> FileFaultInjector {
+        FileFaultInjector { path: path.into(), rng: Pcg64::seed_from_u64(seed), decoy }
     }
 
-    /// Injects a random fault, and returns which; a valid version has the content `valid`.
+    /// Injects a random fault and returns it. A valid version has the content `valid`.
     ///
     /// # Errors
-    /// The file system's.
+    /// A file system operation failed.
     pub fn inject_random(&mut self, valid: &EndpointFile) -> io::Result<FileFault> {
         let fault = FileFault::ALL[self.rng.random_range(0..FileFault::ALL.len())];
         self.inject(fault, valid)?;
         Ok(fault)
     }
 
-    /// Injects a fault; a valid version has the content `valid`.
+    /// Injects a fault. A valid version has the content `valid`.
     ///
     /// # Errors
-    /// The file system's.
+    /// A file system operation failed.
     pub fn inject(&mut self, fault: FileFault, valid: &EndpointFile) -> io::Result<()> {
         if self.path.is_dir() {
             fs::remove_dir(&self.path)?;
@@ -126,17 +127,17 @@
             FileFault::Renamed => self.replace(&valid.to_toml(1)),
             FileFault::InPlace => self.overwrite_in_two_pieces(&valid.to_toml(1)),
             FileFault::Torn => {
-                let trapped = self.trapped(valid);
-                self.write_torn(&trapped.to_toml(1))
+                let with_decoy = self.with_decoy(valid);
+                self.write_torn(&with_decoy.to_toml(1))
             }
             FileFault::Empty => fs::write(&self.path, ""),
             FileFault::NoEndpoints => {
                 let without_endpoints = EndpointFile { endpoints: Vec::new(), ..valid.clone() };
                 fs::write(&self.path, without_endpoints.to_toml(1))
             }
-            FileFault::ZeroWeight => fs::write(&self.path, self.trapped(valid).to_toml(0)),
+            FileFault::ZeroWeight => fs::write(&self.path, self.with_decoy(valid).to_toml(0)),
             FileFault::Duplicate => {
-                let mut duplicated = self.trapped(valid);
+                let mut duplicated = self.with_decoy(valid);
                 duplicated.endpoints.extend(duplicated.endpoints.first().cloned());
                 fs::write(&self.path, duplicated.to_toml(1))
             }
@@ -171,14 +172,14 @@
         if self.path.exists() { fs::remove_file(&self.path) } else { Ok(()) }
     }
 
-    /// The same file with the trap as every address.
-    fn trapped(&self, valid: &EndpointFile) -> EndpointFile {
-        let mut trapped = valid.clone();
-        for endpoint in &mut trapped.endpoints {
-            endpoint.address = self.trap;
+    /// Returns the same file with the decoy as the address of every endpoint.
+    fn with_decoy(&self, valid: &EndpointFile) -> EndpointFile {
+        let mut with_decoy = valid.clone();
+        for endpoint in &mut with_decoy.endpoints {
+            endpoint.address = self.decoy;
             endpoint.state = "ready";
         }
-        trapped
+        with_decoy
     }
 }
 
--- a/crates/lab/src/fault_injector/tests.rs
+++ b/crates/lab/src/fault_injector/tests.rs
@@ -1,11 +1,11 @@
-//! Determinism of the injector, and which versions read as valid.
+//! Tests of the fault injector: it is deterministic, and only valid versions name real endpoints.
 
 use super::*;
 use std::collections::BTreeSet;
 
 #[test]
 fn same_seed_injects_the_same_faults_and_only_valid_versions_name_real_endpoints() {
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("temporary directory");
     let address = |port: u16| ([127, 0, 0, 1], port).into();
     let endpoints = vec![
         ListedEndpoint { name: "a".into(), address: address(1), state: "ready" },
@@ -17,13 +17,10 @@
         let mut injector = FileFaultInjector::new(&path, 7, address(3));
         let mut done = Vec::new();
         for _ in 0..300 {
-            let fault = injector.inject_random(&valid).expect("done");
+            let fault = injector.inject_random(&valid).expect("fault injected");
             let text = fs::read_to_string(&path).unwrap_or_default();
             assert_eq!(text == valid.to_toml(1), fault.is_valid(), "{fault:?}");
-            assert!(
-                fault.is_valid() || !text.contains("127.0.0.1:1\""),
-                "{fault:?} lists one that is not the trap"
-            );
+            assert!(fault.is_valid() || !text.contains("127.0.0.1:1\""), "{fault:?} names a real endpoint");
             done.push((fault, text));
         }
         done
